--- a/crates/core/src/chance.rs
+++ b/crates/core/src/chance.rs
@@ -1,29 +1,31 @@
-//! Chance from a permuted congruential generator (PCG-XSH-RR).
+//! Pseudo-random numbers from a permuted congruential generator (PCG-XSH-RR).
 
 use std::time::Duration;
 
 use crate::interface::StreamerId;
 
+/// A generator with its state.
 #[derive(Default)]
 pub struct Chance(pub u64);
 
 impl Chance {
-    /// A number from 0 up to, but not, 1.
+    /// A uniformly distributed number in [0, 1).
     pub fn share(&mut self) -> f64 {
-        let old = self.0;
-        self.0 = old.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let word = (((old >> 18) ^ old) >> 27) as u32;
-        f64::from(word.rotate_right((old >> 59) as u32)) / 4_294_967_296.0
+        let state = self.0;
+        self.0 = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let output = (((state >> 18) ^ state) >> 27) as u32;
+        f64::from(output.rotate_right((state >> 59) as u32)) / 4_294_967_296.0
     }
 
-    pub fn span(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.share())
+    /// A uniformly distributed duration in [0, max).
+    pub fn span(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.share())
     }
 }
 
-/// A whole number that differs by streamer and start, the same for every instance: by the number that the list tells
-/// the start by.
+/// A pseudo-random whole number for a start of a streamer, the same in every controller: it depends only on
+/// the streamer's address and on the number by which the list identifies the start.
 pub fn scattered(id: StreamerId, start: u64) -> f64 {
-    let mix = u32::from(*id.ip()).rotate_left(7) ^ u32::from(id.port()) ^ start as u32;
-    f64::from(mix.wrapping_mul(2_654_435_769) >> 12)
+    let hash = u32::from(*id.ip()).rotate_left(7) ^ u32::from(id.port()) ^ start as u32;
+    f64::from(hash.wrapping_mul(2_654_435_769) >> 12)
 }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -1,9 +1,10 @@
-//! Every decision of badgerledge: where a subscription plays, at which rung, and when it is moved.
+//! The decisions of a controller: on which streamer a subscription plays, at which rung, and when it is
+//! moved.
 //!
-//! How it is called: one `Controller` per instance; once a round `round(now, arrivals, &mut out)`, where
-//! `arrivals` feeds each record that came in, in order, to the method that takes its fields; then the due
-//! work runs. Decisions go straight into `out`. The interface is `interface.rs` beside this file, the
-//! plain records are in `state.rs`. The mechanism and each departure from it: `docs/design.md`.
+//! The host creates one [`Controller`] per instance and calls [`Controller::round`] once a round with a
+//! closure that passes each record received, in order, to the method for its kind. Then the work that is due
+//! runs, and decisions go to the [`Writer`]. The records are in `state.rs`; the mechanism and where it
+//! departs from the design is in `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,928 +13,1222 @@
 
 use crate::chance::{scattered, Chance};
 use crate::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId, Writer};
-use crate::state::{forget, Pipe, Pipes, Streamer, Subscription};
-use crate::told::Told;
-use crate::words::{self, Named, Word};
+use crate::load_reports::{self, LinkName, LoadReport};
+use crate::settings::Settings;
+use crate::state::{remove_departed, NetworkLink, NetworkLinks, Streamer, Subscription};
 
 mod sums;
 
-/// Share of a pipe that rungs may fill: 0.95 to 1.0 did better on all than 0.84, the design's 0.9 and 1.05.
-const MARK: f64 = 0.94;
-/// The design's tick.
-const MOVE_TICK: Duration = Duration::from_secs(5);
-/// Between two steps of one subscription: well over what a step costs, under the claim of 3 a minute.
-const REST: Duration = Duration::from_secs(20);
-const FRESH: Duration = Duration::from_secs(10); // A measure counts this long, some notes' time.
-/// Between two looks at what waits, for a probe's answer too: 99 in 100 take 2 ms, a round is 10.
-const LOOK: Duration = Duration::from_millis(40);
-/// Holders probed for one join: one, two or three came out alike, two least uneven.
-const LOOKED_AT: usize = 2;
-/// What a join's look earns, of a subscription: 0.05 to 0.17 on four of the days with 300 controllers.
-const EARNED: f64 = 0.1;
-/// Own streamers are looked at again after this: 10 s came out alike, all the time cost more than it earned.
-const LOOK_AGAIN: Duration = Duration::from_secs(6);
-/// Part of the room, or of the excess, that who looked alone acts on: 0.8 did worse, its own part too.
-const ALONE: f64 = 0.5;
-const SURGE: f64 = 3.0; // Seconds in which requests are lately taken: a burst rises in as many.
-/// A pipe that would be asked for more takes no join: 0.95 and 1.05 did worse, 1.2 worse where all is full.
-const FULL: f64 = 1.0;
-/// Tokens of the reminders: the one periodic timer, and the earliest of all else that is due.
-const TOKEN_BEAT: u64 = 1;
-const TOKEN_DUE: u64 = 2;
-
+/// Fraction of a link's capacity that rungs may fill.
+const TARGET_UTILIZATION: f64 = 0.94;
+/// Interval between decisions on moves (the design's tick).
+const MOVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Minimum interval between two rung steps of one subscription: long enough to outweigh what a step costs,
+/// and within the limit of 3 steps a minute.
+const MIN_STEP_INTERVAL: Duration = Duration::from_secs(20);
+/// How long a measurement counts: several times the interval of progress reports.
+const MEASUREMENT_VALIDITY: Duration = Duration::from_secs(10);
+/// Interval between attempts to place a waiting request, and the wait for probe results: 99 % of the probes
+/// are answered within 2 ms, and a round takes 10 ms.
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(40);
+/// Holders probed for one join; two spread joins more evenly than one or three.
+const PROBES_PER_JOIN: usize = 2;
+/// Benefit of probing for one join, as a fraction of a subscription's benefit.
+const PROBE_BENEFIT: f64 = 0.1;
+/// Own streamers are probed again after this time; continuous probing would cost more than it gains.
+const REPROBE_INTERVAL: Duration = Duration::from_secs(6);
+/// Minimum fraction of the headroom, or of the excess, that a controller uses when only it has the
+/// measurement.
+const SOLE_OBSERVER_FRACTION: f64 = 0.5;
+/// Time constant of the recent request rate, in seconds; bursts of requests rise within about this time.
+const REQUEST_RATE_DECAY_S: f64 = 3.0;
+/// A link whose utilization would exceed this fraction takes no join.
+const MAX_JOIN_UTILIZATION: f64 = 1.0;
+/// Tokens of the timers: one for the periodic work, one for the earliest of the other due work.
+const PERIODIC_TIMER: u64 = 1;
+const DUE_TIMER: u64 = 2;
+
+/// One controller: what it knows of streamers and links, its subscriptions, and its timers.
 #[derive(Default)]
 pub struct Controller {
     now: Duration,
-    born: Duration,
-    pub(crate) told: Told,
-    chance: Chance,
+    started_at: Duration,
+    pub(crate) settings: Settings,
+    rng: Chance,
     streamers: BTreeMap<StreamerId, Streamer>,
-    pipes: Pipes,
-    subs: BTreeMap<JobId, Subscription>,
-    /// Subscriptions that wait for something, by when to look at them again.
-    due: BTreeSet<(Duration, JobId)>,
-    reminded: Option<Duration>,
-    beat_at: Duration,
-    move_at: Duration,
-    /// Subscriptions were handed over: the day began with this instance.
-    handed_over: bool,
-    ask_list_at: Option<Duration>,
-    taken: f64,
-    /// The same, fading, and when it was last counted.
-    lately: (Duration, f64),
-    requests: VecDeque<Duration>,
-    further: VecDeque<Duration>,
-    /// Sum and count of the lives seen, and of the hints.
-    lived: (f64, f64),
-    hints: (f64, f64),
-    price: f64,
-    /// How full others make the usual uplink and the usual link.
-    usual_use: [f64; 2],
-    /// One throw a round decides all steps by chance, so that a link and its uplink agree.
-    dice: f64,
-    /// What may still cross from a building, or from any, in new joins, kB a second, where a budget is told.
-    crossing: BTreeMap<Option<u16>, f64>,
+    network_links: NetworkLinks,
+    subscriptions: BTreeMap<JobId, Subscription>,
+    /// Subscriptions that wait to be placed, by the time of the next attempt.
+    placements_due: BTreeSet<(Duration, JobId)>,
+    due_timer_at: Option<Duration>,
+    next_periodic_at: Duration,
+    next_move_at: Duration,
+    /// Whether subscriptions were handed over at the start: then the whole fleet started with this
+    /// controller.
+    started_with_handover: bool,
+    subscribe_list_at: Option<Duration>,
+    accepted_requests: f64,
+    /// Time and value of an exponentially decaying count of accepted requests.
+    recent_requests: (Duration, f64),
+    request_times: VecDeque<Duration>,
+    retry_join_times: VecDeque<Duration>,
+    /// (sum in seconds, count) of the lifetimes of ended subscriptions, and of the duration hints of
+    /// requests.
+    lifetime_sums: (f64, f64),
+    hint_sums: (f64, f64),
+    min_benefit_per_rate: f64,
+    /// Mean utilization by other controllers: [of uplinks, of links].
+    mean_others_utilization: [f64; 2],
+    /// Random number in [0, 1) drawn once a round: a link and its uplink then make the same random choice.
+    round_random: f64,
+    /// Rate in kB/s that new joins may still take across zones, by source zone, or `None` for all zones;
+    /// empty without a budget.
+    crossing_budgets: BTreeMap<Option<u16>, f64>,
 }
 
 impl Controller {
+    /// A controller that starts at `now`; `seed` starts its random numbers.
     pub fn new(now: Duration, seed: u64, options: Map<String, Value>) -> Self {
-        let told = Told::new(options);
-        let ask_list_at = (told.text("/discovery") == "subscribe").then_some(now);
-        let (born, move_at, chance) = (now, now + MOVE_TICK, Chance(seed));
-        Self { now, born, move_at, ask_list_at, told, chance, ..Self::default() }
+        let settings = Settings::new(options);
+        let subscribe_list_at = (settings.text("/discovery") == "subscribe").then_some(now);
+        let (started_at, next_move_at, rng) = (now, now + MOVE_INTERVAL, Chance(seed));
+        Self { now, started_at, next_move_at, subscribe_list_at, settings, rng, ..Self::default() }
     }
 
-    /// One round: all that came in, then all that is due.
+    /// Runs one round: applies all records received, then does the work that is due.
     pub fn round<W: Writer>(&mut self, now: Duration, arrivals: impl FnOnce(&mut Self, &mut W), out: &mut W) {
-        (self.now, self.dice) = (now, self.chance.share());
+        (self.now, self.round_random) = (now, self.rng.share());
         arrivals(self, out);
-        if self.ask_list_at.take_if(|at| *at <= now).is_some() {
+        if self.subscribe_list_at.take_if(|at| *at <= now).is_some() {
             out.observe(true);
         }
-        while let Some((_, job)) = self.due.first().copied().filter(|due| due.0 <= now) {
-            self.due.pop_first();
-            if self.subs.get(&job).is_some_and(|s| s.at.is_none()) {
+        while let Some((_, job)) = self.placements_due.first().copied().filter(|entry| entry.0 <= now) {
+            self.placements_due.pop_first();
+            if self.subscriptions.get(&job).is_some_and(|s| s.streamer.is_none()) {
                 self.place(job, out);
             }
         }
-        if now >= self.beat_at {
-            self.beat(out);
+        if now >= self.next_periodic_at {
+            self.run_periodic_work(out);
         }
-        let reminded = self.reminded.unwrap_or(Duration::MAX);
-        if let Some(at) = self.due.first().map(|due| due.0).filter(|at| *at < reminded) {
-            self.reminded = Some(at);
-            out.remind(at - now, TOKEN_DUE);
+        let due_timer_at = self.due_timer_at.unwrap_or(Duration::MAX);
+        if let Some(at) = self.placements_due.first().map(|entry| entry.0).filter(|at| *at < due_timer_at) {
+            self.due_timer_at = Some(at);
+            out.remind(at - now, DUE_TIMER);
         }
     }
 
-    fn beat<W: Writer>(&mut self, out: &mut W) {
-        let beat = Duration::from_millis(200); // Far under the time between notes: a cut follows its note.
-        self.beat_at = self.now + beat;
-        out.remind(beat, TOKEN_BEAT);
-        self.note_usual_use();
-        self.price = self.fleet_price();
-        self.look_round(out);
-        self.shape(out);
-        self.speak(out);
-        if self.now >= self.move_at {
-            // The random part keeps controllers from moving at one moment.
-            self.move_at = self.now + MOVE_TICK.mul_f64(0.9 + 0.2 * self.chance.share());
-            self.move_some(out);
+    /// Work repeated every 200 ms: adjusts rungs, probes, shares measurements and, when due, moves
+    /// subscriptions.
+    fn run_periodic_work<W: Writer>(&mut self, out: &mut W) {
+        // Far below the interval of progress reports, so that a cut promptly follows the report that calls
+        // for it.
+        let interval = Duration::from_millis(200);
+        self.next_periodic_at = self.now + interval;
+        out.remind(interval, PERIODIC_TIMER);
+        self.update_mean_others_utilization();
+        self.min_benefit_per_rate = self.fleet_min_benefit_per_rate();
+        self.probe_stale_streamers(out);
+        self.adjust_rungs(out);
+        self.share_measurements(out);
+        if self.now >= self.next_move_at {
+            // The random part keeps controllers from moving subscriptions at the same moment.
+            self.next_move_at = self.now + MOVE_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.share());
+            self.move_subscriptions(out);
         }
     }
 
-    pub fn request(&mut self, job: JobId, asked: Asked) {
-        self.requests.push_back(self.now);
-        self.taken += 1.0;
-        self.lately = (self.now, self.pace() * SURGE + 1.0);
-        let hint = asked.hinted.map_or((0.0, 0.0), |hint| (hint.as_secs_f64(), 1.0));
-        self.hints = (self.hints.0 + hint.0, self.hints.1 + hint.1);
-        self.subs.insert(job, Subscription { asked, taken: self.now, ..Default::default() });
-        self.due.insert((self.now, job));
-    }
-
-    pub fn resumed(&mut self, job: JobId, asked: Asked, streamer: StreamerId) {
-        self.handed_over = true;
-        // It may step once the first notes are in: they come each `toldEveryUs`, and late.
-        let stepped = (self.now + self.told.every + self.told.late()).saturating_sub(REST);
-        let (taken, plays, noted) = (self.now, true, true);
-        self.subs.insert(job, Subscription { asked, taken, stepped, plays, noted, ..Default::default() });
-        self.settle(job, Some(streamer), self.told.floor(&asked));
+    /// Accepts a request for a subscription.
+    pub fn request(&mut self, job: JobId, request: Asked) {
+        self.request_times.push_back(self.now);
+        self.accepted_requests += 1.0;
+        self.recent_requests = (self.now, self.recent_request_rate() * REQUEST_RATE_DECAY_S + 1.0);
+        let hint = request.hinted.map_or((0.0, 0.0), |hint| (hint.as_secs_f64(), 1.0));
+        self.hint_sums = (self.hint_sums.0 + hint.0, self.hint_sums.1 + hint.1);
+        self.subscriptions.insert(job, Subscription { request, accepted_at: self.now, ..Default::default() });
+        self.placements_due.insert((self.now, job));
+    }
+
+    /// Takes over a subscription that already plays on `streamer`.
+    pub fn resumed(&mut self, job: JobId, request: Asked, streamer: StreamerId) {
+        self.started_with_handover = true;
+        // It may step once the first progress reports have arrived: after one report interval and their
+        // delay.
+        let last_step_at = (self.now + self.settings.report_interval + self.settings.report_delay())
+            .saturating_sub(MIN_STEP_INTERVAL);
+        let (accepted_at, playing, setup_reports_received) = (self.now, true, true);
+        self.subscriptions.insert(
+            job,
+            Subscription {
+                request,
+                accepted_at,
+                last_step_at,
+                playing,
+                setup_reports_received,
+                ..Default::default()
+            },
+        );
+        self.assign(job, Some(streamer), self.settings.floor(&request));
     }
 
+    /// A join was served: the subscription plays.
     pub fn flowing(&mut self, job: JobId, _join: u16, streamer: StreamerId, _latency: Duration) {
-        self.judge(streamer, true);
-        if let Some(sub) = self.subs.get_mut(&job) {
-            (sub.plays, sub.stepped) = (true, self.now);
+        self.record_join_result(streamer, true);
+        if let Some(subscription) = self.subscriptions.get_mut(&job) {
+            (subscription.playing, subscription.last_step_at) = (true, self.now);
         }
     }
 
-    /// Notes on a playing subscription: 1 short delivery, 2 the rung, 3 the link, 4 the rack's uplink.
+    /// A progress report on a playing subscription. `kind` is 1 for the delivered fraction, 2 for the rung, 3
+    /// for the utilization of the link, 4 for that of the rack's uplink.
     pub fn progress(&mut self, job: JobId, streamer: StreamerId, kind: u8, value: f64) {
-        let last = if self.told.lists("/report/fields", "x1") { 4 } else { 3 };
-        let late = self.told.late();
-        let Some(sub) = self.subs.get_mut(&job) else { return };
-        // The notes that come with a set-up tell of now.
-        let noted = sub.noted;
-        sub.noted |= kind == last;
-        let late = if noted { late } else { Duration::ZERO };
+        let last_kind = if self.settings.list_contains("/report/fields", "x1") { 4 } else { 3 };
+        let report_delay = self.settings.report_delay();
+        let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
+        // The reports that come with the set-up are current; later ones are delayed.
+        let setup_reports_received = subscription.setup_reports_received;
+        subscription.setup_reports_received |= kind == last_kind;
+        let report_delay = if setup_reports_received { report_delay } else { Duration::ZERO };
         match kind {
-            1 => self.short(streamer, value),
-            2 => self.settle(job, Some(streamer), value.max(0.0) as u8),
-            3 => self.measure(Pipe::Link(streamer), value, late, false),
-            4 => self.measure(self.uplink(streamer), value, late, false),
+            1 => self.handle_short_delivery(streamer, value),
+            2 => self.assign(job, Some(streamer), value.max(0.0) as u8),
+            3 => self.record_measurement(NetworkLink::Link(streamer), value, report_delay, false),
+            4 => self.record_measurement(self.uplink(streamer), value, report_delay, false),
             _ => {}
         }
     }
 
+    /// A join failed, or a subscription ended (`over`). `usage` is the streamer's load report, if it sent
+    /// one.
     pub fn outcome(
         &mut self, job: JobId, streamer: StreamerId, _join: u16, ending: Ending, over: bool,
         _latency: Duration, usage: &[f64],
     ) {
-        self.take_report(streamer, usage);
-        let played = self.subs.get(&job).is_some_and(|s| s.plays);
-        self.note_ending(streamer, ending, played);
-        let Some(sub) = self.subs.get_mut(&job) else { return };
+        self.apply_load_report(streamer, usage);
+        let played = self.subscriptions.get(&job).is_some_and(|s| s.playing);
+        self.record_ending(streamer, ending, played);
+        let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
         if over {
-            let life = (self.now - sub.taken).as_secs_f64();
-            self.lived = if played { (self.lived.0 + life, self.lived.1 + 1.0) } else { self.lived };
-            return drop(self.drop_sub(job));
+            let lifetime_s = (self.now - subscription.accepted_at).as_secs_f64();
+            self.lifetime_sums = if played {
+                (self.lifetime_sums.0 + lifetime_s, self.lifetime_sums.1 + 1.0)
+            } else {
+                self.lifetime_sums
+            };
+            return drop(self.remove_subscription(job));
         }
         if !ending.proves_it_never_ran() {
-            sub.ran.push((streamer, sub.sent));
+            subscription.possibly_ran.push((streamer, subscription.join_sent_at));
         }
-        sub.tried.push(streamer);
-        sub.plays = false;
-        self.settle(job, None, 0);
-        self.due.insert((self.now, job));
+        subscription.tried.push(streamer);
+        subscription.playing = false;
+        self.assign(job, None, 0);
+        self.placements_due.insert((self.now, job));
     }
 
+    /// Result of a probe; `usage` is the streamer's load report, if it sent one.
     pub fn echo(&mut self, streamer: StreamerId, ending: Ending, _latency: Duration, usage: &[f64]) {
-        let echoed = (ending == Ending::Served).then_some(self.now);
-        self.streamers.entry(streamer).and_modify(|s| s.echoed = echoed.unwrap_or(s.echoed));
-        self.take_report(streamer, usage);
+        let answered_at = (ending == Ending::Served).then_some(self.now);
+        self.streamers
+            .entry(streamer)
+            .and_modify(|s| s.probe_answered_at = answered_at.unwrap_or(s.probe_answered_at));
+        self.apply_load_report(streamer, usage);
     }
 
-    /// Another tells what it measured. It says what others ask where nothing newer is known here; what this
-    /// instance may ask goes by its own measures alone.
+    /// Load reports from another controller. They update the others' demand where nothing newer is known
+    /// here; the allowance of this controller depends on its own measurements alone.
     pub fn peer(&mut self, _peer: u32, bytes: &[u8]) {
-        for word in words::read(bytes) {
-            let named = |name| self.streamers.keys().find(|id| words::name(**id) == name);
-            let pipe = match word.pipe {
-                Named::Link(name) => named(name).map(|id| Pipe::Link(*id)),
-                Named::Uplink(number) => Some(Pipe::Uplink(number)),
+        for report in load_reports::decode(bytes) {
+            let streamer_named =
+                |name| self.streamers.keys().find(|id| load_reports::streamer_name(**id) == name);
+            let network_link = match report.network_link {
+                LinkName::Link(name) => streamer_named(name).map(|id| NetworkLink::Link(*id)),
+                LinkName::Uplink(number) => Some(NetworkLink::Uplink(number)),
             };
-            let Some(pipe) = pipe else { continue };
-            let (size, at) = (self.size(pipe), self.now.saturating_sub(word.age));
-            let Some(g) = self.pipes.all.get_mut(&pipe) else { continue };
-            g.told_at = self.now;
-            if at > g.measured_at {
-                g.others = (word.used * size - g.asked_at(at)).max(0.0);
-                (g.measured, g.measured_at) = (true, at);
+            let Some(network_link) = network_link else { continue };
+            let (capacity, measured_at) = (self.capacity(network_link), self.now.saturating_sub(report.age));
+            let Some(link_state) = self.network_links.states.get_mut(&network_link) else { continue };
+            link_state.last_shared_at = self.now;
+            if measured_at > link_state.measured_at {
+                link_state.others_demand =
+                    (report.utilization * capacity - link_state.own_demand_at(measured_at)).max(0.0);
+                (link_state.measured, link_state.measured_at) = (true, measured_at);
             }
         }
     }
 
-    /// A fact told: what may cross from a building, or from any, in new joins, kB a second. Without a budget
-    /// nothing is told.
+    /// Sets the rate in kB/s that new joins may still take from a zone, or from any zone (`None`). Not called
+    /// without a crossing budget.
     pub fn crossing(&mut self, from: Option<u16>, left: f64) {
-        self.crossing.insert(from, left);
+        self.crossing_budgets.insert(from, left);
     }
 
-    /// A fact told: the highest rung for now of a subscription that crosses. It is lowered at once, since
-    /// what crosses is counted by the second.
+    /// Sets or clears the highest allowed rung of a subscription whose media crosses zones. The rung is
+    /// lowered at once, since crossing media is counted by the second.
     pub fn cap<W: Writer>(&mut self, job: JobId, cap: Option<u8>, out: &mut W) {
-        let Some(sub) = self.subs.get_mut(&job) else { return };
-        sub.cap = cap;
-        let sub = sub.clone();
-        let top = self.top(&sub);
-        if sub.plays && sub.rung > top {
-            self.subs.entry(job).and_modify(|s| s.stepped = self.now);
-            self.settle(job, sub.at, top);
+        let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
+        subscription.rung_cap = cap;
+        let subscription = subscription.clone();
+        let top = self.top(&subscription);
+        if subscription.playing && subscription.rung > top {
+            self.subscriptions.entry(job).and_modify(|s| s.last_step_at = self.now);
+            self.assign(job, subscription.streamer, top);
             out.step_to(job, top);
         }
     }
 
-    /// A fact told: several others lost joins on a streamer lately. It does what a streak of own losses does,
-    /// until a join works here. Guards against losing them oneself; harm: one wrongly blamed gets less.
+    /// Several other controllers recently lost joins on a streamer. It is avoided as after own failures,
+    /// until a join to it is served. This spares own failures; a streamer that is wrongly reported gets less
+    /// load.
     pub fn hearsay(&mut self, streamer: StreamerId) {
-        self.set_aside(streamer);
+        self.avoid(streamer);
     }
 
+    /// One streamer of a list.
     pub fn list_entry(
         &mut self, id: StreamerId, zone: u16, kind: usize, cell: u32, health: Health, weight: f64,
-        came_up: Start,
+        start: Start,
     ) {
-        let s = self.streamers.entry(id).or_insert_with(|| Streamer::new(health, self.now));
-        if came_up.at > s.came_up {
-            // What was held against the old process is void.
-            (s.served, s.terminated, s.away_until, s.broke) = (0.0, 0.0, Duration::ZERO, None);
-            self.pipes.all.entry(Pipe::Link(id)).or_default().measured = false;
+        let streamer = self.streamers.entry(id).or_insert_with(|| Streamer::new(health, self.now));
+        if start.at > streamer.started_at {
+            // Failures of the previous process do not count against the new one.
+            (
+                streamer.recent_served_joins,
+                streamer.recent_failed_joins,
+                streamer.avoid_until,
+                streamer.failed_at,
+            ) = (0.0, 0.0, Duration::ZERO, None);
+            self.network_links.states.entry(NetworkLink::Link(id)).or_default().measured = false;
         }
-        (s.zone, s.kind, s.cell, s.health, s.weight) = (zone, kind, cell, health, weight);
-        (s.came_up, s.start, s.listed) = (came_up.at, came_up.number, true);
+        (streamer.zone, streamer.kind, streamer.cell, streamer.health, streamer.weight) =
+            (zone, kind, cell, health, weight);
+        (streamer.started_at, streamer.start_number, streamer.listed) = (start.at, start.number, true);
     }
 
-    pub fn list_ends(&mut self, how: Listing) {
-        if matches!(how, Listing::Complete | Listing::Cached) {
+    /// Ends a list and updates links, capacities and demand.
+    pub fn list_ends(&mut self, kind: Listing) {
+        if matches!(kind, Listing::Complete | Listing::Cached) {
             self.streamers.values_mut().filter(|s| !s.listed).for_each(|s| s.health = Health::Gone);
         }
-        forget(&mut self.streamers, &mut self.pipes, &self.subs);
-        self.pipes.lay(&self.streamers, &self.told);
-        self.sum_up();
-        if how == Listing::Failed && self.told.text("/discovery") == "subscribe" {
-            // Asked again after a second and a random part, well inside `askWithinUs`.
-            let wait = Duration::from_secs(1) + self.chance.span(Duration::from_secs(1));
-            self.ask_list_at = Some(self.now + wait);
+        remove_departed(&mut self.streamers, &mut self.network_links, &self.subscriptions);
+        self.network_links.rebuild(&self.streamers, &self.settings);
+        self.recompute_own_demand();
+        if kind == Listing::Failed && self.settings.text("/discovery") == "subscribe" {
+            // Retried after one second and a random part, well within `askWithinUs`.
+            let delay = Duration::from_secs(1) + self.rng.span(Duration::from_secs(1));
+            self.subscribe_list_at = Some(self.now + delay);
         }
     }
 
-    /// Share of its capacity that a link has warmed to: how is not told; the square errs to the safe side.
-    fn warmth(&self, pipe: Pipe) -> f64 {
-        let Pipe::Link(id) = pipe else { return 1.0 };
-        let came_up = self.streamers.get(&id).map_or(Duration::ZERO, |s| s.came_up);
-        if came_up.is_zero() || self.now >= came_up + self.told.warm_up {
+    /// Fraction of its capacity that a link has reached in its warm-up. The shape of the warm-up is unknown;
+    /// the square errs on the safe side.
+    fn warm_fraction(&self, network_link: NetworkLink) -> f64 {
+        let NetworkLink::Link(id) = network_link else { return 1.0 };
+        let started_at = self.streamers.get(&id).map_or(Duration::ZERO, |s| s.started_at);
+        if started_at.is_zero() || self.now >= started_at + self.settings.warm_up {
             return 1.0;
         }
-        let grown = self.now.saturating_sub(came_up).as_secs_f64() / self.told.warm_up.as_secs_f64();
-        self.told.cold_from + (1.0 - self.told.cold_from) * grown.powi(2)
-    }
-
-    /// What others ask of a pipe: as measured, or for an uplink the sum over its links. A measure fades as
-    /// long as it counts: what is not heard of is taken to be as full as what is.
-    fn others(&self, pipe: Pipe) -> f64 {
-        let (g, link) = (self.pipes.of(pipe), matches!(pipe, Pipe::Link(_)));
-        if !link && !g.measured {
-            return g.rack.iter().map(|id| self.others(Pipe::Link(*id))).sum();
-        }
-        let age = self.now.saturating_sub(g.measured_at).as_secs_f64();
-        let fresh = if g.measured { (2.0 - age / FRESH.as_secs_f64()).clamp(0.0, 1.0) } else { 0.0 };
-        let usual = self.usual_use[usize::from(link)] * self.warmth(pipe);
-        fresh * g.others + (1.0 - fresh) * usual * self.size(pipe)
-    }
-
-    /// Lowered after short delivery by less than the design's 0.1 for 60 s: most causes are gone sooner.
-    fn mark(&self, pipe: Pipe) -> f64 {
-        let lowered = self.pipes.of(pipe).short_at.is_some_and(|at| self.now < at + Duration::from_secs(15));
-        MARK - if lowered { 0.05 } else { 0.0 }
-    }
-
-    /// Sets a late measure against what this instance asked at that time; the rest is others'.
-    fn measure(&mut self, pipe: Pipe, ratio: f64, late: Duration, alone: bool) {
-        let (size, then) = (self.size(pipe), self.now.saturating_sub(late));
-        let Some(g) = self.pipes.all.get_mut(&pipe) else { return };
-        g.others = (ratio * size - g.asked_at(then)).max(0.0);
-        (g.measured, g.measured_at, g.seen_at) = (true, self.now, self.now);
-        self.allow(pipe, alone);
-        // An uplink that nobody reports goes by its links and its stated size.
-        let Pipe::Link(id) = pipe else { return };
-        if !self.pipes.of(self.uplink(id)).measured {
-            self.allow(self.uplink(id), alone);
-        }
-    }
-
-    /// What this instance may ask until the next measure, which all who play there see at once: each gives
-    /// back its part of an excess, then waits until that can show, or takes its part of the room. A part
-    /// smaller than a step is a whole step by chance, be there three controllers or hundreds.
-    fn allow(&mut self, pipe: Pipe, alone: bool) {
-        // Rungs stay while use is this close to the mark: a step of one subscription is about as much.
-        const BAND: f64 = 0.1;
-        let (size, mark, late) = (self.size(pipe), self.mark(pipe), self.told.late());
-        let total = self.use_of(pipe) * size;
-        let room = mark * size - total;
-        let chance = self.dice * self.usual_step(pipe, room > 0.0);
-        let Some(g) = self.pipes.all.get_mut(&pipe) else { return };
-        // What is told to nobody else at that time leaves more of the room to the one who looked.
-        let share = g.asks / total.max(1.0);
-        let part = if alone { share.max(ALONE) } else { share };
-        if room < -BAND * size {
-            if self.now >= g.cut_until {
-                g.allowance = (g.asks + room * part + chance).min(g.asks);
-                g.cut_until = self.now + late + Duration::from_millis(1500);
+        let progress =
+            self.now.saturating_sub(started_at).as_secs_f64() / self.settings.warm_up.as_secs_f64();
+        self.settings.cold_start_fraction + (1.0 - self.settings.cold_start_fraction) * progress.powi(2)
+    }
+
+    /// Demand of the other controllers on a link: as measured, or for an unmeasured uplink the sum over its
+    /// links. An older measurement gradually gives way to the fleet's mean: a link without news is assumed to
+    /// be as full as those with news.
+    fn others_demand(&self, network_link: NetworkLink) -> f64 {
+        let (link_state, is_link) =
+            (self.network_links.get(network_link), matches!(network_link, NetworkLink::Link(_)));
+        if !is_link && !link_state.measured {
+            return link_state.streamers.iter().map(|id| self.others_demand(NetworkLink::Link(*id))).sum();
+        }
+        let age = self.now.saturating_sub(link_state.measured_at).as_secs_f64();
+        let weight = if link_state.measured {
+            (2.0 - age / MEASUREMENT_VALIDITY.as_secs_f64()).clamp(0.0, 1.0)
+        } else {
+            0.0
+        };
+        let mean_utilization =
+            self.mean_others_utilization[usize::from(is_link)] * self.warm_fraction(network_link);
+        weight * link_state.others_demand + (1.0 - weight) * mean_utilization * self.capacity(network_link)
+    }
+
+    /// The utilization to aim at, reduced after short delivery. The design's 0.1 for 60 s is longer than
+    /// needed: most causes of short delivery pass sooner.
+    fn target_utilization(&self, network_link: NetworkLink) -> f64 {
+        let lowered = self
+            .network_links
+            .get(network_link)
+            .short_delivery_at
+            .is_some_and(|at| self.now < at + Duration::from_secs(15));
+        TARGET_UTILIZATION - if lowered { 0.05 } else { 0.0 }
+    }
+
+    /// Records a delayed measurement: what exceeds this controller's own demand at that time is others'
+    /// demand.
+    fn record_measurement(
+        &mut self, network_link: NetworkLink, utilization: f64, report_delay: Duration, sole_observer: bool,
+    ) {
+        let (capacity, time) = (self.capacity(network_link), self.now.saturating_sub(report_delay));
+        let Some(link_state) = self.network_links.states.get_mut(&network_link) else { return };
+        link_state.others_demand = (utilization * capacity - link_state.own_demand_at(time)).max(0.0);
+        (link_state.measured, link_state.measured_at, link_state.own_measurement_at) =
+            (true, self.now, self.now);
+        self.update_allowance(network_link, sole_observer);
+        // An uplink without reports of its own is judged by its links and its nominal capacity.
+        let NetworkLink::Link(id) = network_link else { return };
+        if !self.network_links.get(self.uplink(id)).measured {
+            self.update_allowance(self.uplink(id), sole_observer);
+        }
+    }
+
+    /// Updates what this controller may demand of a link until the next measurement, which all controllers
+    /// that play there get at the same time. On an excess each gives back its fraction and waits until the
+    /// effect can be measured; on headroom each takes its fraction. A fraction smaller than one step becomes
+    /// a whole step with that probability, so that the sum is right for three controllers as for hundreds.
+    fn update_allowance(&mut self, network_link: NetworkLink, sole_observer: bool) {
+        // No change while utilization is this close to the target: one subscription's step is of about that
+        // size.
+        const NO_CHANGE_BAND: f64 = 0.1;
+        let (capacity, target_utilization, report_delay) = (
+            self.capacity(network_link),
+            self.target_utilization(network_link),
+            self.settings.report_delay(),
+        );
+        let total_demand = self.utilization(network_link) * capacity;
+        let headroom = target_utilization * capacity - total_demand;
+        let random_step = self.round_random * self.mean_step_rate(network_link, headroom > 0.0);
+        let Some(link_state) = self.network_links.states.get_mut(&network_link) else { return };
+        // If no other controller has this measurement, more of the headroom is left to this one.
+        let own_fraction = link_state.own_demand / total_demand.max(1.0);
+        let fraction = if sole_observer { own_fraction.max(SOLE_OBSERVER_FRACTION) } else { own_fraction };
+        if headroom < -NO_CHANGE_BAND * capacity {
+            if self.now >= link_state.no_cut_until {
+                link_state.allowance =
+                    (link_state.own_demand + headroom * fraction + random_step).min(link_state.own_demand);
+                link_state.no_cut_until = self.now + report_delay + Duration::from_millis(1500);
             }
-        } else if room > BAND * size {
-            // A raise leaves a twentieth free: true rates lie above the ladder's as often as below.
-            g.allowance = g.asks + (room - 0.05 * size) * part + chance;
+        } else if headroom > NO_CHANGE_BAND * capacity {
+            // A raise leaves 5 % free: actual rates exceed the ladder's rates as often as they fall below.
+            link_state.allowance =
+                link_state.own_demand + (headroom - 0.05 * capacity) * fraction + random_step;
         } else {
-            g.allowance = g.asks;
+            link_state.allowance = link_state.own_demand;
         }
     }
 
-    /// The share delivered at a streamer, by a note not older than the next would be.
-    fn delivered(&self, id: StreamerId) -> f64 {
-        let noted = self.streamers.get(&id).map(|s| s.delivered);
-        noted.filter(|(at, _)| self.now < *at + Duration::from_millis(1500)).map_or(1.0, |(_, share)| share)
+    /// Fraction of the requested rate that a streamer delivers, by a report that the next one has not
+    /// outdated.
+    fn delivered_fraction(&self, id: StreamerId) -> f64 {
+        let reported = self.streamers.get(&id).map(|s| s.delivered);
+        reported
+            .filter(|(at, _)| self.now < *at + Duration::from_millis(1500))
+            .map_or(1.0, |(_, fraction)| fraction)
     }
 
-    /// Short delivery. A link known to be full explains it; so does the uplink where all of the rack that
-    /// this instance hears of deliver short. Else the streamer itself ails: it is set aside, and what plays
-    /// there may move; lower rungs would not help. Harm: a lone streamer is blamed for its uplink a while.
-    fn short(&mut self, id: StreamerId, delivered: f64) {
+    /// Handles short delivery. A fully used link explains it, and so does the uplink if all streamers of the
+    /// rack that this controller uses deliver short. Otherwise the streamer itself is faulty: it is avoided,
+    /// and its subscriptions may move, since lower rungs would not help. A streamer that is alone in use in
+    /// its rack may be avoided for a while because of its uplink.
+    fn handle_short_delivery(&mut self, id: StreamerId, delivered: f64) {
         let delivered = delivered.max(0.01);
         self.streamers.entry(id).and_modify(|s| s.delivered = (self.now, delivered));
         if delivered >= 0.98 {
             return;
         }
-        let (link, uplink) = (Pipe::Link(id), self.uplink(id));
-        if self.use_of(link) > 0.9 {
-            return self.fell_short(link, delivered);
+        let (link, uplink) = (NetworkLink::Link(id), self.uplink(id));
+        if self.utilization(link) > 0.9 {
+            return self.record_short_delivery(link, delivered);
         }
-        let rack = self.pipes.of(uplink).rack.iter();
-        let heard = rack.filter(|peer| self.pipes.of(Pipe::Link(**peer)).asks > 0.0);
-        let best = heard.map(|peer| self.delivered(*peer)).fold(delivered, f64::max);
-        if best >= 0.98 || self.use_of(uplink) < 0.6 {
-            return self.set_aside(id);
+        let streamers_of_rack = self.network_links.get(uplink).streamers.iter();
+        let in_use = streamers_of_rack
+            .filter(|peer| self.network_links.get(NetworkLink::Link(**peer)).own_demand > 0.0);
+        let best_delivered = in_use.map(|peer| self.delivered_fraction(*peer)).fold(delivered, f64::max);
+        if best_delivered >= 0.98 || self.utilization(uplink) < 0.6 {
+            return self.avoid(id);
         }
-        self.fell_short(uplink, best);
-    }
-
-    /// A pipe that delivers this share was asked for so much more, whatever was last measured: reports may be
-    /// late or stay out.
-    fn fell_short(&mut self, pipe: Pipe, delivered: f64) {
-        let (late, size, others) = (self.told.late(), self.size(pipe), self.others(pipe));
-        let Some(g) = self.pipes.all.get_mut(&pipe) else { return };
-        g.short_at = Some(self.now);
-        let asked = others + g.asked_at(self.now.saturating_sub(late));
-        if asked * delivered < size {
-            self.measure(pipe, 1.0 / delivered, late, false);
+        self.record_short_delivery(uplink, best_delivered);
+    }
+
+    /// Treats short delivery as a measurement of demand over capacity, since load reports may be late or
+    /// missing.
+    fn record_short_delivery(&mut self, network_link: NetworkLink, delivered: f64) {
+        let (report_delay, capacity, others_demand) =
+            (self.settings.report_delay(), self.capacity(network_link), self.others_demand(network_link));
+        let Some(link_state) = self.network_links.states.get_mut(&network_link) else { return };
+        link_state.short_delivery_at = Some(self.now);
+        let total_demand = others_demand + link_state.own_demand_at(self.now.saturating_sub(report_delay));
+        if total_demand * delivered < capacity {
+            self.record_measurement(network_link, 1.0 / delivered, report_delay, false);
         }
     }
 
-    fn take_report(&mut self, id: StreamerId, usage: &[f64]) {
-        let late = Duration::from_millis(500); // Reports are refreshed now and then, and travel.
-        let alone = !self.told.together && self.now > self.born + FRESH / 2; // At a start all look at once.
-        for (i, &value) in usage.iter().enumerate() {
-            match self.told.item("/report/fields", i) {
-                "x0" => self.measure(Pipe::Link(id), value, late, alone),
-                "x1" => self.measure(self.uplink(id), value, late, alone),
+    /// Applies a streamer's load report, one figure for each field named in the settings.
+    fn apply_load_report(&mut self, id: StreamerId, usage: &[f64]) {
+        // Streamers refresh their reports at intervals, and these take time to arrive.
+        let report_age = Duration::from_millis(500);
+        // Just after the start all controllers probe at the same time.
+        let sole_observer =
+            !self.settings.reports_reach_all_players && self.now > self.started_at + MEASUREMENT_VALIDITY / 2;
+        for (index, &value) in usage.iter().enumerate() {
+            match self.settings.list_text("/report/fields", index) {
+                "x0" => self.record_measurement(NetworkLink::Link(id), value, report_age, sole_observer),
+                "x1" => self.record_measurement(self.uplink(id), value, report_age, sole_observer),
                 _ => {}
             }
         }
     }
 
-    fn note_ending(&mut self, id: StreamerId, ending: Ending, played: bool) {
-        let full_for = Duration::from_millis(600) + self.chance.span(Duration::from_millis(800));
-        let Some(s) = self.streamers.get_mut(&id) else { return };
+    /// Updates a streamer's state by how a join to it, or a subscription on it, ended.
+    fn record_ending(&mut self, id: StreamerId, ending: Ending, played: bool) {
+        let full_duration = Duration::from_millis(600) + self.rng.span(Duration::from_millis(800));
+        let Some(streamer) = self.streamers.get_mut(&id) else { return };
         match ending {
             Ending::Served | Ending::Cancelled | Ending::Moot => return,
-            // A full streamer is busy, not ill: it is left alone for about a second.
-            Ending::Full => return s.full_until = self.now + full_for,
+            // A full streamer is busy, not faulty: it gets no joins for about a second.
+            Ending::Full => return streamer.full_until = self.now + full_duration,
             Ending::Error => {}
-            Ending::Timeout | Ending::ConnectFailed | Ending::Reset => s.broke = Some(self.now),
+            Ending::Timeout | Ending::ConnectFailed | Ending::Reset => streamer.failed_at = Some(self.now),
         }
-        // A stream is lost only with its streamer.
+        // A playing subscription is lost only when its streamer fails.
         match played {
-            true => self.set_aside(id),
-            false => self.judge(id, false),
-        }
-    }
-
-    /// Counts a join for or against a streamer, and sets it aside when its share of failures lies far over
-    /// the fleet's median.
-    fn judge(&mut self, id: StreamerId, well: bool) {
-        let lost = |s: &Streamer| s.terminated / (s.served + s.terminated).max(1.0);
-        let Some(s) = self.streamers.get_mut(&id) else { return };
-        // Halved every 8 s: some joins come to each streamer in that time.
-        let fade = 0.5f64.powf((self.now - s.faded).as_secs_f64() / 8.0);
-        (s.served, s.terminated, s.faded) = (s.served * fade, s.terminated * fade, self.now);
-        if well {
-            s.served += 1.0;
-            s.away_until = Duration::ZERO;
-            return;
+            true => self.avoid(id),
+            false => self.record_join_result(id, false),
         }
-        s.terminated += 1.0;
-        let share = lost(s);
-        let mut shares: Vec<f64> = self.streamers.values().map(lost).collect();
-        shares.sort_by(f64::total_cmp);
-        // Two in five over the median: one lost join of two is enough, one of four is not.
-        if share > shares[shares.len() / 2] + 0.4 {
-            self.set_aside(id);
-        }
-    }
-
-    /// It comes back after a fixed time, short since a try at a dead one costs little, with a random part.
-    fn set_aside(&mut self, id: StreamerId) {
-        let until = self.now + Duration::from_secs(4) + self.chance.span(Duration::from_secs(3));
-        self.streamers.entry(id).and_modify(|s| s.away_until = s.away_until.max(until));
-    }
-
-    /// Rule 4: whether one more join may go to a streamer that is, or may be, cold. This instance's part is
-    /// 1/`balancers` of what the window allows. A part under one whole join comes by turns: half of what all
-    /// may send is counted in whole joins from the start on, and each `balancers`th is this instance's, good
-    /// for one window. Either way all together stay under the budget, each keeping it alone.
-    fn cold_allows(&self, id: StreamerId, s: &Streamer) -> bool {
-        let (whole, window) = (self.told.warm_up.as_secs_f64(), self.told.window);
-        let sent_within = |span: Duration| s.sent.iter().filter(|t| **t + span > self.now).count() as f64;
-        // Trouble may mean a start that the list has not told yet, also of one that warms up from the last.
-        let broke = s.broke.is_some_and(|broke| self.now < broke + self.told.warm_up * 2);
-        let cold = !broke && !s.came_up.is_zero() && self.now < s.came_up + self.told.warm_up;
-        if whole <= 0.0 || window.is_zero() || !cold && !broke {
-            // So may a time before this instance's birth; who knows nothing spreads its joins by itself.
-            let late_born = !self.handed_over && self.now < self.born + self.told.warm_up;
-            return !late_born || sent_within(window + window) < 1.0;
-        }
-        let (from, since) = (self.told.cold_from, if cold { s.came_up } else { Duration::ZERO });
-        let grows = if cold { (1.0 - from) / (3.0 * whole * whole) } else { 0.0 };
-        let pace = self.told.multiple * self.told.places(s.kind) / whole;
-        let sendable = |at: Duration| {
-            let age = at.saturating_sub(since).as_secs_f64();
-            pace * (from * age + grows * age.powi(3)) / self.told.balancers
-        };
-        let before = self.now.saturating_sub(window);
-        let first = (scattered(id, s.start) + self.told.figure("/me", 0.0)) / self.told.balancers;
-        let turns = |at: Duration| (0.5 * sendable(at) + first).floor();
-        let part = f64::max(sendable(self.now) - sendable(before), turns(self.now) - turns(before));
-        sent_within(window) + 1.0 <= part && self.now >= self.born + window
     }
 
-    /// The design's load: remaining work over capacity. An uplink binds like a link.
-    fn load(&self, id: StreamerId) -> f64 {
-        let (link, uplink) = (Pipe::Link(id), self.use_of(self.uplink(id)));
-        let here = self.subs.values().filter(|x| x.at == Some(id) && x.asked.hinted.is_some());
-        let work = here.map(|x| self.told.rate(&x.asked, x.rung) * (self.hint_factor(x) - 1.0)).sum::<f64>();
-        let link = self.use_of(link) + work / self.size(link);
-        // A little of the lesser, so that streamers of one full rack still differ.
-        link.max(uplink) + 0.2 * link.min(uplink)
-    }
-
-    /// The hinted time left over the mean hint, within the design's bounds.
-    fn hint_factor(&self, sub: &Subscription) -> f64 {
-        let Some(hint) = sub.asked.hinted else { return 1.0 };
-        let left = hint.saturating_sub(self.now - sub.taken).as_secs_f64();
-        (left * self.hints.1 / self.hints.0.max(0.1)).clamp(0.5, 2.0)
-    }
-
-    fn usable(&self, sub: &Subscription, id: StreamerId, s: &Streamer) -> bool {
-        s.health == Health::Ready
-            && s.listed
-            && s.full_until <= self.now
-            && sub.asked.held_by(s.cell, self.told.cells)
-            && self.effect_allows(sub, id)
-            && self.cold_allows(id, s)
-            && self.may_cross(sub, s)
-            && self.fits(sub, id)
-    }
-
-    /// Whether a link and its uplink, as lately measured, can carry one more at its floor.
-    fn fits(&self, sub: &Subscription, id: StreamerId) -> bool {
-        let least = self.told.rate(&sub.asked, self.told.floor(&sub.asked));
-        [Pipe::Link(id), self.uplink(id)].into_iter().all(|pipe| {
-            !self.pipes.of(pipe).fresh(self.now, FRESH) || self.use_of(pipe) + least / self.size(pipe) <= FULL
-        })
-    }
-
-    /// Under a budget for crossing, whether a join at its floor fits what is left of it.
-    fn may_cross(&self, sub: &Subscription, s: &Streamer) -> bool {
-        let least = self.told.rate(&sub.asked, self.told.floor(&sub.asked));
-        self.left_to_cross(s.zone).is_none_or(|(_, left)| least <= left)
-    }
-
-    /// What is left of the budget that binds between a building and this one, if any, and whose it is.
-    fn left_to_cross(&self, from: u16) -> Option<(Option<u16>, f64)> {
-        let of = |from| self.crossing.get(&from).map(|left| (from, *left));
-        of(Some(from)).or_else(|| of(None)).filter(|_| from != self.told.zone)
+    /// Counts a served or failed join of a streamer, and avoids the streamer when its fraction of failures is
+    /// far above the fleet's median.
+    fn record_join_result(&mut self, id: StreamerId, served: bool) {
+        let failure_fraction = |streamer: &Streamer| {
+            streamer.recent_failed_joins
+                / (streamer.recent_served_joins + streamer.recent_failed_joins).max(1.0)
+        };
+        let Some(streamer) = self.streamers.get_mut(&id) else { return };
+        // Halved every 8 s, in which each streamer gets several joins.
+        let decay = 0.5f64.powf((self.now - streamer.decayed_at).as_secs_f64() / 8.0);
+        (streamer.recent_served_joins, streamer.recent_failed_joins, streamer.decayed_at) =
+            (streamer.recent_served_joins * decay, streamer.recent_failed_joins * decay, self.now);
+        if served {
+            streamer.recent_served_joins += 1.0;
+            streamer.avoid_until = Duration::ZERO;
+            return;
+        }
+        streamer.recent_failed_joins += 1.0;
+        let fraction = failure_fraction(streamer);
+        let mut fractions: Vec<f64> = self.streamers.values().map(failure_fraction).collect();
+        fractions.sort_by(f64::total_cmp);
+        // At 0.4 above the median, one failed join of two suffices and one of four does not.
+        if fraction > fractions[fractions.len() / 2] + 0.4 {
+            self.avoid(id);
+        }
     }
 
-    /// Under a budget for crossing, the highest rung up to this one that fits what is left, which is spent.
-    fn cross(&mut self, id: StreamerId, sub: &Subscription, rung: u8) -> u8 {
-        let from = self.streamers.get(&id).map_or(self.told.zone, |s| s.zone);
-        let Some((whose, left)) = self.left_to_cross(from) else { return rung };
-        let (floor, rate) = (self.told.floor(&sub.asked), |rung| self.told.rate(&sub.asked, rung));
-        let rung = (floor..=rung).rev().find(|rung| rate(*rung) <= left).unwrap_or(floor);
-        let left = left - rate(rung);
-        self.crossing.insert(whose, left);
-        rung
+    /// Avoids a streamer for 4 to 7 s: short, since a join to a failed streamer costs little; random, so that
+    /// controllers do not return together.
+    fn avoid(&mut self, id: StreamerId) {
+        let until = self.now + Duration::from_secs(4) + self.rng.span(Duration::from_secs(3));
+        self.streamers.entry(id).and_modify(|s| s.avoid_until = s.avoid_until.max(until));
     }
 
-    /// The highest rung for now: what viewer, room type and ladder allow, and the cap where one was told.
-    fn top(&self, sub: &Subscription) -> u8 {
-        let (top, floor) = (self.told.top(&sub.asked), self.told.floor(&sub.asked));
-        sub.cap.map_or(top, |cap| top.min(cap.max(floor)))
+    /// Rule 4: whether one more join may go to a streamer that is, or may be, cold. This controller may use
+    /// 1/n of what the window allows, n being the number of controllers. Where that is less than one join,
+    /// controllers take turns: half of what all may send, counted from the start in whole joins, is dealt
+    /// out, every n-th join to this controller and valid for one window. Either way the total stays within
+    /// the budget although each controller checks only its own part.
+    fn cold_budget_allows(&self, id: StreamerId, streamer: &Streamer) -> bool {
+        let (warm_up_s, window) = (self.settings.warm_up.as_secs_f64(), self.settings.cold_budget_window);
+        let joins_within = |period: Duration| {
+            streamer.recent_joins.iter().filter(|t| **t + period > self.now).count() as f64
+        };
+        // After a failure it may have restarted, also during a warm-up, without the list showing it yet.
+        let failed_recently =
+            streamer.failed_at.is_some_and(|failed_at| self.now < failed_at + self.settings.warm_up * 2);
+        let cold = !failed_recently
+            && !streamer.started_at.is_zero()
+            && self.now < streamer.started_at + self.settings.warm_up;
+        if warm_up_s <= 0.0 || window.is_zero() || !cold && !failed_recently {
+            // A start before this controller's own may be unknown too; then each controller spaces its joins
+            // by itself.
+            let recently_started =
+                !self.started_with_handover && self.now < self.started_at + self.settings.warm_up;
+            return !recently_started || joins_within(window + window) < 1.0;
+        }
+        let (initial_fraction, cold_since) =
+            (self.settings.cold_start_fraction, if cold { streamer.started_at } else { Duration::ZERO });
+        let growth = if cold { (1.0 - initial_fraction) / (3.0 * warm_up_s * warm_up_s) } else { 0.0 };
+        let full_join_rate =
+            self.settings.cold_budget_multiple * self.settings.stream_capacity(streamer.kind) / warm_up_s;
+        let own_budget_until = |at: Duration| {
+            let age = at.saturating_sub(cold_since).as_secs_f64();
+            full_join_rate * (initial_fraction * age + growth * age.powi(3)) / self.settings.controllers
+        };
+        let window_start = self.now.saturating_sub(window);
+        let turn_offset = (scattered(id, streamer.start_number) + self.settings.number("/me", 0.0))
+            / self.settings.controllers;
+        let turns_until = |at: Duration| (0.5 * own_budget_until(at) + turn_offset).floor();
+        let own_budget = f64::max(
+            own_budget_until(self.now) - own_budget_until(window_start),
+            turns_until(self.now) - turns_until(window_start),
+        );
+        joins_within(window) + 1.0 <= own_budget && self.now >= self.started_at + window
+    }
+
+    /// The design's load: remaining work over capacity, where the uplink limits like the link.
+    fn load(&self, id: StreamerId) -> f64 {
+        let (link, uplink_utilization) = (NetworkLink::Link(id), self.utilization(self.uplink(id)));
+        let hinted =
+            self.subscriptions.values().filter(|s| s.streamer == Some(id) && s.request.hinted.is_some());
+        let remaining_work =
+            hinted.map(|s| self.settings.rate(&s.request, s.rung) * (self.hint_factor(s) - 1.0)).sum::<f64>();
+        let link_utilization = self.utilization(link) + remaining_work / self.capacity(link);
+        // A part of the smaller value keeps the streamers behind one full uplink distinguishable.
+        link_utilization.max(uplink_utilization) + 0.2 * link_utilization.min(uplink_utilization)
+    }
+
+    /// Hinted time that is left over the mean hint, within the design's bounds.
+    fn hint_factor(&self, subscription: &Subscription) -> f64 {
+        let Some(hint) = subscription.request.hinted else { return 1.0 };
+        let time_left_s = hint.saturating_sub(self.now - subscription.accepted_at).as_secs_f64();
+        (time_left_s * self.hint_sums.1 / self.hint_sums.0.max(0.1)).clamp(0.5, 2.0)
+    }
+
+    /// Whether a join of this subscription may go to a streamer now.
+    fn usable(&self, subscription: &Subscription, id: StreamerId, streamer: &Streamer) -> bool {
+        streamer.health == Health::Ready
+            && streamer.listed
+            && streamer.full_until <= self.now
+            && subscription.request.held_by(streamer.cell, self.settings.cells)
+            && self.effect_allows_join(subscription, id)
+            && self.cold_budget_allows(id, streamer)
+            && self.crossing_budget_allows(subscription, streamer)
+            && self.has_headroom_at_floor(subscription, id)
+    }
+
+    /// Whether a link and its uplink, if measured lately, can carry one more subscription at its floor.
+    fn has_headroom_at_floor(&self, subscription: &Subscription, id: StreamerId) -> bool {
+        let floor_rate =
+            self.settings.rate(&subscription.request, self.settings.floor(&subscription.request));
+        [NetworkLink::Link(id), self.uplink(id)].into_iter().all(|network_link| {
+            !self.network_links.get(network_link).is_fresh(self.now, MEASUREMENT_VALIDITY)
+                || self.utilization(network_link) + floor_rate / self.capacity(network_link)
+                    <= MAX_JOIN_UTILIZATION
+        })
     }
 
-    /// Whether a streamer's link was lately measured; a cold one's joins are spread by turns. What
-    /// others told counts for three notes: of one that is silent they say no more.
-    fn heard_of(&self, id: StreamerId) -> bool {
-        let g = self.pipes.of(Pipe::Link(id));
-        let told = g.fresh(self.now, self.told.every * 3);
-        told || g.measured && self.now < g.seen_at + FRESH || self.warmth(Pipe::Link(id)) < 1.0
+    /// Whether a join at its floor fits the remaining crossing budget, if there is one.
+    fn crossing_budget_allows(&self, subscription: &Subscription, streamer: &Streamer) -> bool {
+        let floor_rate =
+            self.settings.rate(&subscription.request, self.settings.floor(&subscription.request));
+        self.crossing_budget_left(streamer.zone).is_none_or(|(_, budget_left)| floor_rate <= budget_left)
     }
 
-    /// Of these, all that this instance hears of and some three drawn from the rest (1.5 or 6: no better).
-    /// All guess alike: the least loaded by guess would draw hundreds to one streamer or rack at once.
-    fn drawn(&mut self, ids: &[StreamerId]) -> BTreeSet<StreamerId> {
-        let heard: BTreeSet<_> = ids.iter().copied().filter(|id| self.heard_of(*id)).collect();
-        let unheard = (ids.len() - heard.len()) as f64;
-        ids.iter().copied().filter(|id| self.chance.share() * unheard < 3.0 || heard.contains(id)).collect()
+    /// The crossing budget that applies to media from a zone, if any: whose it is, and the rate in kB/s that
+    /// is left.
+    fn crossing_budget_left(&self, from: u16) -> Option<(Option<u16>, f64)> {
+        let budget_of = |from| self.crossing_budgets.get(&from).map(|budget_left| (from, *budget_left));
+        budget_of(Some(from)).or_else(|| budget_of(None)).filter(|_| from != self.settings.zone)
     }
 
-    /// Whether a connection to a streamer is likely open, by its idle time. One that was made for notes alone
-    /// is paid for by its first join.
-    fn connected(&self, s: &Streamer) -> bool {
-        let idle = self.told.span("/permissions/keepaliveUs", Duration::ZERO);
-        self.now < s.sent.back().copied().unwrap_or_default().max(s.looked) + idle
+    /// Lowers a rung to the highest that fits the remaining crossing budget, and subtracts its rate from the
+    /// budget.
+    fn spend_crossing_budget(&mut self, id: StreamerId, subscription: &Subscription, rung: u8) -> u8 {
+        let from = self.streamers.get(&id).map_or(self.settings.zone, |s| s.zone);
+        let Some((budget_owner, budget_left)) = self.crossing_budget_left(from) else { return rung };
+        let (floor, rate) = (self.settings.floor(&subscription.request), |rung| {
+            self.settings.rate(&subscription.request, rung)
+        });
+        let rung = (floor..=rung).rev().find(|rung| rate(*rung) <= budget_left).unwrap_or(floor);
+        let budget_left = budget_left - rate(rung);
+        self.crossing_budgets.insert(budget_owner, budget_left);
+        rung
     }
 
-    /// The holders that may be used, least loaded first; those that are set aside come last.
-    fn holders(&mut self, job: JobId) -> Vec<StreamerId> {
-        let Some(sub) = self.subs.get(&job).cloned() else { return Vec::new() };
-        let price = |path| self.told.figure(path, 0.0);
-        let usual = if self.words_pay() { self.usual_rate() } else { 0.0 };
-        // Twice a connection's price did better than once: 0.773 and 0.749 on six days of 300 controllers.
-        let (crossing, handshake) = (price("/prices/crossZone"), 2.0 * price("/prices/handshake"));
-        let usable = self.streamers.iter().filter(|(id, s)| self.usable(&sub, **id, s));
+    /// The highest rung at present: allowed by the viewer, the room type and the ladder, and by the cap if
+    /// there is one.
+    fn top(&self, subscription: &Subscription) -> u8 {
+        let (top, floor) =
+            (self.settings.top(&subscription.request), self.settings.floor(&subscription.request));
+        subscription.rung_cap.map_or(top, |cap| top.min(cap.max(floor)))
+    }
+
+    /// Whether a streamer's link was measured lately, or is cold (joins to cold streamers take turns). Peers'
+    /// load reports count for three report intervals, since peers send nothing more about a streamer that is
+    /// silent.
+    fn has_recent_measurement(&self, id: StreamerId) -> bool {
+        let link_state = self.network_links.get(NetworkLink::Link(id));
+        let recently_measured = link_state.is_fresh(self.now, self.settings.report_interval * 3);
+        recently_measured
+            || link_state.measured && self.now < link_state.own_measurement_at + MEASUREMENT_VALIDITY
+            || self.warm_fraction(NetworkLink::Link(id)) < 1.0
+    }
+
+    /// The streamers with a recent measurement and about three random others. All controllers estimate the
+    /// others alike, so choosing the least loaded by estimate would send hundreds of joins to one streamer or
+    /// rack.
+    fn sample_candidates(&mut self, ids: &[StreamerId]) -> BTreeSet<StreamerId> {
+        let measured: BTreeSet<_> =
+            ids.iter().copied().filter(|id| self.has_recent_measurement(*id)).collect();
+        let unmeasured_count = (ids.len() - measured.len()) as f64;
+        ids.iter()
+            .copied()
+            .filter(|id| self.rng.share() * unmeasured_count < 3.0 || measured.contains(id))
+            .collect()
+    }
+
+    /// Whether a connection to a streamer is probably open, judged by its idle time. A connection made for
+    /// reports alone is counted as new for its first join.
+    fn likely_connected(&self, streamer: &Streamer) -> bool {
+        let idle_timeout = self.settings.duration("/permissions/keepaliveUs", Duration::ZERO);
+        self.now
+            < streamer.recent_joins.back().copied().unwrap_or_default().max(streamer.probed_at) + idle_timeout
+    }
+
+    /// The holders that may be used, least loaded first and avoided ones last.
+    fn ranked_holders(&mut self, job: JobId) -> Vec<StreamerId> {
+        let Some(subscription) = self.subscriptions.get(&job).cloned() else { return Vec::new() };
+        let price = |path| self.settings.number(path, 0.0);
+        let rival_join_rate = if self.sharing_beats_probing() { self.mean_own_rate() } else { 0.0 };
+        // A new connection counts twice its price.
+        let (crossing_price, connection_price) =
+            (price("/prices/crossZone"), 2.0 * price("/prices/handshake"));
+        let usable = self.streamers.iter().filter(|(id, s)| self.usable(&subscription, **id, s));
         let ids: Vec<_> = usable.map(|(id, _)| *id).collect();
-        let drawn = self.drawn(&ids);
-        let mut found = Vec::new();
+        let candidates = self.sample_candidates(&ids);
+        let mut ranked = Vec::new();
         for id in ids {
-            let s = &self.streamers[&id];
-            let far = if s.zone == self.told.zone { 0.0 } else { crossing };
-            let away = s.away_until > self.now || sub.tried.contains(&id) || s.silent(self.now, FRESH);
-            let new = if self.connected(s) { 0.0 } else { handshake };
-            // All see the same reports: a random part; with words as wide as what others may have added.
-            let added = self.rivals(Pipe::Link(id)) * usual / self.size(Pipe::Link(id));
-            let load = self.load(id) + far + new + added.max(0.04) * self.chance.share();
-            found.push(((away, !drawn.contains(&id)), load, id));
+            let streamer = &self.streamers[&id];
+            let crossing_cost = if streamer.zone == self.settings.zone { 0.0 } else { crossing_price };
+            let last_resort = streamer.avoid_until > self.now
+                || subscription.tried.contains(&id)
+                || streamer.probe_unanswered(self.now, MEASUREMENT_VALIDITY);
+            let connection_cost = if self.likely_connected(streamer) { 0.0 } else { connection_price };
+            // All controllers see the same reports, so a random part spreads their joins; with shared load
+            // reports it is as wide as what others may have added since.
+            let rival_utilization = self.expected_rival_joins(NetworkLink::Link(id)) * rival_join_rate
+                / self.capacity(NetworkLink::Link(id));
+            let cost = self.load(id)
+                + crossing_cost
+                + connection_cost
+                + rival_utilization.max(0.04) * self.rng.share();
+            ranked.push(((last_resort, !candidates.contains(&id)), cost, id));
         }
-        found.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        found.into_iter().map(|found| found.2).collect()
+        ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        ranked.into_iter().map(|entry| entry.2).collect()
     }
 
-    /// Rule 2 for room types that must not be set up twice.
-    fn effect_allows(&self, sub: &Subscription, id: StreamerId) -> bool {
+    /// Rule 2: whether a room type that must not be set up twice allows one more join, to this streamer.
+    fn effect_allows_join(&self, subscription: &Subscription, id: StreamerId) -> bool {
         let same_group = |a: StreamerId| match (self.streamers.get(&a), self.streamers.get(&id)) {
-            (Some(a), Some(b)) => match self.told.word(&sub.asked, "group") {
+            (Some(a), Some(b)) => match self.settings.room_type_text(&subscription.request, "group") {
                 "all" => true,
                 "zone" => a.zone == b.zone,
                 _ => a.cell == b.cell,
             },
             _ => false,
         };
-        match self.told.word(&sub.asked, "effect") {
-            "single_shot" => sub.ran.is_empty(),
+        match self.settings.room_type_text(&subscription.request, "effect") {
+            "single_shot" => subscription.possibly_ran.is_empty(),
             "guarded" => {
-                let window =
-                    self.told.span(&format!("/profiles/{}/windowUs", sub.asked.room_type), Duration::ZERO);
-                // A join counts when it arrives, and may wait for its connection first.
-                let arrives = self.now + self.told.span("/permissions/connectTimeoutUs", Duration::ZERO);
-                sub.ran.iter().all(|(at, sent)| same_group(*at) && arrives <= *sent + window)
+                let window = self.settings.duration(
+                    &format!("/profiles/{}/windowUs", subscription.request.room_type),
+                    Duration::ZERO,
+                );
+                // A join counts from its arrival, and may wait for a connection first.
+                let arrives_at =
+                    self.now + self.settings.duration("/permissions/connectTimeoutUs", Duration::ZERO);
+                subscription
+                    .possibly_ran
+                    .iter()
+                    .all(|(streamer, sent_at)| same_group(*streamer) && arrives_at <= *sent_at + window)
             }
             _ => true,
         }
     }
 
-    /// Rule 2 again: whether a final answer may say that a further try does no harm.
-    fn may_throttle(&self, sub: &Subscription) -> bool {
-        match self.told.word(&sub.asked, "effect") {
-            "single_shot" => sub.ran.is_empty(),
-            "guarded" => sub.ran.is_empty() || self.told.word(&sub.asked, "group") == "all",
+    /// Rule 2: whether the final answer may tell the viewer that trying again does no harm.
+    fn may_throttle(&self, subscription: &Subscription) -> bool {
+        match self.settings.room_type_text(&subscription.request, "effect") {
+            "single_shot" => subscription.possibly_ran.is_empty(),
+            "guarded" => {
+                subscription.possibly_ran.is_empty()
+                    || self.settings.room_type_text(&subscription.request, "group") == "all"
+            }
             _ => true,
         }
     }
 
-    /// Rule 5: a free seat for the title and room type, joins that are out included.
-    fn seat_free(&self, asked: &Asked) -> bool {
-        let seats = self.told.nth("/familyInfo/licenceCap", asked.room_type, 0.0) as usize;
-        let same = |s: &&Subscription| s.asked.title == asked.title && s.asked.room_type == asked.room_type;
-        seats == 0 || self.subs.values().filter(same).filter(|s| s.at.is_some()).count() < seats
+    /// Rule 5: whether a seat is free for the title and room type, outstanding joins included.
+    fn seat_free(&self, request: &Asked) -> bool {
+        let seats = self.settings.list_number("/familyInfo/licenceCap", request.room_type, 0.0) as usize;
+        let same =
+            |s: &&Subscription| s.request.title == request.title && s.request.room_type == request.room_type;
+        seats == 0
+            || self.subscriptions.values().filter(same).filter(|s| s.streamer.is_some()).count() < seats
     }
 
-    /// Rule 6: whether one more further join fits its budget.
-    fn budget_allows(&mut self) -> bool {
-        let span = self.told.span("/obligations/countedOverUs", Duration::ZERO);
-        // One tick more is kept of the joins, so that an edge counted otherwise breaks nothing.
-        let tick = self.told.span("/tickUs", Duration::from_millis(10));
-        self.requests.retain(|t| *t + span > self.now);
-        self.further.retain(|t| *t + span + tick >= self.now);
-        let ratio = self.told.figure("/obligations/extraRatio", 0.0);
-        let most = self.told.figure("/obligations/budgetFree", 0.0) + ratio * self.requests.len() as f64;
-        span.is_zero() || self.further.len() as f64 + 1.0 <= most
+    /// Rule 6: whether one more repeated join fits the budget.
+    fn retry_budget_allows(&mut self) -> bool {
+        let window = self.settings.duration("/obligations/countedOverUs", Duration::ZERO);
+        // Joins are kept one tick longer, so that a different count at the edge of the window breaks nothing.
+        let tick = self.settings.duration("/tickUs", Duration::from_millis(10));
+        self.request_times.retain(|t| *t + window > self.now);
+        self.retry_join_times.retain(|t| *t + window + tick >= self.now);
+        let ratio = self.settings.number("/obligations/extraRatio", 0.0);
+        let max_retry_joins =
+            self.settings.number("/obligations/budgetFree", 0.0) + ratio * self.request_times.len() as f64;
+        window.is_zero() || self.retry_join_times.len() as f64 + 1.0 <= max_retry_joins
     }
 
-    /// Sends a subscription to its holder, lets it wait, or gives it up at once.
+    /// Sends a join for a subscription, schedules another attempt, or rejects it.
     fn place<W: Writer>(&mut self, job: JobId, out: &mut W) {
-        let Some(sub) = self.subs.get(&job).cloned() else { return };
-        let most = self.told.figure("/permissions/maxAttempts", 1.0).max(1.0) as u32;
-        let again = sub.ran.is_empty() || self.streamers.keys().any(|id| self.effect_allows(&sub, *id));
-        if sub.joins >= most || self.now >= sub.taken + sub.asked.client_timeout || !again {
-            return self.give_up(job, out);
-        }
-        let free = self.seat_free(&sub.asked) && (sub.joins == 0 || self.budget_allows());
-        let hope = |s: &Streamer| s.health == Health::Ready && sub.asked.held_by(s.cell, self.told.cells);
-        let hope = self.streamers.is_empty() || self.streamers.values().any(hope);
-        let wait = LOOK.max(Duration::from_millis(self.due.len() as u64 / 4)); // Thousands cost much.
-        let holders = if free { self.holders(job) } else { Vec::new() };
+        let Some(subscription) = self.subscriptions.get(&job).cloned() else { return };
+        let max_joins = self.settings.number("/permissions/maxAttempts", 1.0).max(1.0) as u32;
+        let may_join_again = subscription.possibly_ran.is_empty()
+            || self.streamers.keys().any(|id| self.effect_allows_join(&subscription, *id));
+        if subscription.joins_sent >= max_joins
+            || self.now >= subscription.accepted_at + subscription.request.client_timeout
+            || !may_join_again
+        {
+            return self.reject(job, out);
+        }
+        let may_join = self.seat_free(&subscription.request)
+            && (subscription.joins_sent == 0 || self.retry_budget_allows());
+        let is_holder = |s: &Streamer| {
+            s.health == Health::Ready && subscription.request.held_by(s.cell, self.settings.cells)
+        };
+        let may_be_served = self.streamers.is_empty() || self.streamers.values().any(is_holder);
+        // Thousands of waiting subscriptions cost much time, so the interval grows with their number.
+        let retry_interval =
+            PLACEMENT_RETRY_INTERVAL.max(Duration::from_millis(self.placements_due.len() as u64 / 4));
+        let holders = if may_join { self.ranked_holders(job) } else { Vec::new() };
         match holders.first().copied() {
-            Some(id) if self.worth_a_look(&sub, id) => {
-                self.subs.entry(job).and_modify(|s| s.looked = true);
-                self.due.insert((self.now + LOOK, job));
-                let looks = if self.words_pay() { 1 } else { LOOKED_AT };
-                let unheard = holders.into_iter().filter(|id| !self.heard_of(*id)).take(looks);
-                let unheard = unheard.filter(|id| self.streamers[id].looked + LOOK <= self.now);
-                unheard.collect::<Vec<_>>().into_iter().for_each(|id| self.look(id, out));
+            Some(id) if self.should_probe_first(&subscription, id) => {
+                self.subscriptions.entry(job).and_modify(|s| s.probed = true);
+                self.placements_due.insert((self.now + PLACEMENT_RETRY_INTERVAL, job));
+                let probe_count = if self.sharing_beats_probing() { 1 } else { PROBES_PER_JOIN };
+                let unmeasured =
+                    holders.into_iter().filter(|id| !self.has_recent_measurement(*id)).take(probe_count);
+                let unmeasured = unmeasured
+                    .filter(|id| self.streamers[id].probed_at + PLACEMENT_RETRY_INTERVAL <= self.now);
+                unmeasured.collect::<Vec<_>>().into_iter().for_each(|id| self.probe(id, out));
             }
-            Some(id) => self.join(job, id, sub.joins + 1 >= most, out),
-            // Waiting helps while the join objective can still be met: a place, a seat or the list may come.
-            None if hope && self.now + wait < sub.taken + self.told.join_objective(&sub.asked) => {
-                self.due.insert((self.now + wait, job));
+            Some(id) => self.send_join(job, id, subscription.joins_sent + 1 >= max_joins, out),
+            // Waiting helps while the join objective can still be met: a slot, a seat or the list may come.
+            None if may_be_served
+                && self.now + retry_interval
+                    < subscription.accepted_at + self.settings.join_objective(&subscription.request) =>
+            {
+                self.placements_due.insert((self.now + retry_interval, job));
             }
-            None => self.give_up(job, out),
+            None => self.reject(job, out),
         }
     }
 
-    /// A join to a streamer not heard of waits once for probes, while its time allows: a viewer may be late.
-    fn worth_a_look(&self, sub: &Subscription, id: StreamerId) -> bool {
-        let time = self.now + LOOK < sub.taken + self.told.join_objective(&sub.asked);
-        time && !sub.looked && self.told.probes_tell && !self.heard_of(id)
+    /// Whether to probe before this join: once for a streamer without a recent measurement, if time allows (a
+    /// request may arrive with little of its time left).
+    fn should_probe_first(&self, subscription: &Subscription, id: StreamerId) -> bool {
+        let has_time = self.now + PLACEMENT_RETRY_INTERVAL
+            < subscription.accepted_at + self.settings.join_objective(&subscription.request);
+        has_time
+            && !subscription.probed
+            && self.settings.probes_report_load
+            && !self.has_recent_measurement(id)
     }
 
-    fn look<W: Writer>(&mut self, id: StreamerId, out: &mut W) {
-        self.streamers.entry(id).and_modify(|s| s.looked = self.now);
+    /// Sends a probe to a streamer.
+    fn probe<W: Writer>(&mut self, id: StreamerId, out: &mut W) {
+        self.streamers.entry(id).and_modify(|s| s.probed_at = self.now);
         out.health_check(id);
     }
 
-    /// Whether a subscription would step up were there room, and what it earned would pay for a look.
-    fn may_rise(&self, sub: &Subscription) -> bool {
-        let Some(step) = self.step(sub, sub.rung).filter(|step| step.0 >= self.price) else { return false };
-        let price = self.told.figure("/prices/probe", 0.0) * self.told.usual_benefit() * self.life();
-        let short = sub.at.is_some_and(|id| self.delivered(id) < 0.98);
-        // One look in five is taken to find room.
-        let pays = 0.2 * step.0 * step.1 * self.left(sub) > price;
-        sub.plays && !short && pays && self.now >= sub.stepped + REST
-    }
-
-    /// A probe to each streamer where something may rise and that nothing was heard of for a while.
-    fn look_round<W: Writer>(&mut self, out: &mut W) {
-        let rising = self.subs.values().filter(|s| self.told.probes_tell && self.may_rise(s));
-        let unheard = rising.filter_map(|s| s.at).filter(|id| {
-            let looked = self.streamers.get(id).map_or(Duration::ZERO, |s| s.looked);
-            let heard = looked.max(self.pipes.of(Pipe::Link(*id)).measured_at);
-            heard.is_zero() || heard + LOOK_AGAIN <= self.now
+    /// Whether a subscription would step up if there were headroom, and would gain more than a probe costs.
+    fn may_step_up(&self, subscription: &Subscription) -> bool {
+        let Some(step) = self
+            .next_step(subscription, subscription.rung)
+            .filter(|step| step.0 >= self.min_benefit_per_rate)
+        else {
+            return false;
+        };
+        let probe_cost = self.settings.number("/prices/probe", 0.0)
+            * self.settings.mean_top_benefit()
+            * self.mean_lifetime_s();
+        let delivers_short = subscription.streamer.is_some_and(|id| self.delivered_fraction(id) < 0.98);
+        // One probe in five is assumed to find headroom.
+        let pays = 0.2 * step.0 * step.1 * self.expected_time_left_s(subscription) > probe_cost;
+        subscription.playing
+            && !delivers_short
+            && pays
+            && self.now >= subscription.last_step_at + MIN_STEP_INTERVAL
+    }
+
+    /// Probes each streamer where a subscription may step up and of which nothing was learned for a while.
+    fn probe_stale_streamers<W: Writer>(&mut self, out: &mut W) {
+        let may_step_up =
+            self.subscriptions.values().filter(|s| self.settings.probes_report_load && self.may_step_up(s));
+        let stale = may_step_up.filter_map(|s| s.streamer).filter(|id| {
+            let probed_at = self.streamers.get(id).map_or(Duration::ZERO, |s| s.probed_at);
+            let known_at = probed_at.max(self.network_links.get(NetworkLink::Link(*id)).measured_at);
+            known_at.is_zero() || known_at + REPROBE_INTERVAL <= self.now
         });
-        let unheard: BTreeSet<_> = unheard.collect();
-        unheard.into_iter().for_each(|id| self.look(id, out));
-    }
-
-    /// Whether words stand in for looks: looks cost more than they earn, and words less than looks.
-    fn words_pay(&self) -> bool {
-        let (told, every) = (&self.told, self.told.every.as_secs_f64());
-        let looks = told.figure("/prices/probe", 0.0) * LOOKED_AT as f64;
-        let taken = (self.mean_pace() * every).max(0.01) * 256.0;
-        let word = told.figure("/prices/peer", 1.0) * (self.streamers.len() * words::LINK) as f64 / taken;
-        told.probes_tell && told.allowed("/permissions/peers") && looks > EARNED && word < looks
-    }
-
-    /// Tells all what this instance measured and nobody told since the last notes: the draft's SERVSTAT, told
-    /// by who hears it. One of all speaks a beat.
-    fn speak<W: Writer>(&mut self, out: &mut W) {
-        let (now, every) = (self.now, self.told.every);
-        if !self.words_pay() || self.chance.share() * self.told.balancers >= 1.0 {
+        let stale: BTreeSet<_> = stale.collect();
+        stale.into_iter().for_each(|id| self.probe(id, out));
+    }
+
+    /// Whether load reports to peers replace probes: if probes cost more than they gain, and more than the
+    /// reports.
+    fn sharing_beats_probing(&self) -> bool {
+        let (settings, report_interval_s) = (&self.settings, self.settings.report_interval.as_secs_f64());
+        let probe_cost = settings.number("/prices/probe", 0.0) * PROBES_PER_JOIN as f64;
+        // Requests in a report interval, times the size of a message in bytes.
+        let request_message_bytes = (self.request_rate() * report_interval_s).max(0.01) * 256.0;
+        let report_cost = settings.number("/prices/peer", 1.0)
+            * (self.streamers.len() * load_reports::LINK_BYTES) as f64
+            / request_message_bytes;
+        settings.probes_report_load
+            && settings.flag("/permissions/peers")
+            && probe_cost > PROBE_BENEFIT
+            && report_cost < probe_cost
+    }
+
+    /// Sends all peers the measurements that only this controller has made since the last progress reports
+    /// (the draft's SERVSTAT, sent by the controller that measures). On average one controller sends in each
+    /// period.
+    fn share_measurements<W: Writer>(&mut self, out: &mut W) {
+        let (now, report_interval) = (self.now, self.settings.report_interval);
+        if !self.sharing_beats_probing() || self.rng.share() * self.settings.controllers >= 1.0 {
             return;
         }
-        let untold = self.pipes.all.iter();
-        let untold = untold.filter(|(_, g)| now < g.seen_at + every && g.told_at + every <= now);
-        let word = |pipe, seen_at| Word { pipe, used: self.use_of(pipe), age: now - seen_at };
-        let words: Vec<_> = untold.take(words::LINKS).map(|(pipe, g)| word(*pipe, g.seen_at)).collect();
-        words.iter().for_each(|word| self.pipes.all.entry(word.pipe).or_default().told_at = now);
-        if !words.is_empty() {
-            out.signal(None, &words::write(&words));
+        let unshared = self.network_links.states.iter();
+        let unshared = unshared.filter(|(_, link_state)| {
+            now < link_state.own_measurement_at + report_interval
+                && link_state.last_shared_at + report_interval <= now
+        });
+        let report = |network_link, measured_at| LoadReport {
+            network_link,
+            utilization: self.utilization(network_link),
+            age: now - measured_at,
+        };
+        let reports: Vec<_> = unshared
+            .take(load_reports::MAX_LINKS)
+            .map(|(network_link, link_state)| report(*network_link, link_state.own_measurement_at))
+            .collect();
+        reports.iter().for_each(|report| {
+            self.network_links.states.entry(report.network_link).or_default().last_shared_at = now
+        });
+        if !reports.is_empty() {
+            out.signal(None, &load_reports::encode(&reports));
         }
     }
 
-    fn join<W: Writer>(&mut self, job: JobId, id: StreamerId, last: bool, out: &mut W) {
+    /// Sends a join for a subscription to a streamer.
+    fn send_join<W: Writer>(&mut self, job: JobId, id: StreamerId, is_last: bool, out: &mut W) {
         let now = self.now;
-        let Some(sub) = self.subs.get_mut(&job) else { return };
-        (sub.sent, sub.noted) = (now, false);
-        sub.joins += 1;
-        let sub = sub.clone();
-        self.further.extend((sub.joins > 1).then_some(now));
-        self.streamers.entry(id).and_modify(|s| s.note_sent(now));
-        let floor = self.told.floor(&sub.asked);
-        self.settle(job, Some(id), floor);
-        // The highest rung under the mark, shared with this instance's others there by what a step earns.
-        let rung = self.fill(self.uplink(id), Some(id)).get(&job).copied().unwrap_or(floor);
-        let rung = self.cross(id, &sub, rung);
-        self.settle(job, Some(id), rung);
-        if (rung > floor || sub.joins > 1) && rung <= self.top(&sub) {
+        let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
+        (subscription.join_sent_at, subscription.setup_reports_received) = (now, false);
+        subscription.joins_sent += 1;
+        let subscription = subscription.clone();
+        self.retry_join_times.extend((subscription.joins_sent > 1).then_some(now));
+        self.streamers.entry(id).and_modify(|s| s.record_join_sent(now));
+        let floor = self.settings.floor(&subscription.request);
+        self.assign(job, Some(id), floor);
+        // The highest rung within the target utilization, shared by benefit per rate with own subscriptions
+        // there.
+        let rung = self.allocate_rungs(self.uplink(id), Some(id)).get(&job).copied().unwrap_or(floor);
+        let rung = self.spend_crossing_budget(id, &subscription, rung);
+        self.assign(job, Some(id), rung);
+        if (rung > floor || subscription.joins_sent > 1) && rung <= self.top(&subscription) {
             out.step_to(job, rung);
         }
-        let ends = sub.taken + sub.asked.client_timeout;
-        // A lost join leaves time for two more within the join objective; the last has all that is left.
-        let patience = self.told.join_objective(&sub.asked).mul_f64(0.5);
-        out.pass_on(job, id, if last { ends } else { ends.min(now + patience) });
-    }
-
-    /// Ends a subscription at once, and names a time to come back where allowed.
-    fn give_up<W: Writer>(&mut self, job: JobId, out: &mut W) {
-        let Some(sub) = self.drop_sub(job) else { return };
-        if !self.may_throttle(&sub) {
+        let deadline = subscription.accepted_at + subscription.request.client_timeout;
+        // A lost join leaves time for two more within the join objective; the last join has all the time that
+        // is left.
+        let join_timeout = self.settings.join_objective(&subscription.request).mul_f64(0.5);
+        out.pass_on(job, id, if is_last { deadline } else { deadline.min(now + join_timeout) });
+    }
+
+    /// Rejects a subscription: throttles it, with a time after which to retry where that is allowed, or fails
+    /// it.
+    fn reject<W: Writer>(&mut self, job: JobId, out: &mut W) {
+        let Some(subscription) = self.remove_subscription(job) else { return };
+        if !self.may_throttle(&subscription) {
             return out.respond_error(job);
         }
-        // Half a second to one: a place or the list may have come by then, and viewers do not come as one.
-        let wait = Duration::from_millis(500) + self.chance.span(Duration::from_millis(500));
-        let most = self.told.span("/permissions/maxRetryAfterUs", Duration::ZERO);
-        let named = self.told.allowed("/permissions/retryAfter");
-        out.shed(job, if named { wait.min(most) } else { Duration::ZERO });
-    }
-
-    /// What this instance may ask of a pipe between measures: its allowance, for a join its part of the room
-    /// among all that may have joined since, and never less than it asks while that is under the mark.
-    fn budget(&self, pipe: Pipe, joining: bool) -> f64 {
-        let g = self.pipes.of(pipe);
-        let room = self.mark(pipe) * self.size(pipe) - self.others(pipe);
-        g.allowance.max(match joining {
-            true => g.asks + (room - g.asks) / (1.0 + self.rivals(pipe)),
-            // Nor before any measure: a guess lowers nothing.
-            false if g.asks <= room || g.allowance == 0.0 => g.asks,
+        // 0.5 to 1 s: by then a slot or the list may be available, and viewers do not return at the same
+        // time.
+        let retry_after = Duration::from_millis(500) + self.rng.span(Duration::from_millis(500));
+        let max_retry_after = self.settings.duration("/permissions/maxRetryAfterUs", Duration::ZERO);
+        let may_send_retry_after = self.settings.flag("/permissions/retryAfter");
+        out.shed(job, if may_send_retry_after { retry_after.min(max_retry_after) } else { Duration::ZERO });
+    }
+
+    /// The demand that this controller allows itself on a link: its allowance; for a join its part of the
+    /// headroom, shared with all joins that others may have sent since the measurement; and at least its
+    /// present demand while that fits the target.
+    fn allowed_demand(&self, network_link: NetworkLink, joining: bool) -> f64 {
+        let link_state = self.network_links.get(network_link);
+        let headroom = self.target_utilization(network_link) * self.capacity(network_link)
+            - self.others_demand(network_link);
+        link_state.allowance.max(match joining {
+            true => {
+                link_state.own_demand
+                    + (headroom - link_state.own_demand) / (1.0 + self.expected_rival_joins(network_link))
+            }
+            // Nor is anything cut before the first measurement: an estimate lowers nothing.
+            false if link_state.own_demand <= headroom || link_state.allowance == 0.0 => {
+                link_state.own_demand
+            }
             false => 0.0,
         })
     }
 
-    /// Requests taken a second of late: a count that fades within seconds.
-    fn pace(&self) -> f64 {
-        self.lately.1 * (-(self.now - self.lately.0).as_secs_f64() / SURGE).exp() / SURGE
+    /// Requests accepted per second lately, from the decaying count.
+    fn recent_request_rate(&self) -> f64 {
+        self.recent_requests.1
+            * (-(self.now - self.recent_requests.0).as_secs_f64() / REQUEST_RATE_DECAY_S).exp()
+            / REQUEST_RATE_DECAY_S
     }
 
-    /// The same, no less than the mean since its birth.
-    fn mean_pace(&self) -> f64 {
-        self.pace().max(self.taken / (self.now - self.born).as_secs_f64().max(1.0))
+    /// The recent request rate, at least the mean rate since the start.
+    fn request_rate(&self) -> f64 {
+        self.recent_request_rate()
+            .max(self.accepted_requests / (self.now - self.started_at).as_secs_f64().max(1.0))
     }
 
-    /// Joins that others may have sent since a pipe was last measured, were all as busy as this instance.
-    fn rivals(&self, pipe: Pipe) -> f64 {
-        let since = self.now.saturating_sub(self.pipes.of(pipe).measured_at).min(FRESH).as_secs_f64();
-        self.mean_pace() * (self.told.balancers - 1.0) * since * self.pipes.of(pipe).rack.len().max(1) as f64
+    /// Joins that others may have sent to a link since its last measurement, if all are as busy as this
+    /// controller.
+    fn expected_rival_joins(&self, network_link: NetworkLink) -> f64 {
+        let elapsed_s = self
+            .now
+            .saturating_sub(self.network_links.get(network_link).measured_at)
+            .min(MEASUREMENT_VALIDITY)
+            .as_secs_f64();
+        self.request_rate()
+            * (self.settings.controllers - 1.0)
+            * elapsed_s
+            * self.network_links.get(network_link).streamers.len().max(1) as f64
             / self.streamers.len().max(1) as f64
     }
 
-    /// What the next rung would earn for its rate, and that rate; nothing at the top.
-    fn step(&self, sub: &Subscription, rung: u8) -> Option<(f64, f64)> {
-        let [now, next] =
-            [rung, rung.saturating_add(1)].map(|rung| self.told.rung(sub.asked.room_type, rung));
-        let rate = (next.0 - now.0).max(1e-9);
-        // What plays keeps its rung unless another earns far more with it: a switch costs, twice here.
-        let held = if sub.plays && rung < sub.rung { 4.0 } else { 1.0 };
-        (rung < self.top(sub)).then_some((held * (next.1 - now.1) / rate, rate))
+    /// The step to the next rung: (benefit per rate, added rate in kB/s); nothing at the top.
+    fn next_step(&self, subscription: &Subscription, rung: u8) -> Option<(f64, f64)> {
+        let [current, next] = [rung, rung.saturating_add(1)]
+            .map(|rung| self.settings.rung_rate_and_benefit(subscription.request.room_type, rung));
+        let added_rate = (next.0 - current.0).max(1e-9);
+        // A playing subscription keeps its rung unless another gains four times as much: a switch costs, here
+        // twice.
+        let hold_factor = if subscription.playing && rung < subscription.rung { 4.0 } else { 1.0 };
+        (rung < self.top(subscription))
+            .then_some((hold_factor * (next.1 - current.1) / added_rate, added_rate))
     }
 
-    /// The least that a step earns for its rate, were this instance's part of all links and uplinks given
-    /// to its subscriptions, best steps first. Room met above that is left for those who come.
-    fn fleet_price(&self) -> f64 {
+    /// The lowest benefit per rate of a step that would fit if this controller's part of all links and
+    /// uplinks were given to its subscriptions, best steps first. Headroom found beyond that is left for
+    /// subscriptions to come.
+    fn fleet_min_benefit_per_rate(&self) -> f64 {
         let ready = self.streamers.iter().filter(|(_, s)| s.health == Health::Ready);
-        let links: f64 = ready.map(|(id, _)| self.size(Pipe::Link(*id))).sum();
-        let racks = self.pipes.all.keys().filter(|pipe| matches!(pipe, Pipe::Uplink(_)));
-        let even = MARK * links.min(racks.map(|rack| self.size(*rack)).sum()) / self.told.balancers;
-        let placed = || self.subs.values().filter(|s| s.at.is_some());
-        let own: f64 = placed().map(|s| self.told.rate(&s.asked, s.rung)).sum();
-        // Viewers are spread unevenly: half way, in ratio, to the part that goes by what this instance asks.
-        let used = self.usual_use[0].max(self.usual_use[1]) / (1.0 - 1.0 / self.told.balancers).max(0.5);
-        let mut left = if used > 0.0 { (even * own * MARK / used.max(0.1)).sqrt() } else { even };
+        let link_capacity: f64 = ready.map(|(id, _)| self.capacity(NetworkLink::Link(*id))).sum();
+        let uplinks = self
+            .network_links
+            .states
+            .keys()
+            .filter(|network_link| matches!(network_link, NetworkLink::Uplink(_)));
+        let even_part = TARGET_UTILIZATION
+            * link_capacity.min(uplinks.map(|uplink| self.capacity(*uplink)).sum())
+            / self.settings.controllers;
+        let placed = || self.subscriptions.values().filter(|s| s.streamer.is_some());
+        let own_rate: f64 = placed().map(|s| self.settings.rate(&s.request, s.rung)).sum();
+        // Viewers are spread unevenly: takes the geometric mean of the even part and the part that follows
+        // own demand.
+        let utilization = self.mean_others_utilization[0].max(self.mean_others_utilization[1])
+            / (1.0 - 1.0 / self.settings.controllers).max(0.5);
+        let mut remaining = if utilization > 0.0 {
+            (even_part * own_rate * TARGET_UTILIZATION / utilization.max(0.1)).sqrt()
+        } else {
+            even_part
+        };
         let mut steps = Vec::new();
-        for sub in placed() {
-            let fresh = Subscription { asked: sub.asked, ..Default::default() };
-            left -= self.told.rate(&sub.asked, self.told.floor(&sub.asked));
-            steps.extend((self.told.floor(&sub.asked)..).map_while(|rung| self.step(&fresh, rung)));
+        for subscription in placed() {
+            let at_floor = Subscription { request: subscription.request, ..Default::default() };
+            remaining -=
+                self.settings.rate(&subscription.request, self.settings.floor(&subscription.request));
+            steps.extend(
+                (self.settings.floor(&subscription.request)..)
+                    .map_while(|rung| self.next_step(&at_floor, rung)),
+            );
         }
         steps.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let first_out = steps.into_iter().find(|step| {
-            left -= step.1;
-            left < 0.0
+        let first_excluded = steps.into_iter().find(|step| {
+            remaining -= step.1;
+            remaining < 0.0
         });
-        first_out.map_or(0.0, |step| step.0)
-    }
-
-    /// Fills a rack's links and its uplink with this instance's subscriptions: from their floors up, always
-    /// the step that earns most for its rate, while link and uplink have room.
-    fn fill(&self, uplink: Pipe, joining: Option<StreamerId>) -> BTreeMap<JobId, u8> {
-        let mut links: BTreeMap<StreamerId, f64> = BTreeMap::new();
-        let mut left = self.budget(uplink, joining.is_some());
-        let next = |sub, rung| self.step(sub, rung).filter(|step| step.0 >= self.price);
-        let mut open = Vec::new();
-        for (job, sub) in &self.subs {
-            let Some(id) = sub.at.filter(|id| self.uplink(*id) == uplink) else { continue };
-            let link = links.entry(id).or_insert_with(|| self.budget(Pipe::Link(id), joining == Some(id)));
-            let floor = self.told.floor(&sub.asked);
-            *link -= self.told.rate(&sub.asked, floor);
-            left -= self.told.rate(&sub.asked, floor);
-            open.push((*job, sub, id, floor, next(sub, floor)));
+        first_excluded.map_or(0.0, |step| step.0)
+    }
+
+    /// Allocates the capacity of a rack's links and uplink to this controller's subscriptions: from their
+    /// floors up, always the step with the highest benefit per rate, while link and uplink have headroom.
+    fn allocate_rungs(&self, uplink: NetworkLink, joining: Option<StreamerId>) -> BTreeMap<JobId, u8> {
+        let mut link_headroom: BTreeMap<StreamerId, f64> = BTreeMap::new();
+        let mut uplink_headroom = self.allowed_demand(uplink, joining.is_some());
+        let next_worthwhile_step = |subscription, rung| {
+            self.next_step(subscription, rung).filter(|step| step.0 >= self.min_benefit_per_rate)
+        };
+        let mut allocations = Vec::new();
+        for (job, subscription) in &self.subscriptions {
+            let Some(id) = subscription.streamer.filter(|id| self.uplink(*id) == uplink) else { continue };
+            let headroom = link_headroom
+                .entry(id)
+                .or_insert_with(|| self.allowed_demand(NetworkLink::Link(id), joining == Some(id)));
+            let floor = self.settings.floor(&subscription.request);
+            *headroom -= self.settings.rate(&subscription.request, floor);
+            uplink_headroom -= self.settings.rate(&subscription.request, floor);
+            allocations.push((*job, subscription, id, floor, next_worthwhile_step(subscription, floor)));
         }
         loop {
-            let steps = open.iter().enumerate().filter_map(|(i, o)| Some((i, o.4?)));
-            let Some((i, (_, rate))) = steps.max_by(|a, b| a.1 .0.total_cmp(&b.1 .0)) else { break };
-            let (_, sub, id, rung, step) = &mut open[i];
-            let Some(link) = links.get_mut(id).filter(|link| **link >= rate && left >= rate) else {
+            let steps =
+                allocations.iter().enumerate().filter_map(|(index, allocation)| Some((index, allocation.4?)));
+            let Some((index, (_, rate))) = steps.max_by(|a, b| a.1 .0.total_cmp(&b.1 .0)) else { break };
+            let (_, subscription, id, rung, step) = &mut allocations[index];
+            let Some(headroom) =
+                link_headroom.get_mut(id).filter(|headroom| **headroom >= rate && uplink_headroom >= rate)
+            else {
                 *step = None;
                 continue;
             };
-            (*link, left, *rung) = (*link - rate, left - rate, *rung + 1);
-            *step = next(sub, *rung);
-        }
-        open.into_iter().map(|o| (o.0, o.3)).collect()
-    }
-
-    /// Each beat: lowers what is over its allowance at once, raises what has room, seldom for any one.
-    fn shape<W: Writer>(&mut self, out: &mut W) {
-        let own = self.subs.values().filter_map(|s| Some(self.uplink(s.at?)));
-        for uplink in own.collect::<BTreeSet<_>>() {
-            let over = |c: &Self, pipe| c.pipes.of(pipe).asks > c.budget(pipe, false) + 1e-6;
-            let over_uplink = over(self, uplink);
-            for (job, rung) in self.fill(uplink, None) {
-                let Some(sub) = self.subs.get_mut(&job) else { continue };
-                let Some(id) = sub.at.filter(|_| sub.plays && rung != sub.rung) else { continue };
-                let (lower, rested) = (rung < sub.rung, self.now >= sub.stepped + REST);
-                if rested && !lower || lower && (over_uplink || over(self, Pipe::Link(id))) {
-                    // After a cut it rests 8 s: a crowd leaves as it came (12 and 20 s did worse).
-                    let stepped = self.now.saturating_sub(Duration::from_secs(12 * u64::from(lower)));
-                    self.subs.entry(job).and_modify(|s| s.stepped = stepped);
-                    self.settle(job, Some(id), rung);
+            (*headroom, uplink_headroom, *rung) = (*headroom - rate, uplink_headroom - rate, *rung + 1);
+            *step = next_worthwhile_step(subscription, *rung);
+        }
+        allocations.into_iter().map(|allocation| (allocation.0, allocation.3)).collect()
+    }
+
+    /// Lowers rungs over the allowance at once; raises rungs that have headroom, each at most once per step
+    /// interval.
+    fn adjust_rungs<W: Writer>(&mut self, out: &mut W) {
+        let own_uplinks = self.subscriptions.values().filter_map(|s| Some(self.uplink(s.streamer?)));
+        for uplink in own_uplinks.collect::<BTreeSet<_>>() {
+            let exceeds_allowance = |controller: &Self, network_link| {
+                controller.network_links.get(network_link).own_demand
+                    > controller.allowed_demand(network_link, false) + 1e-6
+            };
+            let uplink_exceeds = exceeds_allowance(self, uplink);
+            for (job, rung) in self.allocate_rungs(uplink, None) {
+                let Some(subscription) = self.subscriptions.get_mut(&job) else { continue };
+                let Some(id) =
+                    subscription.streamer.filter(|_| subscription.playing && rung != subscription.rung)
+                else {
+                    continue;
+                };
+                let (lowering, interval_passed) =
+                    (rung < subscription.rung, self.now >= subscription.last_step_at + MIN_STEP_INTERVAL);
+                if interval_passed && !lowering
+                    || lowering && (uplink_exceeds || exceeds_allowance(self, NetworkLink::Link(id)))
+                {
+                    // After a cut the next step may come after 8 s: crowds leave as quickly as they come.
+                    let last_step_at = self.now.saturating_sub(Duration::from_secs(12 * u64::from(lowering)));
+                    self.subscriptions.entry(job).and_modify(|s| s.last_step_at = last_step_at);
+                    self.assign(job, Some(id), rung);
                     out.step_to(job, rung);
                 }
             }
         }
     }
 
-    /// The design's tick: own subscriptions go from A to a holder y when LB + x <= LA - x with its margin,
-    /// y has room under the mark, and the move earns more than its price. The design's cap of two a tick.
-    fn move_some<W: Writer>(&mut self, out: &mut W) {
+    /// The design's tick: moves own subscriptions to a holder whose load, with the subscription added, stays
+    /// below that of the source without it by the design's margin, if the target has headroom and the gain
+    /// exceeds the price of a move. At most two per tick, as in the design.
+    fn move_subscriptions<W: Writer>(&mut self, out: &mut W) {
         for _ in 0..2 {
             let mut best: Option<(f64, JobId)> = None;
-            let well = self.streamers.iter().filter(|(_, s)| s.away_until <= self.now);
-            let drawn = self.drawn(&well.map(|(y, _)| *y).collect::<Vec<_>>());
-            let fit: Vec<_> = drawn.iter().map(|y| (*y, &self.streamers[y], self.load(*y))).collect();
-            for (job, sub) in self.subs.iter().filter(|(_, s)| s.plays && !s.asked.moved) {
-                let Some(a) = sub.at else { continue };
-                // What delivers short is at least that full.
-                let delivered = self.delivered(a);
-                let la = self.load(a).max(if delivered < 0.98 { 1.0 / delivered } else { 0.0 });
-                for (y, s, lb) in fit.iter().filter(|(y, _, lb)| *y != a && la - lb > 0.1) {
-                    let gain = self.move_gain(sub, (a, la, delivered), (*y, *lb));
-                    if gain > best.map_or(0.0, |b| b.0) && self.usable(sub, *y, s) {
+            let available = self.streamers.iter().filter(|(_, s)| s.avoid_until <= self.now);
+            let candidates =
+                self.sample_candidates(&available.map(|(target, _)| *target).collect::<Vec<_>>());
+            let targets: Vec<_> = candidates
+                .iter()
+                .map(|target| (*target, &self.streamers[target], self.load(*target)))
+                .collect();
+            for (job, subscription) in
+                self.subscriptions.iter().filter(|(_, s)| s.playing && !s.request.moved)
+            {
+                let Some(source) = subscription.streamer else { continue };
+                // A streamer that delivers short is at least correspondingly loaded.
+                let delivered = self.delivered_fraction(source);
+                let source_load = self.load(source).max(if delivered < 0.98 { 1.0 / delivered } else { 0.0 });
+                for (target, target_state, target_load) in targets
+                    .iter()
+                    .filter(|(target, _, target_load)| *target != source && source_load - target_load > 0.1)
+                {
+                    let gain = self.move_gain(
+                        subscription,
+                        (source, source_load, delivered),
+                        (*target, *target_load),
+                    );
+                    if gain > best.map_or(0.0, |b| b.0) && self.usable(subscription, *target, target_state) {
                         best = Some((gain, *job));
                     }
                 }
             }
             let Some((_, job)) = best else { return };
-            self.drop_sub(job);
+            self.remove_subscription(job);
             out.shift(job);
         }
     }
 
-    /// The mean life so far, in seconds, with four of half a minute counted in.
-    fn life(&self) -> f64 {
-        (120.0 + self.lived.0) / (4.0 + self.lived.1)
+    /// Mean lifetime of subscriptions in seconds; starts as if four had lasted 30 s.
+    fn mean_lifetime_s(&self) -> f64 {
+        (120.0 + self.lifetime_sums.0) / (4.0 + self.lifetime_sums.1)
     }
 
-    /// What is left of a subscription, in seconds.
-    fn left(&self, sub: &Subscription) -> f64 {
-        let age = self.now - sub.taken;
-        match sub.asked.hinted {
+    /// The expected time left of a subscription, in seconds.
+    fn expected_time_left_s(&self, subscription: &Subscription) -> f64 {
+        let age = self.now - subscription.accepted_at;
+        match subscription.request.hinted {
             Some(hint) => hint.saturating_sub(age).as_secs_f64(),
-            // Lives differ: what is left is the mean less the age, and a quarter of it for the long ones.
-            None => (self.life() - age.as_secs_f64()).max(self.life() / 4.0),
+            // Lifetimes differ: the mean less the age, and at least a quarter of the mean for long ones.
+            None => (self.mean_lifetime_s() - age.as_secs_f64()).max(self.mean_lifetime_s() / 4.0),
         }
     }
 
-    /// What a move would earn, in seconds of benefit, less its price; nothing where the design forbids it.
+    /// Gain of a move in seconds of benefit, less its price; zero where the design forbids the move.
     fn move_gain(
-        &self, sub: &Subscription, (a, la, delivered): (StreamerId, f64, f64), (y, lb): (StreamerId, f64),
+        &self, subscription: &Subscription, (source, source_load, delivered): (StreamerId, f64, f64),
+        (target, target_load): (StreamerId, f64),
     ) -> f64 {
-        let rate = |rung| self.told.rate(&sub.asked, rung);
-        let x = rate(sub.rung) * self.hint_factor(sub) / self.size(Pipe::Link(y));
-        let (link, uplink) = (Pipe::Link(y), self.uplink(y));
-        let fits = |pipe, rung| self.use_of(pipe) + rate(rung) / self.size(pipe) < self.mark(pipe);
-        let room = |rung: &u8| fits(link, *rung) && (self.uplink(a) == uplink || fits(uplink, *rung));
-        if lb + x > la - x || la - lb <= 2.0 * x + 0.1 || !room(&sub.rung) {
+        let rate = |rung| self.settings.rate(&subscription.request, rung);
+        let added_load = rate(subscription.rung) * self.hint_factor(subscription)
+            / self.capacity(NetworkLink::Link(target));
+        let (link, uplink) = (NetworkLink::Link(target), self.uplink(target));
+        let has_headroom = |network_link, rung| {
+            self.utilization(network_link) + rate(rung) / self.capacity(network_link)
+                < self.target_utilization(network_link)
+        };
+        let both_have_headroom = |rung: &u8| {
+            has_headroom(link, *rung) && (self.uplink(source) == uplink || has_headroom(uplink, *rung))
+        };
+        if target_load + added_load > source_load - added_load
+            || source_load - target_load <= 2.0 * added_load + 0.1
+            || !both_have_headroom(&subscription.rung)
+        {
             return 0.0;
         }
-        // What fill would hold back by the price is not counted on.
-        let paid = |r: &u8| *r <= sub.rung || self.step(sub, *r - 1).is_some_and(|s| s.0 >= self.price);
-        let best = (sub.rung..=self.top(sub)).rev().find(|r| room(r) && paid(r)).unwrap_or(sub.rung);
-        let missing = (0.98 - delivered).max(0.0) * self.told.figure("/familyInfo/stall", 5.0);
-        let kept = self.told.earns(&sub.asked, sub.rung) * (1.0 - missing).max(0.0);
-        let higher = self.told.earns(&sub.asked, best) - kept;
-        let price = self.told.figure("/prices/moves", 0.0) * self.told.usual_benefit() * self.life();
-        // Gains are reckoned from rough figures; and a second is lost on the way.
-        0.7 * higher * self.left(sub) - price - self.told.earns(&sub.asked, sub.rung)
+        // Steps that the minimum benefit per rate would hold back are not counted.
+        let worthwhile = |rung: &u8| {
+            *rung <= subscription.rung
+                || self.next_step(subscription, *rung - 1).is_some_and(|s| s.0 >= self.min_benefit_per_rate)
+        };
+        let best_rung = (subscription.rung..=self.top(subscription))
+            .rev()
+            .find(|r| both_have_headroom(r) && worthwhile(r))
+            .unwrap_or(subscription.rung);
+        let stall_loss = (0.98 - delivered).max(0.0) * self.settings.number("/familyInfo/stall", 5.0);
+        let current_benefit =
+            self.settings.benefit(&subscription.request, subscription.rung) * (1.0 - stall_loss).max(0.0);
+        let added_benefit = self.settings.benefit(&subscription.request, best_rung) - current_benefit;
+        let price = self.settings.number("/prices/moves", 0.0)
+            * self.settings.mean_top_benefit()
+            * self.mean_lifetime_s();
+        // Gains are estimates, so 30 % is deducted; and one second is lost during the move.
+        0.7 * added_benefit * self.expected_time_left_s(subscription)
+            - price
+            - self.settings.benefit(&subscription.request, subscription.rung)
     }
 }
--- a/crates/core/src/decide/sums.rs
+++ b/crates/core/src/decide/sums.rs
@@ -1,113 +1,146 @@
-//! What is listed and due, and what this instance asks of each pipe, summed. Nothing is decided here.
+//! Changes of facts that need no decision (settings, list, timers), and sums of the demand on each link.
 
 use serde_json::{Map, Value};
 
-use super::{Controller, FRESH, TOKEN_DUE};
+use super::{Controller, DUE_TIMER, MEASUREMENT_VALIDITY};
 use crate::interface::{JobId, Listing, StreamerId, Writer};
-use crate::state::{Pipe, Subscription};
-use crate::told::{mean, Told};
+use crate::settings::{mean, Settings};
+use crate::state::{NetworkLink, Subscription};
 
 impl Controller {
-    /// Other settings from now on. Room types, zones, kinds and cells must keep their numbers: what is held is held
-    /// under them. Rungs that are over their new top count as that. Links and uplinks get their new size with the next
-    /// list.
+    /// Replaces the settings. Room types, zones, kinds and cells must keep their numbers, since existing
+    /// state refers to them by number. A rung above its new top is lowered to it. Links and uplinks get their
+    /// new capacities with the next list.
     pub fn retell(&mut self, options: Map<String, Value>) {
-        self.told = Told::new(options);
-        let Self { told, subs, .. } = self;
-        subs.values_mut().for_each(|sub| sub.rung = sub.rung.min(told.top(&sub.asked)));
-        // Sums hold what was asked at the rates of before.
-        self.sum_up();
+        self.settings = Settings::new(options);
+        let Self { settings, subscriptions, .. } = self;
+        subscriptions.values_mut().for_each(|subscription| {
+            subscription.rung = subscription.rung.min(settings.top(&subscription.request))
+        });
+        // Own demand was summed at the previous rates.
+        self.recompute_own_demand();
     }
 
-    /// A fact told: a subscription's title lies on so many cells from another one on.
+    /// Sets which cells hold a subscription's title: `copies` cells from `first_cell` on.
     pub fn relocate(&mut self, job: JobId, first_cell: u32, copies: u32) {
-        if let Some(sub) = self.subs.get_mut(&job) {
-            (sub.asked.first_cell, sub.asked.copies) = (first_cell, copies);
+        if let Some(subscription) = self.subscriptions.get_mut(&job) {
+            (subscription.request.first_cell, subscription.request.copies) = (first_cell, copies);
         }
     }
 
-    /// A fact told: no rung of a subscription over this one is left. Whatever caps it goes on counting.
+    /// Limits a subscription to rungs up to `top` for good, by lowering it now. A cap that was set before
+    /// stays.
     pub fn ends_at<W: Writer>(&mut self, job: JobId, top: u8, out: &mut W) {
-        let Some(cap) = self.subs.get(&job).map(|sub| sub.cap) else { return };
+        let Some(cap) = self.subscriptions.get(&job).map(|subscription| subscription.rung_cap) else {
+            return;
+        };
         self.cap(job, Some(cap.map_or(top, |cap| cap.min(top))), out);
-        self.subs.entry(job).and_modify(|sub| sub.cap = cap);
+        self.subscriptions.entry(job).and_modify(|subscription| subscription.rung_cap = cap);
     }
 
+    /// Records that a timer set through the writer has fired.
     pub fn fired(&mut self, token: u64) {
-        if token == TOKEN_DUE {
-            self.reminded = None;
+        if token == DUE_TIMER {
+            self.due_timer_at = None;
         }
     }
 
+    /// Drops a subscription whose client timeout has passed.
     pub fn expired(&mut self, job: JobId) {
-        self.drop_sub(job);
+        self.remove_subscription(job);
     }
 
-    pub fn list_begins(&mut self, how: Listing) {
-        if matches!(how, Listing::Complete | Listing::Cached) {
+    /// Begins a list; in a complete one, streamers that do not follow are departed.
+    pub fn list_begins(&mut self, kind: Listing) {
+        if matches!(kind, Listing::Complete | Listing::Cached) {
             self.streamers.values_mut().for_each(|s| s.listed = false);
         }
     }
 
-    pub(super) fn size(&self, pipe: Pipe) -> f64 {
-        let g = self.pipes.of(pipe);
-        (g.stated * self.warmth(pipe)).max(1.0)
+    /// The capacity of a link at present, reduced while its streamer warms up.
+    pub(super) fn capacity(&self, network_link: NetworkLink) -> f64 {
+        let link_state = self.network_links.get(network_link);
+        (link_state.nominal_capacity * self.warm_fraction(network_link)).max(1.0)
     }
 
-    pub(super) fn uplink(&self, id: StreamerId) -> Pipe {
-        Pipe::uplink(self.streamers.get(&id).map_or(0, |s| s.cell), &self.told)
+    /// The uplink of a streamer's rack.
+    pub(super) fn uplink(&self, id: StreamerId) -> NetworkLink {
+        NetworkLink::uplink(self.streamers.get(&id).map_or(0, |s| s.cell), &self.settings)
     }
 
-    pub(super) fn use_of(&self, pipe: Pipe) -> f64 {
-        (self.others(pipe) + self.pipes.of(pipe).asks) / self.size(pipe)
+    /// The demand of all controllers on a link, as a fraction of its capacity.
+    pub(super) fn utilization(&self, network_link: NetworkLink) -> f64 {
+        (self.others_demand(network_link) + self.network_links.get(network_link).own_demand)
+            / self.capacity(network_link)
     }
 
-    /// What others ask of uplinks and of links, on the mean of those lately measured.
-    pub(super) fn note_usual_use(&mut self) {
-        self.usual_use = [false, true].map(|link| {
-            let fresh = self.pipes.all.iter().filter(|(_, g)| g.fresh(self.now, FRESH));
-            let kind = fresh.filter(|(p, _)| matches!(p, Pipe::Link(_)) == link);
-            mean(kind.map(|(p, g)| g.others / self.size(*p))).unwrap_or(self.usual_use[usize::from(link)])
-        });
+    /// Updates the mean utilization by others, of uplinks and of links, from those measured lately.
+    pub(super) fn update_mean_others_utilization(&mut self) {
+        self.mean_others_utilization =
+            [false, true].map(|is_link| {
+                let fresh = self
+                    .network_links
+                    .states
+                    .iter()
+                    .filter(|(_, link_state)| link_state.is_fresh(self.now, MEASUREMENT_VALIDITY));
+                let of_this_kind =
+                    fresh.filter(|(network_link, _)| matches!(network_link, NetworkLink::Link(_)) == is_link);
+                mean(of_this_kind.map(|(network_link, link_state)| {
+                    link_state.others_demand / self.capacity(*network_link)
+                }))
+                .unwrap_or(self.mean_others_utilization[usize::from(is_link)])
+            });
     }
 
-    /// What one of this instance's subscriptions asks, on the mean.
-    pub(super) fn usual_rate(&self) -> f64 {
-        let placed = self.subs.values().filter(|s| s.at.is_some());
-        mean(placed.map(|s| self.told.rate(&s.asked, s.rung))).unwrap_or(0.0)
+    /// The mean rate of this controller's subscriptions.
+    pub(super) fn mean_own_rate(&self) -> f64 {
+        let placed = self.subscriptions.values().filter(|s| s.streamer.is_some());
+        mean(placed.map(|s| self.settings.rate(&s.request, s.rung))).unwrap_or(0.0)
     }
 
-    /// What one step of this instance's subscriptions on a pipe is, on the mean.
-    pub(super) fn usual_step(&self, pipe: Pipe, up: bool) -> f64 {
-        let on = |id| pipe == Pipe::Link(id) || pipe == self.uplink(id);
-        let next = |s: &Subscription| if up { self.top(s).min(s.rung + 1) } else { s.rung.max(1) - 1 };
-        let step = |s: &Subscription| self.told.rate(&s.asked, next(s)) - self.told.rate(&s.asked, s.rung);
-        let own = self.subs.values().filter(|s| s.plays && s.at.is_some_and(on));
-        mean(own.map(|s| step(s).abs())).unwrap_or(0.0)
+    /// The mean size, in kB/s, of one rung step of this controller's subscriptions on a link.
+    pub(super) fn mean_step_rate(&self, network_link: NetworkLink, upwards: bool) -> f64 {
+        let uses_link = |id| network_link == NetworkLink::Link(id) || network_link == self.uplink(id);
+        let next_rung =
+            |s: &Subscription| if upwards { self.top(s).min(s.rung + 1) } else { s.rung.max(1) - 1 };
+        let step_rate = |s: &Subscription| {
+            self.settings.rate(&s.request, next_rung(s)) - self.settings.rate(&s.request, s.rung)
+        };
+        let playing_there =
+            self.subscriptions.values().filter(|s| s.playing && s.streamer.is_some_and(uses_link));
+        mean(playing_there.map(|s| step_rate(s).abs())).unwrap_or(0.0)
     }
 
-    /// Sets where a subscription is and at which rung; all sums of what is asked are kept here.
-    pub(super) fn settle(&mut self, job: JobId, at: Option<StreamerId>, rung: u8) {
-        let Some(sub) = self.subs.get(&job) else { return };
-        let rate = |rung| self.told.rate(&sub.asked, rung);
-        for (id, more) in [(sub.at, -rate(sub.rung)), (at, rate(rung))] {
-            let pipes = id.map(|id| [Pipe::Link(id), self.uplink(id)]);
-            pipes.into_iter().flatten().for_each(|pipe| self.pipes.ask(pipe, more, self.now));
+    /// Sets the streamer and the rung of a subscription, and keeps the own demand of both links up to date.
+    pub(super) fn assign(&mut self, job: JobId, streamer: Option<StreamerId>, rung: u8) {
+        let Some(subscription) = self.subscriptions.get(&job) else { return };
+        let rate = |rung| self.settings.rate(&subscription.request, rung);
+        for (id, added_demand) in [(subscription.streamer, -rate(subscription.rung)), (streamer, rate(rung))]
+        {
+            let both_links = id.map(|id| [NetworkLink::Link(id), self.uplink(id)]);
+            both_links.into_iter().flatten().for_each(|network_link| {
+                self.network_links.add_own_demand(network_link, added_demand, self.now)
+            });
         }
-        self.subs.entry(job).and_modify(|sub| (sub.at, sub.rung) = (at, rung));
+        self.subscriptions
+            .entry(job)
+            .and_modify(|subscription| (subscription.streamer, subscription.rung) = (streamer, rung));
     }
 
-    /// Sums anew what is asked: streamers may have come onto the list after their subscriptions.
-    pub(super) fn sum_up(&mut self) {
-        self.pipes.all.values_mut().for_each(|g| g.asks = 0.0);
-        let held = self.subs.iter_mut().filter_map(|(job, s)| Some((*job, s.at.take()?, s.rung)));
-        for (job, at, rung) in held.collect::<Vec<_>>() {
-            self.settle(job, Some(at), rung);
+    /// Recomputes the own demand of all links: streamers may be listed only after their subscriptions are
+    /// known.
+    pub(super) fn recompute_own_demand(&mut self) {
+        self.network_links.states.values_mut().for_each(|link_state| link_state.own_demand = 0.0);
+        let placed =
+            self.subscriptions.iter_mut().filter_map(|(job, s)| Some((*job, s.streamer.take()?, s.rung)));
+        for (job, streamer, rung) in placed.collect::<Vec<_>>() {
+            self.assign(job, Some(streamer), rung);
         }
     }
 
-    pub(super) fn drop_sub(&mut self, job: JobId) -> Option<Subscription> {
-        self.settle(job, None, 0);
-        self.subs.remove(&job)
+    /// Removes a subscription and its demand.
+    pub(super) fn remove_subscription(&mut self, job: JobId) -> Option<Subscription> {
+        self.assign(job, None, 0);
+        self.subscriptions.remove(&job)
     }
 }
--- a/crates/core/src/fleet_tests.rs
+++ b/crates/core/src/fleet_tests.rs
@@ -1,5 +1,6 @@
-//! What a whole fleet of instances sends to a cold streamer, each with a birth and a clock of its own as real processes
-//! have. The streamer's budget binds the sum of them all: beyond it only twice its root and two are put down to chance.
+//! Joins that a whole fleet of controllers sends to a cold streamer, where each controller has its own start
+//! and its own clock, as real processes have. The streamer's budget limits their sum, with a random excess of
+//! at most twice its square root plus two.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,16 +11,16 @@
 use crate::chance::Chance;
 use crate::decide::Controller;
 use crate::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId, Writer};
-use crate::state::Pipe;
-use crate::words::{self, Word};
+use crate::load_reports::{self, LoadReport};
+use crate::state::NetworkLink;
 
 const TICK: Duration = Duration::from_millis(10);
 const WARM_UP: Duration = Duration::from_secs(10);
 const WINDOW: Duration = Duration::from_secs(2);
-const COLD_FROM: f64 = 0.4;
-const MULTIPLE: f64 = 2.5;
-/// How often what is asked of a streamer its budget is when it is coldest, where a start is told late.
-const RATIO: f64 = 1.5;
+const COLD_START_FRACTION: f64 = 0.4;
+const BUDGET_MULTIPLE: f64 = 2.5;
+/// Budget of the coldest streamer as a multiple of the requests per streamer, where a start is listed late.
+const BUDGET_RATIO: f64 = 1.5;
 /// Cells of a fleet, each with its streamer; the cold one is the first.
 const CELLS: u32 = 36;
 
@@ -31,16 +32,17 @@
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, cell as u16)
 }
 
-fn settings(me: u32, many: u32, places: f64) -> Value {
+fn test_settings(index: u32, controllers: u32, stream_capacity: f64) -> Value {
     json!({
-        "balancers": many, "me": me, "discovery": "automatic", "tickUs": 10_000, "weights": "nominal", "zone": 0,
+        "balancers": controllers, "me": index, "discovery": "automatic", "tickUs": 10_000, "weights": "nominal",
+        "zone": 0,
         "profiles": [{"aimUs": 1_500_000, "effect": "free", "group": "all", "windowUs": 5_000_000, "worth": 1.0}],
         "familyInfo": {"positions": CELLS, "groups": 2, "classScale": [1.0], "classTop": [2],
-            "floorByClass": [0], "licenceCap": [0], "kindStreams": [places], "linkUnitKb": 1e6,
+            "floorByClass": [0], "licenceCap": [0], "kindStreams": [stream_capacity], "linkUnitKb": 1e6,
             "levelKb": [100.0, 200.0, 400.0], "ladderWorth": [0.3, 0.6, 1.0], "uplinkKb": 1e7,
             "toldLateUs": 500_000, "toldEveryUs": 3_000_000, "stall": 7.0},
-        "obligations": {"coldFrom": COLD_FROM, "coldUs": WARM_UP.as_micros() as u64,
-            "tipAfterUs": WINDOW.as_micros() as u64, "tipMultiple": MULTIPLE, "drainGraceUs": 0,
+        "obligations": {"coldFrom": COLD_START_FRACTION, "coldUs": WARM_UP.as_micros() as u64,
+            "tipAfterUs": WINDOW.as_micros() as u64, "tipMultiple": BUDGET_MULTIPLE, "drainGraceUs": 0,
             "budgetFree": 100, "extraRatio": 1.0, "countedOverUs": 5_000_000},
         "permissions": {"maxAttempts": 3, "retryAfter": true, "maxRetryAfterUs": 500_000, "probing": true,
             "peers": true},
@@ -48,26 +50,26 @@
         "report": {"fields": ["x0"], "how": "answers"}})
 }
 
-/// What an instance decided in one round.
+/// The decisions of a controller in one round.
 #[derive(Default)]
-struct Said {
+struct Decisions {
     joins: Vec<(JobId, StreamerId)>,
-    over: Vec<JobId>,
-    reminders: Vec<(Duration, u64)>,
+    ended: Vec<JobId>,
+    timers: Vec<(Duration, u64)>,
 }
 
-impl Writer for Said {
+impl Writer for Decisions {
     fn pass_on(&mut self, job: JobId, streamer: StreamerId, _try_until: Duration) {
         self.joins.push((job, streamer));
     }
     fn shed(&mut self, job: JobId, _cool_down: Duration) {
-        self.over.push(job);
+        self.ended.push(job);
     }
     fn respond_error(&mut self, job: JobId) {
-        self.over.push(job);
+        self.ended.push(job);
     }
     fn remind(&mut self, from_now: Duration, token: u64) {
-        self.reminders.push((from_now, token));
+        self.timers.push((from_now, token));
     }
     fn step_to(&mut self, _job: JobId, _rung: u8) {}
     fn shift(&mut self, _job: JobId) {}
@@ -81,104 +83,117 @@
     fn give_in(&mut self, _line: &str) {}
 }
 
-/// One process: its clock runs `ahead` of the fleet's.
+/// One process, whose clock is `clock_offset` ahead of the fleet's.
 struct Process {
     controller: Controller,
-    ahead: Duration,
-    reminders: BTreeSet<(Duration, u64)>,
+    clock_offset: Duration,
+    timers: BTreeSet<(Duration, u64)>,
     next: JobId,
-    /// When it takes its next request, and how long after the one before.
-    asks_at: Duration,
-    every: Duration,
+    /// Time of its next request, and the interval between its requests.
+    next_request_at: Duration,
+    request_interval: Duration,
 }
 
 struct Fleet {
     now: Duration,
-    many: u32,
-    places: f64,
+    controllers: u32,
+    stream_capacity: f64,
     processes: Vec<Process>,
-    chance: Chance,
-    /// What the list tells of each cell's streamer: its start on the fleet's clock, zero for long past.
+    rng: Chance,
+    /// The listed start of each cell's streamer on the fleet's clock; zero is long past.
     listed: BTreeMap<u32, Duration>,
-    /// When joins went to the first cell.
-    sends: Vec<Duration>,
-    /// Requests are for titles of three holders anywhere; else for what only the first cell holds.
-    spread: bool,
+    /// Times of the joins to the first cell's streamer.
+    joins_to_first_cell: Vec<Duration>,
+    /// Whether requests are for titles with three holders anywhere; otherwise only the first cell holds them.
+    three_holders: bool,
 }
 
 impl Fleet {
-    /// So many processes that were born long ago, and hold something from then.
-    fn new(many: u32, places: f64, seed: u64) -> Self {
+    /// Starts processes long before the test, each with a subscription that was handed over.
+    fn new(controllers: u32, stream_capacity: f64, seed: u64) -> Self {
         let listed = (0..CELLS).map(|cell| (cell, Duration::ZERO)).collect();
-        let (processes, sends) = (Vec::new(), Vec::new());
-        let (now, chance) = (Duration::from_secs(1000), Chance(seed));
-        let mut fleet = Self { now, many, places, processes, chance, listed, sends, spread: false };
-        for me in 0..many {
-            let process = fleet.born(me);
+        let (processes, joins_to_first_cell) = (Vec::new(), Vec::new());
+        let (now, rng) = (Duration::from_secs(1000), Chance(seed));
+        let mut fleet = Self {
+            now,
+            controllers,
+            stream_capacity,
+            processes,
+            rng,
+            listed,
+            joins_to_first_cell,
+            three_holders: false,
+        };
+        for index in 0..controllers {
+            let process = fleet.start_process(index);
             fleet.processes.push(process);
         }
-        // The day began with them: what was handed over says so.
-        for me in 0..many as usize {
-            let held = Asked { copies: CELLS, ..asked(1) };
-            fleet.round(me, |c| c.resumed(JobId::MAX, held, streamer(1)));
+        // The handover tells each controller that the whole fleet started with it.
+        for index in 0..controllers as usize {
+            let playing = Asked { copies: CELLS, ..request(1) };
+            fleet.round(index, |c| c.resumed(JobId::MAX, playing, streamer(1)));
         }
-        fleet.pass(ms(100));
+        fleet.advance(ms(100));
         fleet
     }
 
-    /// A process as it starts, with a clock of its own and the list as it is told now.
-    fn born(&mut self, me: u32) -> Process {
-        let Value::Object(options) = settings(me, self.many, self.places) else { unreachable!("an object") };
-        let ahead = Duration::from_secs(3000) + self.chance.span(Duration::from_secs(3000));
-        let seed = (self.chance.share() * 1e15) as u64;
-        let mut controller = Controller::new(self.now + ahead, seed, options);
-        let told = |at: Duration| match at {
+    /// Starts a process with its own clock and with the present list.
+    fn start_process(&mut self, index: u32) -> Process {
+        let Value::Object(options) = test_settings(index, self.controllers, self.stream_capacity) else {
+            unreachable!("an object")
+        };
+        let clock_offset = Duration::from_secs(3000) + self.rng.span(Duration::from_secs(3000));
+        let seed = (self.rng.share() * 1e15) as u64;
+        let mut controller = Controller::new(self.now + clock_offset, seed, options);
+        let listed_start = |at: Duration| match at {
             Duration::ZERO => Start::default(),
-            at => Start { at: at + ahead, number: at.as_millis() as u64 },
+            at => Start { at: at + clock_offset, number: at.as_millis() as u64 },
         };
-        let mut said = Said::default();
-        let list = |c: &mut Controller, _: &mut Said| {
+        let mut decisions = Decisions::default();
+        let send_list = |c: &mut Controller, _: &mut Decisions| {
             c.list_begins(Listing::Cached);
             for (cell, at) in &self.listed {
-                c.list_entry(streamer(*cell), 0, 0, *cell, Health::Ready, 1.0, told(*at));
+                c.list_entry(streamer(*cell), 0, 0, *cell, Health::Ready, 1.0, listed_start(*at));
             }
             c.list_ends(Listing::Cached);
         };
-        controller.round(self.now + ahead, list, &mut said);
-        let reminders = said.reminders.iter().map(|(from, token)| (self.now + *from, *token)).collect();
-        let (asks_at, every) = (Duration::MAX, Duration::MAX);
-        Process { controller, ahead, reminders, next: 0, asks_at, every }
+        controller.round(self.now + clock_offset, send_list, &mut decisions);
+        let timers = decisions.timers.iter().map(|(from, token)| (self.now + *from, *token)).collect();
+        let (next_request_at, request_interval) = (Duration::MAX, Duration::MAX);
+        Process { controller, clock_offset, timers, next: 0, next_request_at, request_interval }
     }
 
-    /// Kills a process, which is there again at once.
-    fn restart(&mut self, me: usize) {
-        let (asks_at, every) = (self.processes[me].asks_at, self.processes[me].every);
-        let process = self.born(me as u32);
-        self.processes[me] = Process { asks_at, every, ..process };
+    /// Kills a process and restarts it at once.
+    fn restart(&mut self, index: usize) {
+        let (next_request_at, request_interval) =
+            (self.processes[index].next_request_at, self.processes[index].request_interval);
+        let process = self.start_process(index as u32);
+        self.processes[index] = Process { next_request_at, request_interval, ..process };
     }
 
-    /// The first cell's streamer breaks under something that each of these processes holds there.
-    fn breaks_under(&mut self, processes: impl Iterator<Item = usize>) {
-        for me in processes.collect::<Vec<_>>() {
-            const HELD: JobId = JobId::MAX - 1;
-            self.round(me, |c| c.resumed(HELD, asked(1), streamer(0)));
-            self.round(me, |c| c.outcome(HELD, streamer(0), 0, Ending::Reset, true, ms(1000), &[]));
+    /// Lets the first cell's streamer fail under a subscription that each of these processes has there.
+    fn fail_first_streamer(&mut self, processes: impl Iterator<Item = usize>) {
+        for index in processes.collect::<Vec<_>>() {
+            const PLAYING: JobId = JobId::MAX - 1;
+            self.round(index, |c| c.resumed(PLAYING, request(1), streamer(0)));
+            self.round(index, |c| c.outcome(PLAYING, streamer(0), 0, Ending::Reset, true, ms(1000), &[]));
         }
     }
 
-    /// From now on each process has a request so often, with chance as to when the first comes.
-    fn ask_every(&mut self, every: Duration) {
+    /// Lets each process send requests at this interval, with a random first one.
+    fn request_every(&mut self, request_interval: Duration) {
         for process in &mut self.processes {
-            (process.asks_at, process.every) = (self.now + self.chance.span(every), every);
+            (process.next_request_at, process.request_interval) =
+                (self.now + self.rng.span(request_interval), request_interval);
         }
     }
 
-    /// The list tells these processes that the first cell's streamer started then.
-    fn tell(&mut self, processes: impl Iterator<Item = usize>, at: Duration) {
+    /// Lists a start of the first cell's streamer for these processes.
+    fn list_start(&mut self, processes: impl Iterator<Item = usize>, at: Duration) {
         self.listed.insert(0, at);
-        for me in processes.collect::<Vec<_>>() {
-            let start = Start { at: at + self.processes[me].ahead, number: at.as_millis() as u64 };
-            self.round(me, |c| {
+        for index in processes.collect::<Vec<_>>() {
+            let start = Start { at: at + self.processes[index].clock_offset, number: at.as_millis() as u64 };
+            self.round(index, |c| {
                 c.list_begins(Listing::Changes);
                 c.list_entry(streamer(0), 0, 0, 0, Health::Ready, 1.0, start);
                 c.list_ends(Listing::Changes);
@@ -186,183 +201,203 @@
         }
     }
 
-    /// All hear that the first cell's link carries nothing, and all others are half full.
-    fn hear_it_is_empty(&mut self) {
-        let word = |cell| Word {
-            pipe: Pipe::Link(streamer(cell)),
-            used: if cell == 0 { 0.0 } else { 0.5 },
+    /// Reports to all processes that the first cell's link is empty and all others are half used.
+    fn report_first_streamer_empty(&mut self) {
+        let report = |cell| LoadReport {
+            network_link: NetworkLink::Link(streamer(cell)),
+            utilization: if cell == 0 { 0.0 } else { 0.5 },
             age: ms(0),
         };
-        let words = words::write(&(0..CELLS).map(word).collect::<Vec<_>>());
-        (0..self.processes.len()).for_each(|me| self.round(me, |c| c.peer(0, &words)));
+        let message = load_reports::encode(&(0..CELLS).map(report).collect::<Vec<_>>());
+        (0..self.processes.len()).for_each(|index| self.round(index, |c| c.peer(0, &message)));
     }
 
-    /// Rounds of one process until nothing comes of them at once: all joins are served, and
-    /// over at once.
-    fn round(&mut self, me: usize, arrivals: impl FnOnce(&mut Controller)) {
-        let mut said = Said::default();
-        let (now, process) = (self.now, &mut self.processes[me]);
-        let clock = now + process.ahead;
-        process.controller.round(clock, |c, _| arrivals(c), &mut said);
-        while let Some((job, at)) = said.joins.pop() {
-            self.sends.extend((at == streamer(0)).then_some(now));
-            let ends = |c: &mut Controller, _: &mut Said| {
-                c.flowing(job, 0, at, ms(1));
-                c.outcome(job, at, 0, Ending::Served, true, ms(1), &[]);
+    /// Runs rounds of one process until no join is left: each join is served and its subscription ends at
+    /// once.
+    fn round(&mut self, index: usize, arrivals: impl FnOnce(&mut Controller)) {
+        let mut decisions = Decisions::default();
+        let (now, process) = (self.now, &mut self.processes[index]);
+        let clock = now + process.clock_offset;
+        process.controller.round(clock, |c, _| arrivals(c), &mut decisions);
+        while let Some((job, streamer_id)) = decisions.joins.pop() {
+            self.joins_to_first_cell.extend((streamer_id == streamer(0)).then_some(now));
+            let finish = |c: &mut Controller, _: &mut Decisions| {
+                c.flowing(job, 0, streamer_id, ms(1));
+                c.outcome(job, streamer_id, 0, Ending::Served, true, ms(1), &[]);
             };
-            process.controller.round(clock, ends, &mut said);
+            process.controller.round(clock, finish, &mut decisions);
         }
-        process.reminders.extend(said.reminders.into_iter().map(|(from, token)| (now + from, token)));
+        process.timers.extend(decisions.timers.into_iter().map(|(from, token)| (now + from, token)));
     }
 
-    fn pass(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn advance(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += TICK;
-            for me in 0..self.processes.len() {
-                self.tick(me);
+            for index in 0..self.processes.len() {
+                self.tick(index);
             }
         }
     }
 
-    fn tick(&mut self, me: usize) {
-        let (now, process) = (self.now, &mut self.processes[me]);
-        if process.asks_at <= now {
-            process.asks_at += process.every;
+    fn tick(&mut self, index: usize) {
+        let (now, process) = (self.now, &mut self.processes[index]);
+        if process.next_request_at <= now {
+            process.next_request_at += process.request_interval;
             process.next += 1;
             let job = process.next;
-            let first_cell = (self.chance.share() * f64::from(CELLS)) as u32;
-            let wanted = if self.spread { Asked { first_cell, ..asked(3) } } else { asked(1) };
-            self.round(me, |c| c.request(job, wanted));
+            let first_cell = (self.rng.share() * f64::from(CELLS)) as u32;
+            let requested = if self.three_holders { Asked { first_cell, ..request(3) } } else { request(1) };
+            self.round(index, |c| c.request(job, requested));
         }
-        while let Some((at, token)) = self.processes[me].reminders.first().copied().filter(|r| r.0 <= now) {
-            self.processes[me].reminders.remove(&(at, token));
-            self.round(me, |c| c.fired(token));
+        while let Some((at, token)) = self.processes[index].timers.first().copied().filter(|r| r.0 <= now) {
+            self.processes[index].timers.remove(&(at, token));
+            self.round(index, |c| c.fired(token));
         }
     }
 
-    /// Holds what was sent from `start` on against the budget of a streamer that came up then.
-    fn holds(&self, start: Duration, what: &str) {
-        let sends: Vec<Duration> = self.sends.iter().copied().filter(|at| *at >= start).collect();
-        for last in &sends {
-            let within = sends.iter().filter(|at| *at <= last && **at + WINDOW > *last).count() as f64;
-            let age = ((*last - start).as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
-            let warm = COLD_FROM + (1.0 - COLD_FROM) * age;
-            let budget = MULTIPLE * self.places / WARM_UP.as_secs_f64() * warm * WINDOW.as_secs_f64();
-            let most = budget + 2.0 * budget.sqrt() + 2.0;
+    /// Checks the joins sent from `start` on against the budget of a streamer that started then.
+    fn check_budget(&self, start: Duration, context: &str) {
+        let joins_to_first_cell: Vec<Duration> =
+            self.joins_to_first_cell.iter().copied().filter(|at| *at >= start).collect();
+        for window_end in &joins_to_first_cell {
+            let joins = joins_to_first_cell
+                .iter()
+                .filter(|at| *at <= window_end && **at + WINDOW > *window_end)
+                .count() as f64;
+            let age = ((*window_end - start).as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
+            let warm_fraction = COLD_START_FRACTION + (1.0 - COLD_START_FRACTION) * age;
+            let budget = BUDGET_MULTIPLE * self.stream_capacity / WARM_UP.as_secs_f64()
+                * warm_fraction
+                * WINDOW.as_secs_f64();
+            let max_joins = budget + 2.0 * budget.sqrt() + 2.0;
             assert!(
-                within <= most,
-                "{what}: {within} joins in a window at {age:.2} of its warm-up, {most:.1} at most"
+                joins <= max_joins,
+                "{context}: {joins} joins in a window at {age:.2} of its warm-up, {max_joins:.1} at most"
             );
         }
     }
 }
 
-/// A request for a title that only the first so many cells hold.
-fn asked(copies: u32) -> Asked {
+/// A request for a title that only the first `copies` cells hold.
+fn request(copies: u32) -> Asked {
     Asked { client_timeout: ms(4000), copies, max_rung: 2, ..Asked::default() }
 }
 
-const MANY: [u32; 5] = [3, 20, 30, 300, 350];
+const CONTROLLERS: [u32; 5] = [3, 20, 30, 300, 350];
 
-/// Found by reading: turns were spread by the start on each process's own clock, so that on real processes they were not
-/// disjoint. All ask for what only the cold streamer holds, so that each turn there is is taken.
+/// Turns were computed from the start on each process's own clock, so that between real processes they
+/// overlapped. All requests are for what only the cold streamer holds, so that every turn is used.
 #[test]
-fn turns_at_a_cold_streamer_are_disjoint_whatever_clock_each_process_has() {
-    for (many, seed) in MANY.into_iter().zip(1..) {
-        for places in [1.0, 20.0, many as f64 * 0.9] {
-            let mut fleet = Fleet::new(many, places, seed);
+fn turns_at_a_cold_streamer_are_disjoint_despite_different_clocks() {
+    for (controllers, seed) in CONTROLLERS.into_iter().zip(1..) {
+        for stream_capacity in [1.0, 20.0, controllers as f64 * 0.9] {
+            let mut fleet = Fleet::new(controllers, stream_capacity, seed);
             let start = fleet.now;
-            fleet.ask_every(ms(if many > 100 { 500 } else { 100 }));
-            fleet.tell(0..many as usize, start);
-            fleet.pass(WARM_UP - ms(100));
-            fleet.holds(start, &format!("{many} processes, {places} places"));
-            let part = MULTIPLE * places / f64::from(many) * WINDOW.as_secs_f64() / WARM_UP.as_secs_f64();
-            if part < 0.5 {
-                // Each whole join of half the budget is one process's turn, and is taken as it comes.
-                let budget =
-                    |age: f64| MULTIPLE * places * (COLD_FROM * age + (1.0 - COLD_FROM) * age.powi(3) / 3.0);
-                let sent = fleet.sends.iter().filter(|at| **at >= start).count() as f64;
-                let turns = 0.5 * budget(1.0);
+            fleet.request_every(ms(if controllers > 100 { 500 } else { 100 }));
+            fleet.list_start(0..controllers as usize, start);
+            fleet.advance(WARM_UP - ms(100));
+            fleet.check_budget(start, &format!("{controllers} processes, {stream_capacity} streams"));
+            let own_part = BUDGET_MULTIPLE * stream_capacity / f64::from(controllers) * WINDOW.as_secs_f64()
+                / WARM_UP.as_secs_f64();
+            if own_part < 0.5 {
+                // Each whole join of half the budget is one process's turn, and is used as it comes.
+                let budget = |age: f64| {
+                    BUDGET_MULTIPLE
+                        * stream_capacity
+                        * (COLD_START_FRACTION * age + (1.0 - COLD_START_FRACTION) * age.powi(3) / 3.0)
+                };
+                let joins_sent = fleet.joins_to_first_cell.iter().filter(|at| **at >= start).count() as f64;
+                let expected_turns = 0.5 * budget(1.0);
                 assert!(
-                    (sent - turns).abs() <= 0.15 * turns + 2.0,
-                    "{many}, {places}: {sent} joins for {turns} turns"
+                    (joins_sent - expected_turns).abs() <= 0.15 * expected_turns + 2.0,
+                    "{controllers}, {stream_capacity}: {joins_sent} joins for {expected_turns} turns"
                 );
-                let count =
-                    |to: Duration| fleet.sends.iter().filter(|at| **at >= start && **at <= to).count() as f64;
-                for at in fleet.sends.iter().filter(|at| **at >= start + WINDOW) {
+                let count = |to: Duration| {
+                    fleet.joins_to_first_cell.iter().filter(|at| **at >= start && **at <= to).count() as f64
+                };
+                for at in fleet.joins_to_first_cell.iter().filter(|at| **at >= start + WINDOW) {
                     let age = (*at - start).as_secs_f64() / WARM_UP.as_secs_f64();
-                    let most = 0.5 * budget(age) + 1.0;
-                    assert!(count(*at) <= most, "{many}, {places}: {} joins, turns for {most}", count(*at));
+                    let max_joins = 0.5 * budget(age) + 1.0;
+                    assert!(
+                        count(*at) <= max_joins,
+                        "{controllers}, {stream_capacity}: {} joins, turns for {max_joins}",
+                        count(*at)
+                    );
                 }
             }
         }
     }
 }
 
-/// What a process sent before it was killed is forgotten with it: it must not have its part twice.
+/// A killed process forgets the joins it sent; after its restart it must not use its part a second time.
 #[test]
-fn processes_restarted_within_a_window_have_no_part_twice() {
-    for (many, seed) in MANY.into_iter().zip(11..) {
-        for places in [20.0, many as f64 * 2.0] {
-            let mut fleet = Fleet::new(many, places, seed);
+fn restarted_processes_do_not_get_their_part_twice() {
+    for (controllers, seed) in CONTROLLERS.into_iter().zip(11..) {
+        for stream_capacity in [20.0, controllers as f64 * 2.0] {
+            let mut fleet = Fleet::new(controllers, stream_capacity, seed);
             let start = fleet.now;
-            fleet.ask_every(ms(250));
-            fleet.tell(0..many as usize, start);
+            fleet.request_every(ms(250));
+            fleet.list_start(0..controllers as usize, start);
             for batch in 0..10 {
-                fleet.pass(ms(900));
-                (0..many as usize).filter(|me| me % 10 == batch).for_each(|me| fleet.restart(me));
+                fleet.advance(ms(900));
+                (0..controllers as usize)
+                    .filter(|index| index % 10 == batch)
+                    .for_each(|index| fleet.restart(index));
             }
-            fleet.holds(start, &format!("{many} processes, a tenth restarted each 0.9 s"));
+            fleet.check_budget(start, &format!("{controllers} processes, a tenth restarted each 0.9 s"));
         }
     }
 }
 
-/// Seven in ten processes are new-born, as is a streamer of which the list says nothing for a while; the others saw it
-/// break. All hear that nothing plays there, so that it is the first that each thinks of.
+/// Seven in ten processes have just started, as has a streamer whose start is not listed for a while; the
+/// others saw it fail. All receive reports that it is empty, so that all prefer it.
 #[test]
-fn a_start_that_is_told_late_is_borne_by_new_born_processes_and_witnesses_together() {
-    for (many, seed) in MANY.into_iter().zip(21..) {
-        for late in [ms(1500), ms(4500)] {
-            let every = ms(700);
-            // The budget is so often what is asked of a streamer in a window: six times on the platform's days.
-            let natural = f64::from(many) / f64::from(CELLS) * WINDOW.as_secs_f64() / every.as_secs_f64();
-            let places =
-                RATIO * natural * WARM_UP.as_secs_f64() / (MULTIPLE * COLD_FROM * WINDOW.as_secs_f64());
-            let mut fleet = Fleet::new(many, places, seed);
-            fleet.ask_every(every);
-            fleet.spread = true;
-            fleet.pass(ms(1000));
-            fleet.breaks_under(0..many as usize);
-            let new_born = (0..many as usize).filter(|me| me % 10 < 7);
+fn late_listed_start_stays_within_budget() {
+    for (controllers, seed) in CONTROLLERS.into_iter().zip(21..) {
+        for delay in [ms(1500), ms(4500)] {
+            let request_interval = ms(700);
+            // The budget as a multiple of the requests per streamer in a window; on the platform it is about
+            // six times.
+            let requests_per_window = f64::from(controllers) / f64::from(CELLS) * WINDOW.as_secs_f64()
+                / request_interval.as_secs_f64();
+            let stream_capacity = BUDGET_RATIO * requests_per_window * WARM_UP.as_secs_f64()
+                / (BUDGET_MULTIPLE * COLD_START_FRACTION * WINDOW.as_secs_f64());
+            let mut fleet = Fleet::new(controllers, stream_capacity, seed);
+            fleet.request_every(request_interval);
+            fleet.three_holders = true;
+            fleet.advance(ms(1000));
+            fleet.fail_first_streamer(0..controllers as usize);
+            let restarted = (0..controllers as usize).filter(|index| index % 10 < 7);
             let start = fleet.now;
-            new_born.for_each(|me| fleet.restart(me));
-            fleet.pass(ms(10));
-            fleet.hear_it_is_empty();
-            fleet.pass(late);
-            fleet.tell(0..many as usize, start);
-            fleet.pass(ms(3000));
-            fleet.holds(start, &format!("{many} processes, told {late:?} late"));
+            restarted.for_each(|index| fleet.restart(index));
+            fleet.advance(ms(10));
+            fleet.report_first_streamer_empty();
+            fleet.advance(delay);
+            fleet.list_start(0..controllers as usize, start);
+            fleet.advance(ms(3000));
+            fleet.check_budget(start, &format!("{controllers} processes, start listed {delay:?} late"));
         }
     }
 }
 
-/// A streamer that breaks as it warms up may start again unseen: then it is as cold as any.
+/// A streamer that fails while it warms up may restart before the list shows it, and then is as cold as after
+/// any start.
 #[test]
-fn one_that_breaks_while_it_warms_up_is_taken_to_be_as_cold_as_after_a_start() {
-    for (many, seed) in MANY.into_iter().zip(31..) {
-        let mut fleet = Fleet::new(many, f64::from(many) * 20.0, seed);
+fn streamer_that_fails_while_warming_up_counts_as_cold() {
+    for (controllers, seed) in CONTROLLERS.into_iter().zip(31..) {
+        let mut fleet = Fleet::new(controllers, f64::from(controllers) * 20.0, seed);
         let first = fleet.now;
-        fleet.ask_every(ms(200));
-        fleet.tell(0..many as usize, first);
-        fleet.pass(ms(7500));
-        fleet.holds(first, "before it breaks");
-        fleet.breaks_under(0..many as usize);
+        fleet.request_every(ms(200));
+        fleet.list_start(0..controllers as usize, first);
+        fleet.advance(ms(7500));
+        fleet.check_budget(first, "before it fails");
+        fleet.fail_first_streamer(0..controllers as usize);
         let second = fleet.now;
-        fleet.pass(ms(1500));
-        fleet.holds(second, &format!("{many} processes, not told of the second start"));
-        fleet.tell(0..many as usize, second);
-        fleet.pass(WARM_UP - ms(1600));
-        fleet.holds(second, &format!("{many} processes, told of the second start late"));
+        fleet.advance(ms(1500));
+        fleet.check_budget(second, &format!("{controllers} processes, second start not listed"));
+        fleet.list_start(0..controllers as usize, second);
+        fleet.advance(WARM_UP - ms(1600));
+        fleet.check_budget(second, &format!("{controllers} processes, second start listed late"));
     }
 }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,14 +1,15 @@
-//! What the decisions are told in and what they write to. No decision is made here.
+//! The types of the events that the decisions receive, and the trait that they write to. Nothing is decided
+//! here.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The id of one try for a subscription, as the wire gives it.
+/// The id of one attempt at a subscription, as the wire gives it.
 pub type JobId = u32;
-/// A streamer, by the address that the list gives.
+/// A streamer, identified by its address in the list.
 pub type StreamerId = SocketAddrV4;
 
-/// How a join or a probe ended.
+/// How a join, a probe or a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Served,
@@ -18,83 +19,111 @@
     ConnectFailed,
     Reset,
     Cancelled,
+    /// The join was not sent: its subscription was no longer waiting for one.
     Moot,
 }
 
 impl Ending {
-    /// Whether a join was lost by its streamer's silence or end.
+    /// Whether a join was lost because its streamer did not answer or failed.
     pub fn is_lost(self) -> bool {
         matches!(self, Ending::Timeout | Ending::ConnectFailed | Ending::Reset)
     }
 
-    /// The wire's promise that a join with this ending never ran.
+    /// Whether the wire guarantees that a join with this ending never ran.
     pub fn proves_it_never_ran(self) -> bool {
         matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
     }
 }
 
-/// What the list says of a streamer.
+/// A streamer's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
+    /// No longer listed.
     Gone,
     Ready,
+    /// Still serves its subscriptions but takes no new ones.
     Draining,
 }
 
-/// A streamer's latest start.
+/// The latest start of a streamer's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Start {
-    /// When it was, on this instance's clock; zero is long past.
+    /// Its time on this controller's clock; zero is long past.
     pub at: Duration,
-    /// What the list tells it by. It is the same for every instance, which the time is not: each has a clock of its own.
+    /// The number by which the list identifies the start. It is the same for all controllers, unlike the
+    /// time, since each controller has its own clock.
     pub number: u64,
 }
 
-/// What a `Sync` brings.
+/// What kind of list or list change is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
+    /// Changes since the previous list.
     Changes,
+    /// The whole list.
     Complete,
+    /// The whole list as stored by an earlier process.
     Cached,
+    /// The list service could not answer.
     Failed,
 }
 
-/// A request for a subscription, or one that plays already, field by field.
+/// A request for a subscription, or the description of one that already plays.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
     pub title: u64,
     pub path_key: u64,
     pub room_type: usize,
+    /// How long the viewer waits for the final answer.
     pub client_timeout: Duration,
     pub first_cell: u32,
+    /// Number of consecutive cells, from `first_cell` on, that hold the title.
     pub copies: u32,
+    /// The highest rung that the viewer accepts.
     pub max_rung: u8,
+    /// Expected duration of the subscription, if the viewer gave one.
     pub hinted: Option<Duration>,
+    /// Whether it was moved already; a subscription is moved at most once.
     pub moved: bool,
 }
 
 impl Asked {
-    /// The wire's rule on which cells hold the title.
+    /// Whether a cell is one of those that hold the title, by the wire's rule: `copies` cells from
+    /// `first_cell` on, wrapping at `cells`.
     pub fn held_by(&self, cell: u32, cells: u32) -> bool {
         let cells = cells.max(1);
         (cell % cells + cells - self.first_cell % cells) % cells < self.copies
     }
 }
 
-/// Takes the decisions of a round as they are made.
+/// Receives the decisions of a round as they are made.
 pub trait Writer {
+    /// Sends a join to a streamer, which is tried until `try_until`.
     fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration);
+    /// Throttles a subscription; the viewer may come back after `cool_down`.
     fn shed(&mut self, job: JobId, cool_down: Duration);
+    /// Answers a subscription with an error: trying again could do harm.
     fn respond_error(&mut self, job: JobId);
+    /// Sets the rung of a subscription.
     fn step_to(&mut self, job: JobId, rung: u8);
+    /// Moves a subscription away from its streamer; it comes back as a new request.
     fn shift(&mut self, job: JobId);
+    /// Cancels an outstanding join.
     fn cancel(&mut self, job: JobId, join: u16);
+    /// Sets a timer, which gives `token` back when it fires.
     fn remind(&mut self, from_now: Duration, token: u64);
+    /// Sends a probe to a streamer.
     fn health_check(&mut self, streamer: StreamerId);
+    /// Closes an idle connection to a streamer.
     fn close(&mut self, streamer: StreamerId);
+    /// Sends a message to one other controller, or to all.
     fn signal(&mut self, peer: Option<u16>, bytes: &[u8]);
+    /// Starts or stops the subscription to list changes.
     fn observe(&mut self, want: bool);
+    /// Requests the complete list.
     fn list_all(&mut self);
+    /// Writes an informational line to the log of the host.
     fn emit(&mut self, line: &str);
+    /// Reports a failure that the decisions cannot handle, as a line of the log of the host.
     fn give_in(&mut self, line: &str);
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,12 @@
-//! The decisions of badgerledge, free of any wire.
+//! The decisions of badgerledge, without any I/O: on which streamer a subscription plays, at which rung, and
+//! when it is moved.
 
 pub mod chance;
 pub mod decide;
 pub mod interface;
+pub mod load_reports;
+pub mod settings;
 pub mod state;
-pub mod told;
-pub mod words;
 
 #[cfg(test)]
 mod fleet_tests;
--- a/crates/discovery/src/backoff.rs
+++ b/crates/discovery/src/backoff.rs
@@ -1,33 +1,35 @@
-//! When to try again what did not work.
+//! Delays between retries.
 
 use std::time::Duration;
 
 use badgerledge_core::chance::Chance;
 
-/// Waits that double up to a bound, each cut by chance to between a half and all of it: many controllers that lost
-/// one service at one moment come back to it spread out, and do not come in step.
+/// Exponential backoff with jitter: the delay doubles up to a maximum, and each wait is random between half
+/// of the delay and all of it. Controllers that lose a service at the same moment therefore return to it
+/// spread out.
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
-    tries: u32,
-    chance: Chance,
+    initial_delay: Duration,
+    max_delay: Duration,
+    attempts: u32,
+    rng: Chance,
 }
 
 impl Backoff {
-    pub fn new(first: Duration, most: Duration, seed: u64) -> Self {
-        Self { first, most: most.max(first), tries: 0, chance: Chance(seed) }
+    /// A backoff from `initial_delay` to `max_delay`; `seed` starts its random numbers.
+    pub fn new(initial_delay: Duration, max_delay: Duration, seed: u64) -> Self {
+        Self { initial_delay, max_delay: max_delay.max(initial_delay), attempts: 0, rng: Chance(seed) }
     }
 
-    /// The wait before the next try.
+    /// The time to wait before the next attempt.
     pub fn wait(&mut self) -> Duration {
-        // Ten doublings are a thousandfold, over any bound that is set here.
-        let whole = self.first.saturating_mul(1 << self.tries.min(10)).min(self.most);
-        self.tries = self.tries.saturating_add(1);
-        whole / 2 + (whole / 2).mul_f64(self.chance.share())
+        // Ten doublings are a factor of 1,024, beyond any maximum in use.
+        let full_delay = self.initial_delay.saturating_mul(1 << self.attempts.min(10)).min(self.max_delay);
+        self.attempts = self.attempts.saturating_add(1);
+        full_delay / 2 + (full_delay / 2).mul_f64(self.rng.share())
     }
 
-    /// It worked.
+    /// Starts over after a successful attempt.
     pub fn reset(&mut self) {
-        self.tries = 0;
+        self.attempts = 0;
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,13 +1,14 @@
-//! The list of streamers as a controller holds it: whole lists, changes, failures, and the copy that outlives the
-//! process. Bytes and times in, calls and bytes out; the connection and the file are the program's.
+//! The list of streamers as a controller stores it: complete lists, changes, failures, and the copy on disk
+//! that outlives the process. It does no I/O: the caller has the connection and the file.
 //!
-//! The list service speaks JSON, a line each (`docs/wire.md`). A list or a change is taken whole or not at all:
-//! what is malformed, too long, or does not follow what is held leaves the list as it was.
+//! The list service sends JSON, one object a line (`docs/wire.md`). A list or a change is applied as a whole
+//! or not at all: one that is malformed, too long, or does not follow the present revision leaves the list as
+//! it was.
 
 mod backoff;
-mod book;
+mod streamer_list;
 #[cfg(test)]
 mod tests;
 
 pub use backoff::Backoff;
-pub use book::{health_word, Entry, ListBook, ListFault, Sink, ENTRIES, LONGEST_LINE};
+pub use streamer_list::{health_word, Entry, ListBook, ListFault, Sink, ENTRIES, LONGEST_LINE};
--- a/crates/discovery/src/tests.rs
+++ b/crates/discovery/src/tests.rs
@@ -1,4 +1,4 @@
-//! The book beside a plain map on generated lines, and a small test for each failure.
+//! The list compared with a simple map on generated messages, and single cases of failures.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::{health_word, Backoff, ListBook, ListFault, Sink};
 
-/// What the module would hold.
+/// What the receiver of the entries stores.
 #[derive(Default)]
-struct Held {
+struct SinkRecord {
     streamers: BTreeMap<StreamerId, (Health, Duration)>,
     named: Vec<StreamerId>,
 }
 
-impl Sink for Held {
+impl Sink for SinkRecord {
     fn list_begins(&mut self, _how: Listing) {
         self.named.clear();
     }
@@ -29,8 +29,8 @@
         self.named.push(id);
     }
 
-    fn list_ends(&mut self, how: Listing) {
-        if matches!(how, Listing::Complete | Listing::Cached) {
+    fn list_ends(&mut self, listing: Listing) {
+        if matches!(listing, Listing::Complete | Listing::Cached) {
             self.streamers.retain(|id, _| self.named.contains(id));
         }
         self.streamers.retain(|_, (health, _)| *health != Health::Gone);
@@ -41,7 +41,7 @@
     json!([format!("127.0.0.1:{port}"), 0, 0, port, health, 1.5, start, age])
 }
 
-fn line(how: &str, from: u64, revision: u64, entries: &[Value]) -> Vec<u8> {
+fn message_line(how: &str, from: u64, revision: u64, entries: &[Value]) -> Vec<u8> {
     json!({"how": how, "epoch": 9, "from": from, "revision": revision, "entries": entries})
         .to_string()
         .into_bytes()
@@ -50,69 +50,72 @@
 const NOW: Duration = Duration::from_secs(1000);
 
 #[test]
-fn the_book_agrees_with_a_plain_map_on_generated_lines() {
+fn list_agrees_with_a_simple_map_on_generated_messages() {
     let mut gen = Gen::from_size_and_seed(50, 11);
-    let (mut book, mut held, mut plain) = (ListBook::default(), Held::default(), BTreeMap::new());
+    let (mut list, mut recorded, mut expected) =
+        (ListBook::default(), SinkRecord::default(), BTreeMap::new());
     let (mut revision, mut faults) = (0, 0);
     for _ in 0..3000 {
         let port = u64::from(*gen.choose(&[1u8, 2, 3, 4, 5]).unwrap());
         let health = *gen.choose(&[Health::Ready, Health::Draining, Health::Gone]).unwrap();
         let entries = [entry(port, health_word(health), 1, Some(5))];
         let complete = *gen.choose(&[true, false, false]).unwrap();
-        // Some lines come twice, some are lost, some are old.
-        let skip: u64 = *gen.choose(&[0, 0, 0, 0, 1, 5]).unwrap();
-        let from = (revision + skip).saturating_sub(2 * (skip / 5));
-        let told = line(if complete { "complete" } else { "changes" }, from, from + 1, &entries);
-        match book.take(&told, NOW, &mut held) {
+        // Some messages are repeated, some are lost, some are old.
+        let gap: u64 = *gen.choose(&[0, 0, 0, 0, 1, 5]).unwrap();
+        let from = (revision + gap).saturating_sub(2 * (gap / 5));
+        let message = message_line(if complete { "complete" } else { "changes" }, from, from + 1, &entries);
+        match list.take(&message, NOW, &mut recorded) {
             Ok(_) => {
                 if complete {
-                    plain.clear();
+                    expected.clear();
                 }
                 match health {
-                    Health::Gone => plain.remove(&port),
-                    _ => plain.insert(port, health),
+                    Health::Gone => expected.remove(&port),
+                    _ => expected.insert(port, health),
                 };
                 revision = from + 1;
             }
             Err(_) => faults += 1,
         }
-        assert_eq!(book.revision(), revision);
-        let mine: Vec<_> = book.entries().map(|(id, e)| (u64::from(id.port()), e.health)).collect();
-        assert_eq!(mine, plain.iter().map(|(port, health)| (*port, *health)).collect::<Vec<_>>());
-        let theirs: Vec<_> = held.streamers.iter().map(|(id, s)| (u64::from(id.port()), s.0)).collect();
-        assert_eq!(mine, theirs);
+        assert_eq!(list.revision(), revision);
+        let own_entries: Vec<_> = list.entries().map(|(id, e)| (u64::from(id.port()), e.health)).collect();
+        assert_eq!(own_entries, expected.iter().map(|(port, health)| (*port, *health)).collect::<Vec<_>>());
+        let recorded_entries: Vec<_> =
+            recorded.streamers.iter().map(|(id, s)| (u64::from(id.port()), s.0)).collect();
+        assert_eq!(own_entries, recorded_entries);
     }
-    assert!((100..2000).contains(&faults), "{faults} of 3000 lines were not to be taken");
+    assert!((100..2000).contains(&faults), "{faults} of 3000 messages were rejected");
 }
 
 #[test]
-fn what_is_not_whole_changes_nothing() {
-    let (mut book, mut held) = (ListBook::default(), Held::default());
-    book.take(&line("complete", 0, 4, &[entry(1, "ready", 1, None)]), NOW, &mut held).unwrap();
-    let before = book.clone();
-    for bad in [
+fn invalid_messages_change_nothing() {
+    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
+    list.take(&message_line("complete", 0, 4, &[entry(1, "ready", 1, None)]), NOW, &mut recorded).unwrap();
+    let before = list.clone();
+    for invalid in [
         b"{".to_vec(),
-        line("changes", 3, 5, &[]),
-        line("changes", 4, 3, &[]),
-        line("changes", 4, 5, &[entry(2, "ready", 1, None), json!(["127.0.0.1:3", 0, 0])]),
-        line("changes", 4, 5, &[entry(2, "well", 1, None)]),
-        line("complete", 0, 5, &[json!(["127.0.0.1:3", 0, 0, 1, "ready", -1.0, 1, null])]),
+        message_line("changes", 3, 5, &[]),
+        message_line("changes", 4, 3, &[]),
+        message_line("changes", 4, 5, &[entry(2, "ready", 1, None), json!(["127.0.0.1:3", 0, 0])]),
+        message_line("changes", 4, 5, &[entry(2, "well", 1, None)]),
+        message_line("complete", 0, 5, &[json!(["127.0.0.1:3", 0, 0, 1, "ready", -1.0, 1, null])]),
     ] {
-        assert!(book.take(&bad, NOW, &mut held).is_err());
-        assert_eq!(book, before);
+        assert!(list.take(&invalid, NOW, &mut recorded).is_err());
+        assert_eq!(list, before);
     }
-    let gap = book.take(&line("changes", 7, 8, &[]), NOW, &mut held);
-    assert_eq!(gap, Err(ListFault::Gap { from: 7, held: 4 }));
-    assert_eq!(book.take(b"{\"how\":\"failed\"}", NOW, &mut held), Ok(Listing::Failed));
-    assert_eq!((book, held.streamers.len()), (before, 1));
+    let gap = list.take(&message_line("changes", 7, 8, &[]), NOW, &mut recorded);
+    assert_eq!(gap, Err(ListFault::Gap { from: 7, current: 4 }));
+    assert_eq!(list.take(b"{\"how\":\"failed\"}", NOW, &mut recorded), Ok(Listing::Failed));
+    assert_eq!((list, recorded.streamers.len()), (before, 1));
 }
 
 #[test]
-fn a_start_keeps_its_time_and_a_new_one_has_its_own() {
-    let (mut book, mut held) = (ListBook::default(), Held::default());
+fn known_start_keeps_its_time_and_new_start_gets_its_own() {
+    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
     let mut take = |how, from, entries: &[Value], at: u64| {
-        book.take(&line(how, from, from + 1, entries), Duration::from_millis(at), &mut held).unwrap();
-        held.streamers.values().next().unwrap().1.as_millis()
+        list.take(&message_line(how, from, from + 1, entries), Duration::from_millis(at), &mut recorded)
+            .unwrap();
+        recorded.streamers.values().next().unwrap().1.as_millis()
     };
     assert_eq!(take("complete", 0, &[entry(1, "ready", 7, Some(2000))], 10_000), 8000);
     assert_eq!(take("changes", 1, &[entry(1, "draining", 7, Some(2900))], 11_000), 8000);
@@ -120,37 +123,43 @@
 }
 
 #[test]
-fn the_stored_copy_comes_back_on_another_clock() {
-    let (mut book, mut held) = (ListBook::default(), Held::default());
+fn stored_copy_is_restored_on_another_clock() {
+    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
     let entries = [entry(1, "ready", 7, Some(3000)), entry(2, "draining", 1, None)];
-    book.take(&line("complete", 0, 4, &entries), NOW, &mut held).unwrap();
-    let wall = Duration::from_secs(1_700_000_000);
-    let text = book.store(NOW, wall);
-    let after = ListBook::restore(&text, Duration::from_secs(3600), wall + Duration::from_secs(2)).unwrap();
-    let up: Vec<_> = after.entries().map(|(_, entry)| entry.came_up).collect();
-    assert_eq!(up, [Duration::from_secs(3595), Duration::ZERO]);
-    assert_eq!(after.revision(), 4);
-    let back = ListBook::restore(&text, NOW, wall - Duration::from_secs(60)).unwrap();
-    assert_eq!(back.entries().next().unwrap().1.came_up, NOW, "a clock that went back makes it cold");
-    for torn in [&text[..text.len() / 2], "", "{\"version\":2}", "{\"version\":1}"] {
-        assert!(ListBook::restore(torn, NOW, wall).is_err());
+    list.take(&message_line("complete", 0, 4, &entries), NOW, &mut recorded).unwrap();
+    let wall_clock = Duration::from_secs(1_700_000_000);
+    let text = list.store(NOW, wall_clock);
+    let restored =
+        ListBook::restore(&text, Duration::from_secs(3600), wall_clock + Duration::from_secs(2)).unwrap();
+    let started_at: Vec<_> = restored.entries().map(|(_, entry)| entry.came_up).collect();
+    assert_eq!(started_at, [Duration::from_secs(3595), Duration::ZERO]);
+    assert_eq!(restored.revision(), 4);
+    let restored_after_clock_went_back =
+        ListBook::restore(&text, NOW, wall_clock - Duration::from_secs(60)).unwrap();
+    assert_eq!(
+        restored_after_clock_went_back.entries().next().unwrap().1.came_up,
+        NOW,
+        "after the clock went back it counts as cold"
+    );
+    for invalid in [&text[..text.len() / 2], "", "{\"version\":2}", "{\"version\":1}"] {
+        assert!(ListBook::restore(invalid, NOW, wall_clock).is_err());
     }
-    let mut again = Held::default();
-    after.tell_cached(&mut again);
-    assert_eq!(again.streamers.len(), 2);
+    let mut cached = SinkRecord::default();
+    restored.tell_cached(&mut cached);
+    assert_eq!(cached.streamers.len(), 2);
 }
 
 #[test]
-fn waits_double_to_a_bound_and_differ_by_seed() {
-    let (first, most) = (Duration::from_millis(100), Duration::from_secs(5));
-    let waits = |seed| {
-        let mut backoff = Backoff::new(first, most, seed);
+fn delays_double_up_to_a_maximum_and_differ_by_seed() {
+    let (initial_delay, max_delay) = (Duration::from_millis(100), Duration::from_secs(5));
+    let delays_of = |seed| {
+        let mut backoff = Backoff::new(initial_delay, max_delay, seed);
         (0..20).map(|_| backoff.wait()).collect::<Vec<_>>()
     };
-    let (one, other) = (waits(1), waits(2));
-    assert_ne!(one, other);
-    for (n, wait) in one.iter().enumerate() {
-        let whole = (first * (1 << n.min(10))).min(most);
-        assert!(*wait >= whole / 2 && *wait <= whole, "wait {n} is {wait:?}");
+    let (delays, other_delays) = (delays_of(1), delays_of(2));
+    assert_ne!(delays, other_delays);
+    for (n, wait) in delays.iter().enumerate() {
+        let full_delay = (initial_delay * (1 << n.min(10))).min(max_delay);
+        assert!(*wait >= full_delay / 2 && *wait <= full_delay, "wait {n} is {wait:?}");
     }
 }
--- a/crates/signalling/src/streamers.rs
+++ b/crates/signalling/src/streamers.rs
@@ -1,4 +1,4 @@
-//! Streamers' lines: one JSON object each, ended by a line feed.
+//! Streamers' messages: one JSON object a line.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::{hex64, millis, Fault, MOST};
 
-/// What a streamer's line says.
+/// Receives the decoded messages of a streamer.
 pub trait Heard {
     fn answered(&mut self, session: u64, description: &str);
     fn ended(&mut self, session: u64, cause: u64, load: Option<&str>);
@@ -14,11 +14,11 @@
     fn noted(&mut self, session: u64, note: &str, value: f64);
 }
 
-/// Reads one line and tells how many bytes it took: none while it is not whole.
+/// Decodes one line and returns how many bytes it used; 0 while it is incomplete.
 ///
 /// # Errors
-/// Where the line is no message: nothing more of that connection can be trusted then.
-pub fn hear(bytes: &[u8], heard: &mut impl Heard) -> Result<usize, Fault> {
+/// If the line is not a valid message: nothing more from that connection can be trusted then.
+pub fn hear(bytes: &[u8], handler: &mut impl Heard) -> Result<usize, Fault> {
     let Some(end) = bytes.iter().take(MOST + 1).position(|b| *b == b'\n') else {
         return if bytes.len() > MOST { Err(Fault::Endless) } else { Ok(0) };
     };
@@ -29,12 +29,12 @@
     let with = |key| line.get("with").and_then(|with| with.get(key));
     let load = with("load").and_then(Value::as_str);
     match text("op").ok_or(Fault::Field("op"))? {
-        "accept" => heard.answered(session, text("desc").ok_or(Fault::Field("desc"))?),
-        "end" => heard.ended(session, cause()?, load),
-        "tested" => heard.tested(session, cause()? == 1, load),
+        "accept" => handler.answered(session, text("desc").ok_or(Fault::Field("desc"))?),
+        "end" => handler.ended(session, cause()?, load),
+        "tested" => handler.tested(session, cause()? == 1, load),
         "info" => {
             let note = with("note").and_then(Value::as_str).ok_or(Fault::Field("note"))?;
-            heard.noted(session, note, with("value").and_then(figure).ok_or(Fault::Field("value"))?);
+            handler.noted(session, note, with("value").and_then(number).ok_or(Fault::Field("value"))?);
         }
         "ringing" | "ended" => {}
         _ => return Err(Fault::Kind),
@@ -42,23 +42,25 @@
     Ok(end + 1)
 }
 
-/// A field's figure, be it a number or written as text.
-fn figure(value: &Value) -> Option<f64> {
-    let written = || value.as_str()?.parse().ok();
-    value.as_f64().or_else(written).filter(|figure| figure.is_finite())
+/// The number in a field, which is a JSON number or text.
+fn number(value: &Value) -> Option<f64> {
+    let as_text = || value.as_str()?.parse().ok();
+    value.as_f64().or_else(as_text).filter(|number| number.is_finite())
 }
 
-/// The figures of a load report, in the order of the fields that the settings name; none where one is missing.
+/// The numbers of a load report, in the order of the fields named in the settings; empty if one is missing or
+/// invalid.
 pub fn load(report: &str, fields: &[String]) -> Vec<f64> {
-    let of = |field: &String| {
+    let value_of = |field: &String| {
         let mut pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
-        let figure: f64 = pairs.find(|(name, _)| name == field)?.1.parse().ok()?;
-        (figure.is_finite() && figure >= 0.0).then_some(figure)
+        let number: f64 = pairs.find(|(name, _)| name == field)?.1.parse().ok()?;
+        (number.is_finite() && number >= 0.0).then_some(number)
     };
-    fields.iter().map(of).collect::<Option<_>>().unwrap_or_default()
+    fields.iter().map(value_of).collect::<Option<_>>().unwrap_or_default()
 }
 
-fn line(op: &str, session: u64, mut rest: Value) -> Vec<u8> {
+/// Encodes a message as a line.
+fn encode_line(op: &str, session: u64, mut rest: Value) -> Vec<u8> {
     rest["op"] = json!(op);
     rest["call"] = json!(format!("{session:016x}"));
     let mut out = rest.to_string().into_bytes();
@@ -66,7 +68,7 @@
     out
 }
 
-/// A set-up; nothing where it is too long for a line.
+/// A set-up; `None` if it is too long for a line.
 pub fn offer(
     session: u64, room_type: &str, title: &str, left: Duration, rung: Option<u8>, description: &str,
 ) -> Option<Vec<u8>> {
@@ -74,19 +76,21 @@
     if let Some(rung) = rung {
         with["rung"] = json!(rung.to_string());
     }
-    let out = line("offer", session, json!({"with": with, "desc": description}));
+    let out = encode_line("offer", session, json!({"with": with, "desc": description}));
     (out.len() <= MOST).then_some(out)
 }
 
+/// Ends a session.
 pub fn end(session: u64, cause: u8) -> Vec<u8> {
-    line("end", session, json!({"with": {}, "why": cause}))
+    encode_line("end", session, json!({"with": {}, "why": cause}))
 }
 
-/// A test that is answered with a report.
+/// A test, which the streamer answers with a load report.
 pub fn test(session: u64) -> Vec<u8> {
-    line("test", session, json!({"with": {}, "why": 1}))
+    encode_line("test", session, json!({"with": {}, "why": 1}))
 }
 
+/// Sets the rung of a session.
 pub fn step(session: u64, rung: u8) -> Vec<u8> {
-    line("set", session, json!({"with": {"rung": rung.to_string()}}))
+    encode_line("set", session, json!({"with": {"rung": rung.to_string()}}))
 }
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,4 +1,5 @@
-//! The frames of the wire: a reader that knows where it is, and a writer of replies.
+//! The frames of the simulator's wire: a reader of fields that knows their offset in the input, and a writer
+//! of replies.
 
 use std::io::{Cursor, Read};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,77 +9,87 @@
 use badgerledge_core::interface::{Ending, JobId, StreamerId, Writer};
 use byteorder::{ReadBytesExt, WriteBytesExt, BE};
 
-/// Reads fields from one frame; `base` is where the frame begins in the input.
+/// Reads fields from one frame; `frame_offset` is where the frame begins in the input.
 pub struct Fields<'a> {
     bytes: Cursor<&'a [u8]>,
-    base: u64,
+    frame_offset: u64,
 }
 
-macro_rules! number {
-    ($name:ident, $type:ty, $read:expr) => {
+macro_rules! number_reader {
+    ($name:ident, $type:ty, $read_number:expr) => {
         pub fn $name(&mut self) -> Result<$type> {
-            let at = self.at();
-            let read: fn(&mut Cursor<&'a [u8]>) -> std::io::Result<$type> = $read;
-            read(&mut self.bytes).map_err(|_| anyhow!("truncated record at byte {at}"))
+            let offset = self.offset();
+            let read_number: fn(&mut Cursor<&'a [u8]>) -> std::io::Result<$type> = $read_number;
+            read_number(&mut self.bytes).map_err(|_| anyhow!("truncated record at byte {offset}"))
         }
     };
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(bytes: &'a [u8], base: u64) -> Self {
-        Self { bytes: Cursor::new(bytes), base }
+    pub fn new(bytes: &'a [u8], frame_offset: u64) -> Self {
+        Self { bytes: Cursor::new(bytes), frame_offset }
     }
 
-    /// The byte of the input that comes next.
-    pub fn at(&self) -> u64 {
-        self.base + self.bytes.position()
+    /// The offset of the next byte in the input.
+    pub fn offset(&self) -> u64 {
+        self.frame_offset + self.bytes.position()
     }
 
-    pub fn left(&self) -> usize {
+    /// How many bytes are left in the frame.
+    pub fn remaining_bytes(&self) -> usize {
         self.bytes.get_ref().len() - self.bytes.position() as usize
     }
 
-    number!(u8, u8, |c| c.read_u8());
-    number!(u16, u16, |c| c.read_u16::<BE>());
-    number!(u32, u32, |c| c.read_u32::<BE>());
-    number!(u64, u64, |c| c.read_u64::<BE>());
-    number!(f32, f32, |c| c.read_f32::<BE>());
+    number_reader!(u8, u8, |cursor| cursor.read_u8());
+    number_reader!(u16, u16, |cursor| cursor.read_u16::<BE>());
+    number_reader!(u32, u32, |cursor| cursor.read_u32::<BE>());
+    number_reader!(u64, u64, |cursor| cursor.read_u64::<BE>());
+    number_reader!(f32, f32, |cursor| cursor.read_f32::<BE>());
 
-    pub fn micros(&mut self) -> Result<Duration> {
+    /// A duration that the wire sends in microseconds.
+    pub fn duration(&mut self) -> Result<Duration> {
         Ok(Duration::from_micros(self.u32()?.into()))
     }
 
     /// A number that the wire sends as a float, used as a count.
     pub fn count(&mut self) -> Result<u32> {
-        let at = self.at();
+        let offset = self.offset();
         let value = self.f32()?;
         if !value.is_finite() || value < 0.0 {
-            bail!("not a count at byte {at}: {value}");
+            bail!("not a count at byte {offset}: {value}");
         }
         Ok(value as u32)
     }
+    /// The address of a streamer.
 
     pub fn streamer(&mut self) -> Result<StreamerId> {
         let address = Ipv4Addr::from(self.u32()?);
         Ok(SocketAddrV4::new(address, self.u16()?))
     }
+    /// The next `count` bytes.
 
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8]> {
-        if count > self.left() {
-            bail!("truncated record at byte {}: {count} bytes wanted, {} left", self.at(), self.left());
+        if count > self.remaining_bytes() {
+            bail!(
+                "truncated record at byte {}: {count} bytes wanted, {} left",
+                self.offset(),
+                self.remaining_bytes()
+            );
         }
         let start = self.bytes.position() as usize;
         self.bytes.set_position((start + count) as u64);
         Ok(&self.bytes.get_ref()[start..start + count])
     }
+    /// A load report: a count, then as many numbers.
 
     pub fn load_report(&mut self) -> Result<Vec<f64>> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32().map(f64::from)).collect()
     }
+    /// The code of how a join or probe ended.
 
     pub fn ending(&mut self) -> Result<Ending> {
-        let at = self.at();
+        let offset = self.offset();
         Ok(match self.u16()? {
             0 => Ending::Served,
             1 => Ending::Cancelled,
@@ -88,31 +99,31 @@
             10 => Ending::Reset,
             13 => Ending::Error,
             14 => Ending::ConnectFailed,
-            other => bail!("unknown ending {other} at byte {at}"),
+            other => bail!("unknown ending {other} at byte {offset}"),
         })
     }
 }
 
 /// Reads exactly `count` bytes without trusting the count for an allocation.
-pub fn read_exactly(input: &mut impl Read, count: u64, base: u64) -> Result<Vec<u8>> {
+pub fn read_exactly(input: &mut impl Read, count: u64, frame_offset: u64) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     input.take(count).read_to_end(&mut bytes)?;
     if (bytes.len() as u64) < count {
         bail!(
-            "truncated frame at byte {}: {count} bytes wanted, {} came",
-            base + bytes.len() as u64,
+            "truncated frame at byte {}: {count} bytes wanted, {} received",
+            frame_offset + bytes.len() as u64,
             bytes.len()
         );
     }
     Ok(bytes)
 }
 
-/// A reply as it grows; actions go to the instance that is at work.
+/// A reply that is being written; records are addressed to `instance`.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
     count: u32,
-    pub who: u32,
+    pub instance: u32,
 }
 
 impl Reply {
@@ -129,7 +140,7 @@
     fn record(&mut self, code: u16) -> &mut Self {
         self.count += 1;
         self.records.extend(code.to_be_bytes());
-        self.u32(self.who)
+        self.u32(self.instance)
     }
 
     fn u8(&mut self, value: u8) -> &mut Self {
@@ -152,8 +163,8 @@
         self
     }
 
-    fn micros(&mut self, span: Duration) -> &mut Self {
-        self.u32(u32::try_from(span.as_micros()).unwrap_or(u32::MAX))
+    fn duration(&mut self, duration: Duration) -> &mut Self {
+        self.u32(u32::try_from(duration.as_micros()).unwrap_or(u32::MAX))
     }
 
     fn streamer(&mut self, id: StreamerId) -> &mut Self {
@@ -161,8 +172,8 @@
         self.u16(id.port())
     }
 
-    fn counted(&mut self, bytes: &[u8], most: usize) {
-        let bytes = &bytes[..bytes.len().min(most)];
+    fn counted_bytes(&mut self, bytes: &[u8], max_bytes: usize) {
+        let bytes = &bytes[..bytes.len().min(max_bytes)];
         let _ = self.records.write_u16::<BE>(bytes.len() as u16);
         self.records.extend(bytes);
     }
@@ -175,7 +186,7 @@
     }
 
     fn shed(&mut self, job: JobId, cool_down: Duration) {
-        self.record(2).u32(job).micros(cool_down);
+        self.record(2).u32(job).duration(cool_down);
     }
 
     fn respond_error(&mut self, job: JobId) {
@@ -187,7 +198,7 @@
     }
 
     fn remind(&mut self, from_now: Duration, token: u64) {
-        self.record(5).micros(from_now).u64(token);
+        self.record(5).duration(from_now).u64(token);
     }
 
     fn health_check(&mut self, streamer: StreamerId) {
@@ -199,15 +210,15 @@
     }
 
     fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
-        self.record(8).u16(peer.unwrap_or(u16::MAX)).counted(bytes, 256);
+        self.record(8).u16(peer.unwrap_or(u16::MAX)).counted_bytes(bytes, 256);
     }
 
     fn emit(&mut self, line: &str) {
-        self.record(9).counted(line.as_bytes(), u16::MAX.into());
+        self.record(9).counted_bytes(line.as_bytes(), u16::MAX.into());
     }
 
     fn give_in(&mut self, line: &str) {
-        self.record(10).counted(line.as_bytes(), u16::MAX.into());
+        self.record(10).counted_bytes(line.as_bytes(), u16::MAX.into());
     }
 
     fn observe(&mut self, want: bool) {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many isolated instances of the decisions on the simulator's wire.
+//! Runs many isolated instances of the decisions for the simulator, which sends events on standard input and
+//! reads decisions from standard output.
 
 mod codec;
 mod host;
@@ -10,8 +11,8 @@
     let input = BufReader::new(io::stdin().lock());
     match host::serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("badgerledge-simhost: {fault:#}");
+        Err(error) => {
+            eprintln!("badgerledge-simhost: {error:#}");
             ExitCode::FAILURE
         }
     }
