--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -60,22 +60,26 @@
     subscriptions: BTreeMap<JobId, Subscription>,
     /// Subscriptions that wait to be placed, by the time of the next attempt.
     placements_due: BTreeSet<(Duration, JobId)>,
+    /// When the timer for the earliest placement fires, if one is set.
     due_timer_at: Option<Duration>,
     next_periodic_at: Duration,
     next_move_at: Duration,
     /// Whether subscriptions were handed over at the start: then the whole fleet started with this
     /// controller.
     started_with_handover: bool,
+    /// When to subscribe to the list, if that is due.
     subscribe_list_at: Option<Duration>,
     accepted_requests: f64,
     /// Time and value of an exponentially decaying count of accepted requests.
     recent_requests: (Duration, f64),
+    /// Times of accepted requests, and of joins after the first one of their subscription.
     request_times: VecDeque<Duration>,
     retry_join_times: VecDeque<Duration>,
     /// (sum in seconds, count) of the lifetimes of ended subscriptions, and of the duration hints of
     /// requests.
     lifetime_sums: (f64, f64),
     hint_sums: (f64, f64),
+    /// Rung steps with a lower benefit per rate are not taken.
     min_benefit_per_rate: f64,
     /// Mean utilization by other controllers: [of uplinks, of links].
     mean_others_utilization: [f64; 2],
@@ -353,8 +357,8 @@
         weight * link_state.others_demand + (1.0 - weight) * mean_utilization * self.capacity(network_link)
     }
 
-    /// The utilization to aim at, reduced after short delivery. The design's 0.1 for 60 s is longer than
-    /// needed: most causes of short delivery pass sooner.
+    /// The utilization to aim at, reduced after short delivery by less than the design's 0.1 and for less than
+    /// its 60 s: most causes pass sooner.
     fn target_utilization(&self, network_link: NetworkLink) -> f64 {
         let lowered = self
             .network_links
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -17,6 +17,7 @@
     tops: Vec<u8>,
     /// Number of controllers in the fleet, this one included.
     pub controllers: f64,
+    /// The zone of this controller.
     pub zone: u16,
     pub racks: u32,
     pub cells: u32,
@@ -118,10 +119,12 @@
         list.is_some_and(|list| list.iter().any(|v| v.as_str() == Some(text)))
     }
 
+    /// The length of the list at `path`.
     fn list_length(&self, path: &str) -> usize {
         self.value_at(path).and_then(Value::as_array).map_or(0, Vec::len)
     }
 
+    /// The rate and the benefit of each rung, for each room type.
     fn ladders(&self) -> Vec<Vec<(f64, f64)>> {
         let ladder_of = |room_type: usize| {
             let scale = self.list_number("/familyInfo/classScale", room_type, 1.0);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -57,6 +57,7 @@
 }
 
 impl NetworkLinks {
+    /// The state of a link; the default state if it is not in the table.
     pub fn get(&self, network_link: NetworkLink) -> &LinkState {
         self.states.get(&network_link).unwrap_or(&UNKNOWN)
     }
@@ -119,6 +120,7 @@
 }
 
 impl LinkState {
+    /// A link without demand and with a capacity of 1 kB/s.
     pub const fn new() -> Self {
         Self {
             others_demand: 0.0,
@@ -195,6 +197,7 @@
 }
 
 impl Streamer {
+    /// A streamer that was listed for the first time at `now`.
     pub fn new(health: Health, now: Duration) -> Self {
         Self {
             zone: 0,
--- a/crates/discovery/src/streamer_list.rs
+++ b/crates/discovery/src/streamer_list.rs
@@ -9,12 +9,15 @@
 
 /// Receives the entries of a list or of a change.
 pub trait Sink {
+    /// A list or a change begins.
     fn list_begins(&mut self, listing: Listing);
+    /// One entry.
     #[allow(clippy::too_many_arguments)]
     fn list_entry(
         &mut self, streamer: StreamerId, zone: u16, kind: usize, cell: u32, health: Health, weight: f64,
         came_up: Start,
     );
+    /// The list or the change is complete.
     fn list_ends(&mut self, listing: Listing);
 }
 
@@ -235,6 +238,7 @@
     }
 }
 
+/// Passes one entry to the receiver.
 fn pass_entry(sink: &mut impl Sink, id: StreamerId, entry: &Entry) {
     let Entry { zone, kind, cell, health, weight, start, came_up } = *entry;
     sink.list_entry(id, zone, kind, cell, health, weight, Start { at: came_up, number: start });
@@ -244,6 +248,7 @@
     ListFault::Malformed(format!("{field} is missing or invalid"))
 }
 
+/// Parses the name of a health.
 fn parse_health(name: &str) -> Option<Health> {
     Some(match name {
         "gone" => Health::Gone,
--- a/crates/signalling/src/streamers.rs
+++ b/crates/signalling/src/streamers.rs
@@ -8,9 +8,13 @@
 
 /// Receives the decoded messages of a streamer.
 pub trait Heard {
+    /// The streamer accepts a session; `description` is for the viewer.
     fn answered(&mut self, session: u64, description: &str);
+    /// A session was refused or has ended; `load` is the load report sent with it.
     fn ended(&mut self, session: u64, cause: u64, load: Option<&str>);
+    /// The answer to a test.
     fn tested(&mut self, session: u64, passed: bool, load: Option<&str>);
+    /// A progress report on a playing session.
     fn noted(&mut self, session: u64, note: &str, value: f64);
 }
 
--- a/crates/signalling/src/viewers.rs
+++ b/crates/signalling/src/viewers.rs
@@ -6,6 +6,7 @@
 
 use crate::{millis, Fault, MOST};
 
+/// Kinds of frames.
 const SET_UP: u8 = 1;
 const PROGRESS: u8 = 6;
 const ANSWER: u8 = 9;
@@ -31,6 +32,7 @@
 
 /// Receives the decoded frames of a viewer.
 pub trait Heard {
+    /// A viewer asks for a subscription.
     fn set_up(&mut self, session: u64, parameters: Parameters<'_>);
     /// A set-up whose parameters exceed its frame.
     fn spoilt_set_up(&mut self, session: u64);
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -60,14 +60,14 @@
         }
         Ok(value as u32)
     }
-    /// The address of a streamer.
 
+    /// The address of a streamer.
     pub fn streamer(&mut self) -> Result<StreamerId> {
         let address = Ipv4Addr::from(self.u32()?);
         Ok(SocketAddrV4::new(address, self.u16()?))
     }
-    /// The next `count` bytes.
 
+    /// The next `count` bytes.
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8]> {
         if count > self.remaining_bytes() {
             bail!(
@@ -80,14 +80,14 @@
         self.bytes.set_position((start + count) as u64);
         Ok(&self.bytes.get_ref()[start..start + count])
     }
-    /// A load report: a count, then as many numbers.
 
+    /// A load report: a count, then as many numbers.
     pub fn load_report(&mut self) -> Result<Vec<f64>> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32().map(f64::from)).collect()
     }
-    /// The code of how a join or probe ended.
 
+    /// The code of how a join or probe ended.
     pub fn ending(&mut self) -> Result<Ending> {
         let offset = self.offset();
         Ok(match self.u16()? {
@@ -137,6 +137,7 @@
         frame
     }
 
+    /// Begins a record for the present instance.
     fn record(&mut self, code: u16) -> &mut Self {
         self.count += 1;
         self.records.extend(code.to_be_bytes());
@@ -172,6 +173,7 @@
         self.u16(id.port())
     }
 
+    /// Writes at most `max_bytes` bytes, preceded by their number.
     fn counted_bytes(&mut self, bytes: &[u8], max_bytes: usize) {
         let bytes = &bytes[..bytes.len().min(max_bytes)];
         let _ = self.records.write_u16::<BE>(bytes.len() as u16);
