--- a/crates/core/src/decide/sums.rs
+++ b/crates/core/src/decide/sums.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Drops a subscription whose client timeout has passed.
+    /// Drops a subscription that the host answered or closed itself, such as when its viewer left.
     pub fn expired(&mut self, job: JobId) {
         self.remove_subscription(job);
     }
