--- a/crates/bench/src/capacity/roles/agreement_net.rs
+++ b/crates/bench/src/capacity/roles/agreement_net.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_gossip::Budget;
 use badgerledge_revisions::word::Word;
 use badgerledge_revisions::{
@@ -91,7 +91,7 @@
     seats: Vec<Seat>,
     events: BTreeMap<(Duration, u64), Event>,
     sequence: u64,
-    chance: Chance,
+    chance: Rng,
 }
 
 impl Net {
@@ -115,7 +115,7 @@
             Seat { member, budget: Budget::new(now), spent: Spent::default(), due: Duration::MAX }
         };
         let seats = (0..members).map(seat).collect();
-        let chance = Chance(seed);
+        let chance = Rng(seed);
         let mut net = Self { now, seats, events: BTreeMap::new(), sequence: 0, chance };
         (0..members).for_each(|me| net.schedule(me));
         net
@@ -217,7 +217,7 @@
             match given {
                 Given::Send(to, bytes) => self.send(me, to, bytes),
                 Given::Fetch(signed, from) => {
-                    let at = self.now + self.chance.span(DELAY) * WAYS_OF_A_TEXT;
+                    let at = self.now + self.chance.random_duration(DELAY) * WAYS_OF_A_TEXT;
                     self.put(at, Event::Text { to: me, from, signed });
                 }
                 Given::Store(_) | Given::StoreText(..) | Given::Changed | Given::Unfit(..) => {}
@@ -235,7 +235,7 @@
         }
         seat.spent.sent += 1;
         seat.spent.sent_bytes += length as u64;
-        let at = self.now + self.chance.span(DELAY);
+        let at = self.now + self.chance.random_duration(DELAY);
         self.put(at, Event::Word { from, to, bytes });
     }
 
--- a/crates/bench/src/capacity/roles/list.rs
+++ b/crates/bench/src/capacity/roles/list.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use badgerledge_core::interface::{Health, Listing, Start, StreamerId};
-use badgerledge_discovery::{ListBook, Sink, ENTRIES, LONGEST_LINE};
+use badgerledge_discovery::{Sink, StreamerList, MAX_ENTRIES, MAX_LINE_BYTES};
 use serde_json::{json, Value};
 
 use super::{Role, CORE_SHARE, MEMORY_BYTES};
@@ -52,22 +52,22 @@
     let entries: Vec<Value> = (0..size).map(|n| entry(n, "ready")).collect();
     let whole = line("complete", 0, 1, &entries);
     let read_ms = least_ms(RUNS, || {
-        let _ = ListBook::default().take(&whole, NOW, &mut Counting::default());
+        let _ = StreamerList::default().apply(&whole, NOW, &mut Counting::default());
     });
     let (book, live) = with_live_bytes(|| {
-        let mut book = ListBook::default();
-        book.take(&whole, NOW, &mut Counting::default()).map(|_| book)
+        let mut book = StreamerList::default();
+        book.apply(&whole, NOW, &mut Counting::default()).map(|_| book)
     });
     let mut book = book?;
     let change = line("changes", 1, 2, &[entry(0, "draining")]);
     let change_ms = processor_ms(|| {
-        let _ = book.take(&change, NOW, &mut Counting::default());
+        let _ = book.apply(&change, NOW, &mut Counting::default());
     });
     let mut stored = 0;
     let store_ms = least_ms(RUNS, || stored = book.store(NOW, NOW).len());
     Ok(vec![
-        Reading::new("entries", "", book.known().len() as f64).limited(ENTRIES as f64),
-        Reading::new("bytes of a complete line", "bytes", whole.len() as f64).limited(LONGEST_LINE as f64),
+        Reading::new("entries", "", book.streamers().len() as f64).limited(MAX_ENTRIES as f64),
+        Reading::new("bytes of a complete line", "bytes", whole.len() as f64).limited(MAX_LINE_BYTES as f64),
         Reading::new("taking a complete line", "ms of a core", read_ms),
         Reading::new("taking one change", "ms of a core", change_ms),
         Reading::new("bytes of one change", "bytes", change.len() as f64),
--- a/crates/bench/src/changes.rs
+++ b/crates/bench/src/changes.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use badgerledge_changes::{outcome, Configuration, Stage, Subscription};
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_deployment::entries::entries_of;
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_deployment::{StateReader, Text};
@@ -50,7 +50,11 @@
     let fates = least(|| {
         let configuration = Configuration { shared, titles: known };
         for job in 0..held {
-            let asked = Asked { title: u64::from(job % titles), copies: 3, ..Asked::default() };
+            let asked = SubscriptionRequest {
+                title: u64::from(job % titles),
+                copies: 3,
+                ..SubscriptionRequest::default()
+            };
             std::hint::black_box(outcome(
                 &Subscription { asked, stage: Stage::Plays { cell: Some(job % 40) } },
                 configuration,
--- a/crates/bench/src/round.rs
+++ b/crates/bench/src/round.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest};
 use badgerledge_exchange::{Carrier, Exchange, Line};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -24,7 +24,7 @@
     fn open_join(&mut self, job: JobId, number: u16, _streamer: StreamerId) {
         self.begun.push((job, number));
     }
-    fn set_up(&mut self, _job: JobId, _number: u16, _asked: &Asked, _rung: Option<u8>) {}
+    fn set_up(&mut self, _job: JobId, _number: u16, _asked: &SubscriptionRequest, _rung: Option<u8>) {}
     fn play(&mut self, _job: JobId, _number: u16) {}
     fn step(&mut self, _job: JobId, _number: u16, _rung: u8) {}
     fn end_join(&mut self, _job: JobId, _number: u16) {}
@@ -100,14 +100,14 @@
         self.now += Duration::from_millis(10);
         let (n, now) = (self.requests, self.now);
         self.requests += 1;
-        let asked = Asked {
+        let asked = SubscriptionRequest {
             title: u64::from(n % 64),
             path_key: u64::from(n),
             client_timeout: Duration::from_secs(4),
             first_cell: n % self.streamers,
             copies: self.copies,
             max_rung: 4,
-            ..Asked::default()
+            ..SubscriptionRequest::default()
         };
         let begun = Instant::now();
         let used = processor_ms(|| {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -33,20 +33,20 @@
 impl Catalogue {
     /// Reads a catalogue file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        Self::of(&Sheet::read(path)?)
+        Self::from_sheet(&Sheet::read(path)?)
     }
 
     /// Reads a catalogue from a sheet with no other sections.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
+    pub fn from_sheet(sheet: &Sheet) -> Result<Self, Faults> {
         sheet.only(&["title"])?;
-        Self::among(sheet)
+        Self::from_sections(sheet)
     }
 
     /// Reads the titles of a sheet that may have other sections.
     ///
     /// # Errors
     /// Lists each invalid title.
-    pub fn among(sheet: &Sheet) -> Result<Self, Faults> {
+    pub fn from_sections(sheet: &Sheet) -> Result<Self, Faults> {
         let (mut titles, mut faults) = (BTreeMap::new(), Vec::new());
         for name in sheet.named("title") {
             let section = format!("title {name}");
@@ -73,7 +73,7 @@
 
     /// Parses the exact form that [`Catalogue::text`] writes, in some tens of milliseconds for 100,000
     /// titles. `None` for anything else.
-    pub fn of_text(text: &str) -> Option<Self> {
+    pub fn parse_canonical(text: &str) -> Option<Self> {
         let mut titles = BTreeMap::new();
         let mut lines = text.lines();
         while let Some(heading) = lines.next() {
@@ -163,7 +163,7 @@
 
     #[test]
     fn titles_are_read_and_faults_placed() {
-        let read = |text: &str| Sheet::parse("c.ini", text).and_then(|sheet| Catalogue::of(&sheet));
+        let read = |text: &str| Sheet::parse("c.ini", text).and_then(|sheet| Catalogue::from_sheet(&sheet));
         let catalogue = read("[title 2a]\nroom_type = clip\nfirst_cell = 3\ncopies = 2\n").unwrap();
         assert_eq!(catalogue.title(42).map(|title| (title.first_cell, title.copies)), Some((3, 2)));
         let faults =
--- a/crates/changes/src/outcome.rs
+++ b/crates/changes/src/outcome.rs
@@ -1,7 +1,7 @@
 //! What a change means for one subscription.
 
 use badgerledge_catalogue::Catalogue;
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_deployment::Shared;
 
 /// What is in force from now on: settings in the held numbers ([`crate::arrange`]), and the titles.
@@ -25,7 +25,7 @@
 /// A subscription under way, as far as a change looks at it.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
-    pub asked: Asked,
+    pub asked: SubscriptionRequest,
     pub stage: Stage,
 }
 
@@ -75,8 +75,8 @@
         return Outcome { top, placement: (asked.first_cell, 0), action };
     };
     let placement = (title.first_cell, title.copies);
-    let now = Asked { first_cell: placement.0, copies: placement.1, ..*asked };
-    let held = |cell: Option<u32>| cell.is_none_or(|cell| now.held_by(cell, shared.fleet.cells));
+    let now = SubscriptionRequest { first_cell: placement.0, copies: placement.1, ..*asked };
+    let held = |cell: Option<u32>| cell.is_none_or(|cell| now.is_held_by(cell, shared.fleet.cells));
     let action = match *stage {
         Stage::Joins { cell, sent: false } if !held(cell) => Action::Withdrawn,
         Stage::Joins { cell, sent: true } | Stage::Plays { cell } if !held(cell) => Action::MovesOn,
--- a/crates/changes/src/tests.rs
+++ b/crates/changes/src/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_catalogue::Catalogue;
-use badgerledge_core::interface::{Asked, StreamerId};
+use badgerledge_core::interface::{StreamerId, SubscriptionRequest};
 use badgerledge_deployment::Shared;
 use badgerledge_settings::Sheet;
 use quickcheck::{Gen, QuickCheck};
@@ -40,11 +40,11 @@
 }
 
 fn titles(text: &str) -> Catalogue {
-    Catalogue::among(&Sheet::parse("titles", text).unwrap()).unwrap()
+    Catalogue::from_sections(&Sheet::parse("titles", text).unwrap()).unwrap()
 }
 
 fn under(stage: Stage) -> Subscription {
-    let asked = Asked { title: 7, copies: 2, max_rung: 9, ..Asked::default() };
+    let asked = SubscriptionRequest { title: 7, copies: 2, max_rung: 9, ..SubscriptionRequest::default() };
     Subscription { asked, stage }
 }
 
--- a/crates/controller/src/changing.rs
+++ b/crates/controller/src/changing.rs
@@ -4,8 +4,8 @@
 
 use badgerledge_catalogue::Catalogue;
 use badgerledge_changes::{outcome, Action, Configuration, MoveSchedule, Outcome, Stage, Subscription};
-use badgerledge_core::chance::Chance;
 use badgerledge_core::interface::{JobId, StreamerId};
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::Shared;
 use badgerledge_exchange::book::{Book, Held};
 use badgerledge_exchange::Floor;
@@ -36,12 +36,12 @@
     pending: bool,
     moves: MoveSchedule,
     within: Duration,
-    chance: Chance,
+    chance: Rng,
 }
 
 impl Changing {
     pub fn new(within: Duration, seed: u64) -> Self {
-        Self { pending: false, moves: MoveSchedule::default(), within, chance: Chance(seed) }
+        Self { pending: false, moves: MoveSchedule::default(), within, chance: Rng(seed) }
     }
 
     /// The ends act on something else by now: the next round tells the module.
@@ -76,7 +76,7 @@
         }
         // In an order by chance: or those held longest would always be the first to go.
         for at in (1..leaving.len()).rev() {
-            leaving.swap(at, (self.chance.share() * (at + 1) as f64) as usize);
+            leaving.swap(at, (self.chance.unit_interval() * (at + 1) as f64) as usize);
         }
         self.moves.spread(ends.now, self.within, &leaving);
         let count = |action: Action| outcomes.iter().filter(|(_, outcome)| outcome.action == action).count();
--- a/crates/controller/src/ends/carrier.rs
+++ b/crates/controller/src/ends/carrier.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, JobId, StreamerId};
+use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
 use badgerledge_exchange::Carrier;
 use badgerledge_reactor::Line;
 
@@ -25,7 +25,7 @@
         self.connect_join(job, number, streamer);
     }
 
-    fn set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>) {
+    fn set_up(&mut self, job: JobId, number: u16, asked: &SubscriptionRequest, rung: Option<u8>) {
         self.request_set_up(job, number, asked, rung);
     }
 
--- a/crates/controller/src/ends/joins.rs
+++ b/crates/controller/src/ends/joins.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_accounts::Key;
-use badgerledge_core::interface::{Asked, Ending, JobId, StreamerId};
+use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
 use badgerledge_reactor::{Bounds, Line};
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{Response, Unit};
@@ -37,7 +37,9 @@
     }
 
     /// Sends a join's SETUP.
-    pub(super) fn request_set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>) {
+    pub(super) fn request_set_up(
+        &mut self, job: JobId, number: u16, asked: &SubscriptionRequest, rung: Option<u8>,
+    ) {
         let me = self.deployment.place.number;
         let room_types = &self.deployment.shared.room_types;
         let Some((room_type, told)) = room_types.get(asked.room_type) else { return };
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_core::interface::{Health, Listing, Start, StreamerId};
 use badgerledge_deployment::ControllerPlace;
-use badgerledge_discovery::{Backoff, ListBook, Sink, LONGEST_LINE};
+use badgerledge_discovery::{Backoff, Sink, StreamerList, MAX_LINE_BYTES};
 use badgerledge_exchange::{Carrier, Floor};
 use badgerledge_reactor::{Line, Reactor};
 
@@ -28,7 +28,7 @@
     open: bool,
     retry_at: Option<Duration>,
     backoff: Backoff,
-    pub book: ListBook,
+    pub book: StreamerList,
     /// Changes are told without being asked for.
     automatic: bool,
     /// What the module asked for while there was no connection.
@@ -83,7 +83,7 @@
             return;
         }
         let Some(at) = self.at else { return };
-        let bounds = badgerledge_reactor::Bounds { input: LONGEST_LINE, output: 4096 };
+        let bounds = badgerledge_reactor::Bounds { input: MAX_LINE_BYTES, output: 4096 };
         match reactor.connect(at, PATIENCE, bounds) {
             Ok(line) => self.line = Some(line),
             Err(_) => self.retry_at = Some(now + self.backoff.wait()),
@@ -94,10 +94,10 @@
         self.open = true;
         let (observe, whole) = std::mem::take(&mut self.wants);
         if self.automatic || observe == Some(true) {
-            self.send(reactor, &self.book.ask_changes(true, self.number));
+            self.send(reactor, &self.book.changes_request(true, self.number));
         }
         if whole {
-            self.send(reactor, &ListBook::ask_whole(self.number));
+            self.send(reactor, &StreamerList::full_list_request(self.number));
         }
     }
 
@@ -114,9 +114,9 @@
         let Some(line) = self.line else { return };
         let input = reactor.input(line);
         let Some(end) = input.iter().rposition(|byte| *byte == b'\n') else {
-            if input.len() >= LONGEST_LINE {
+            if input.len() >= MAX_LINE_BYTES {
                 tracing::warn!(
-                    most = LONGEST_LINE,
+                    most = MAX_LINE_BYTES,
                     "a line of the list service is too long; connecting anew"
                 );
                 reactor.close(line);
@@ -147,7 +147,7 @@
 
     fn observe(&mut self, reactor: &mut Reactor, want: bool) {
         if self.open {
-            self.send(reactor, &self.book.ask_changes(want, self.number));
+            self.send(reactor, &self.book.changes_request(want, self.number));
         } else {
             self.wants.0 = Some(want);
         }
@@ -155,7 +155,7 @@
 
     fn list_all(&mut self, reactor: &mut Reactor) {
         if self.open {
-            self.send(reactor, &ListBook::ask_whole(self.number));
+            self.send(reactor, &StreamerList::full_list_request(self.number));
         } else {
             self.wants.1 = true;
         }
@@ -175,7 +175,7 @@
     }
 }
 
-fn restored(path: &Path, now: Duration) -> Option<ListBook> {
+fn restored(path: &Path, now: Duration) -> Option<StreamerList> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return None,
@@ -184,7 +184,7 @@
             return None;
         }
     };
-    ListBook::restore(&text, now, wall())
+    StreamerList::restore(&text, now, wall())
         .map_err(
             |e| tracing::warn!(path = %path.display(), "the stored list is no use: {e}; starting without"),
         )
@@ -218,22 +218,24 @@
     /// Streamers that take joins, with their starts.
     fn ready(&self) -> Vec<(StreamerId, u64)> {
         let ready = self.book.entries().filter(|(_, entry)| entry.health == Health::Ready);
-        ready.map(|(id, entry)| (id, entry.start)).collect()
+        ready.map(|(id, entry)| (id, entry.start_number)).collect()
     }
 
     fn note_went(&mut self, before: Vec<(StreamerId, u64)>) {
         let Some(went) = &mut self.went else { return };
         let off = |(id, start): &(StreamerId, u64)| {
-            self.book.entry(id).is_none_or(|entry| entry.health != Health::Ready || entry.start != *start)
+            self.book
+                .entry(id)
+                .is_none_or(|entry| entry.health != Health::Ready || entry.start_number != *start)
         };
         went.extend(before.into_iter().filter(off));
     }
 
     /// Takes one line of the service into the book and on to the round. Tells whether the whole list is wanted.
     pub fn take<C: Carrier>(&mut self, line: &[u8], now: Duration, floor: &mut Floor<'_, '_, C>) -> bool {
-        let known = self.book.known();
+        let known = self.book.streamers();
         let before = self.went.as_ref().map(|_| self.ready());
-        match self.book.take(line, now, &mut ToFloor { floor, known }) {
+        match self.book.apply(line, now, &mut ToFloor { floor, known }) {
             Ok(how) => {
                 self.unstored |= how != Listing::Failed;
                 self.note_went(before.unwrap_or_default());
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_catalogue::Catalogue;
-use badgerledge_core::chance::Chance;
 use badgerledge_core::interface::StreamerId;
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::{ActedOn, Deployment, Text};
 use badgerledge_keys::Keys;
 use badgerledge_reactor::{Line, Reactor};
@@ -59,7 +59,7 @@
     /// Nothing where positions of lists are not told.
     lists: Option<Lists>,
     tell_lists_at: Duration,
-    chance: Chance,
+    chance: Rng,
 }
 
 impl Revising {
@@ -120,7 +120,7 @@
             now,
             lists: told.lists.then(Lists::default),
             tell_lists_at: now,
-            chance: Chance(seed.rotate_left(11)),
+            chance: Rng(seed.rotate_left(11)),
         }))
     }
 
@@ -199,7 +199,7 @@
         let others: Vec<Member> =
             Hand::members(self.revisions.hand()).iter().copied().filter(|member| *member != me).collect();
         for _ in 0..count {
-            let at = (self.chance.share() * others.len() as f64) as usize;
+            let at = (self.chance.unit_interval() * others.len() as f64) as usize;
             if let Some(to) = others.get(at) {
                 gossiping.send_message(reactor, self.now, u32::from(*to), &word);
             }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -268,7 +268,8 @@
                 if let Some(off) = revising.heard(&mut self.ends.reactor, gossiping, peer, &word) {
                     for off in off {
                         let id = StreamerId::new(off.ip.into(), off.port);
-                        let ours = |entry: &Entry| entry.start == off.start && entry.health == Health::Ready;
+                        let ours =
+                            |entry: &Entry| entry.start_number == off.start && entry.health == Health::Ready;
                         if self.list.book.entry(&id).is_some_and(ours) {
                             tracing::info!(streamer = %id, "said by others to be off their lists");
                             counter!(watch::SAID_OFF).increment(1);
@@ -344,7 +345,7 @@
         self.exchange.round(now, &mut self.ends, |floor| {
             changing.carry_out(turn, floor, now);
             if !born {
-                list.book.tell_cached(&mut ToFloor { floor, known: Vec::new() });
+                list.book.pass_cached(&mut ToFloor { floor, known: Vec::new() });
             }
             // The list first: what goes out in this round knows of it.
             for line in &lines {
--- a/crates/controller/src/viewer.rs
+++ b/crates/controller/src/viewer.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, JobId};
+use badgerledge_core::interface::{JobId, SubscriptionRequest};
 use badgerledge_deployment::Shared;
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{Bounds, Framer, Request, Server};
@@ -76,7 +76,9 @@
 }
 
 /// The fields of a SETUP. `Err` is what is wrong with one of them.
-pub fn asked(request: &Request, line: u64, held: (u32, u32, &str), shared: &Shared) -> Result<Asked, String> {
+pub fn asked(
+    request: &Request, line: u64, held: (u32, u32, &str), shared: &Shared,
+) -> Result<SubscriptionRequest, String> {
     let (first_cell, copies, usual_type) = held;
     let uri = request.request_uri().ok_or("a SETUP names its title")?;
     let named = request.word(words::ROOM_TYPE).unwrap_or(usual_type);
@@ -96,7 +98,7 @@
         }
     };
     let client_timeout = number(words::CLIENT_TIMEOUT)?.map_or(usual, Duration::from_millis);
-    Ok(Asked {
+    Ok(SubscriptionRequest {
         title: words::title(uri).ok_or("a SETUP names its title")?,
         path_key,
         room_type,
@@ -104,7 +106,7 @@
         first_cell,
         copies,
         max_rung: number(words::MAX_RUNG)?.unwrap_or(u64::from(u8::MAX)).min(u64::from(u8::MAX)) as u8,
-        hinted: number(words::HINT)?.filter(|hint| *hint > 0).map(Duration::from_millis),
+        duration_hint: number(words::HINT)?.filter(|hint| *hint > 0).map(Duration::from_millis),
         moved: request.marked("moved"),
     })
 }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -3,7 +3,7 @@
 //!
 //! The host creates one [`Controller`] per instance and calls [`Controller::round`] once a round with a
 //! closure that passes each record received, in order, to the method for its kind. Then the work that is due
-//! runs, and decisions go to the [`Writer`]. The records are in `state.rs`; the mechanism and where it
+//! runs, and decisions go to the [`DecisionSink`]. The records are in `state.rs`; the mechanism and where it
 //! departs from the design is in `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,9 +11,11 @@
 
 use serde_json::{Map, Value};
 
-use crate::chance::{scattered, Chance};
-use crate::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId, Writer};
+use crate::interface::{
+    DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest,
+};
 use crate::load_reports::{self, LinkName, LoadReport};
+use crate::random::{start_hash, Rng};
 use crate::settings::Settings;
 use crate::state::{remove_departed, NetworkLink, NetworkLinks, Streamer, Subscription};
 
@@ -54,7 +56,7 @@
     now: Duration,
     started_at: Duration,
     pub(crate) settings: Settings,
-    rng: Chance,
+    rng: Rng,
     streamers: BTreeMap<StreamerId, Streamer>,
     network_links: NetworkLinks,
     subscriptions: BTreeMap<JobId, Subscription>,
@@ -95,16 +97,18 @@
     pub fn new(now: Duration, seed: u64, options: Map<String, Value>) -> Self {
         let settings = Settings::new(options);
         let subscribe_list_at = (settings.text("/discovery") == "subscribe").then_some(now);
-        let (started_at, next_move_at, rng) = (now, now + MOVE_INTERVAL, Chance(seed));
+        let (started_at, next_move_at, rng) = (now, now + MOVE_INTERVAL, Rng(seed));
         Self { now, started_at, next_move_at, subscribe_list_at, settings, rng, ..Self::default() }
     }
 
     /// Runs one round: applies all records received, then does the work that is due.
-    pub fn round<W: Writer>(&mut self, now: Duration, arrivals: impl FnOnce(&mut Self, &mut W), out: &mut W) {
-        (self.now, self.round_random) = (now, self.rng.share());
+    pub fn round<W: DecisionSink>(
+        &mut self, now: Duration, arrivals: impl FnOnce(&mut Self, &mut W), out: &mut W,
+    ) {
+        (self.now, self.round_random) = (now, self.rng.unit_interval());
         arrivals(self, out);
         if self.subscribe_list_at.take_if(|at| *at <= now).is_some() {
-            out.observe(true);
+            out.watch_list(true);
         }
         while let Some((_, job)) = self.placements_due.first().copied().filter(|entry| entry.0 <= now) {
             self.placements_due.pop_first();
@@ -118,18 +122,18 @@
         let due_timer_at = self.due_timer_at.unwrap_or(Duration::MAX);
         if let Some(at) = self.placements_due.first().map(|entry| entry.0).filter(|at| *at < due_timer_at) {
             self.due_timer_at = Some(at);
-            out.remind(at - now, DUE_TIMER);
+            out.set_timer(at - now, DUE_TIMER);
         }
     }
 
     /// Work repeated every 200 ms: adjusts rungs, probes, shares measurements and, when due, moves
     /// subscriptions.
-    fn run_periodic_work<W: Writer>(&mut self, out: &mut W) {
+    fn run_periodic_work<W: DecisionSink>(&mut self, out: &mut W) {
         // Far below the interval of progress reports, so that a cut promptly follows the report that calls
         // for it.
         let interval = Duration::from_millis(200);
         self.next_periodic_at = self.now + interval;
-        out.remind(interval, PERIODIC_TIMER);
+        out.set_timer(interval, PERIODIC_TIMER);
         self.update_mean_others_utilization();
         self.min_benefit_per_rate = self.fleet_min_benefit_per_rate();
         self.probe_stale_streamers(out);
@@ -137,24 +141,24 @@
         self.share_measurements(out);
         if self.now >= self.next_move_at {
             // The random part keeps controllers from moving subscriptions at the same moment.
-            self.next_move_at = self.now + MOVE_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.share());
+            self.next_move_at = self.now + MOVE_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.unit_interval());
             self.move_subscriptions(out);
         }
     }
 
     /// Accepts a request for a subscription.
-    pub fn request(&mut self, job: JobId, request: Asked) {
+    pub fn request(&mut self, job: JobId, request: SubscriptionRequest) {
         self.request_times.push_back(self.now);
         self.accepted_requests += 1.0;
         self.recent_requests = (self.now, self.recent_request_rate() * REQUEST_RATE_DECAY_S + 1.0);
-        let hint = request.hinted.map_or((0.0, 0.0), |hint| (hint.as_secs_f64(), 1.0));
+        let hint = request.duration_hint.map_or((0.0, 0.0), |hint| (hint.as_secs_f64(), 1.0));
         self.hint_sums = (self.hint_sums.0 + hint.0, self.hint_sums.1 + hint.1);
         self.subscriptions.insert(job, Subscription { request, accepted_at: self.now, ..Default::default() });
         self.placements_due.insert((self.now, job));
     }
 
     /// Takes over a subscription that already plays on `streamer`.
-    pub fn resumed(&mut self, job: JobId, request: Asked, streamer: StreamerId) {
+    pub fn resumed(&mut self, job: JobId, request: SubscriptionRequest, streamer: StreamerId) {
         self.started_with_handover = true;
         // It may step once the first progress reports have arrived: after one report interval and their
         // delay.
@@ -176,7 +180,7 @@
     }
 
     /// A join was served: the subscription plays.
-    pub fn flowing(&mut self, job: JobId, _join: u16, streamer: StreamerId, _latency: Duration) {
+    pub fn join_served(&mut self, job: JobId, _join: u16, streamer: StreamerId, _latency: Duration) {
         self.record_join_result(streamer, true);
         if let Some(subscription) = self.subscriptions.get_mut(&job) {
             (subscription.playing, subscription.last_step_at) = (true, self.now);
@@ -231,7 +235,7 @@
     }
 
     /// Result of a probe; `usage` is the streamer's load report, if it sent one.
-    pub fn echo(&mut self, streamer: StreamerId, ending: Ending, _latency: Duration, usage: &[f64]) {
+    pub fn probe_result(&mut self, streamer: StreamerId, ending: Ending, _latency: Duration, usage: &[f64]) {
         let answered_at = (ending == Ending::Served).then_some(self.now);
         self.streamers
             .entry(streamer)
@@ -241,7 +245,7 @@
 
     /// Load reports from another controller. They update the others' demand where nothing newer is known
     /// here; the allowance of this controller depends on its own measurements alone.
-    pub fn peer(&mut self, _peer: u32, bytes: &[u8]) {
+    pub fn receive_load_reports(&mut self, _peer: u32, bytes: &[u8]) {
         for report in load_reports::decode(bytes) {
             let streamer_named =
                 |name| self.streamers.keys().find(|id| load_reports::streamer_name(**id) == name);
@@ -263,13 +267,13 @@
 
     /// Sets the rate in kB/s that new joins may still take from a zone, or from any zone (`None`). Not called
     /// without a crossing budget.
-    pub fn crossing(&mut self, from: Option<u16>, left: f64) {
+    pub fn set_crossing_budget(&mut self, from: Option<u16>, left: f64) {
         self.crossing_budgets.insert(from, left);
     }
 
     /// Sets or clears the highest allowed rung of a subscription whose media crosses zones. The rung is
     /// lowered at once, since crossing media is counted by the second.
-    pub fn cap<W: Writer>(&mut self, job: JobId, cap: Option<u8>, out: &mut W) {
+    pub fn set_rung_cap<W: DecisionSink>(&mut self, job: JobId, cap: Option<u8>, out: &mut W) {
         let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
         subscription.rung_cap = cap;
         let subscription = subscription.clone();
@@ -277,14 +281,14 @@
         if subscription.playing && subscription.rung > top {
             self.subscriptions.entry(job).and_modify(|s| s.last_step_at = self.now);
             self.assign(job, subscription.streamer, top);
-            out.step_to(job, top);
+            out.set_rung(job, top);
         }
     }
 
     /// Several other controllers recently lost joins on a streamer. It is avoided as after own failures,
     /// until a join to it is served. This spares own failures; a streamer that is wrongly reported gets less
     /// load.
-    pub fn hearsay(&mut self, streamer: StreamerId) {
+    pub fn failure_reported_by_peers(&mut self, streamer: StreamerId) {
         self.avoid(streamer);
     }
 
@@ -319,7 +323,7 @@
         self.recompute_own_demand();
         if kind == Listing::Failed && self.settings.text("/discovery") == "subscribe" {
             // Retried after one second and a random part, well within `askWithinUs`.
-            let delay = Duration::from_secs(1) + self.rng.span(Duration::from_secs(1));
+            let delay = Duration::from_secs(1) + self.rng.random_duration(Duration::from_secs(1));
             self.subscribe_list_at = Some(self.now + delay);
         }
     }
@@ -357,8 +361,8 @@
         weight * link_state.others_demand + (1.0 - weight) * mean_utilization * self.capacity(network_link)
     }
 
-    /// The utilization to aim at, reduced after short delivery by less than the design's 0.1 and for less than
-    /// its 60 s: most causes pass sooner.
+    /// The utilization to aim at, reduced after short delivery by less than the design's 0.1 and for less
+    /// than its 60 s: most causes pass sooner.
     fn target_utilization(&self, network_link: NetworkLink) -> f64 {
         let lowered = self
             .network_links
@@ -485,7 +489,7 @@
 
     /// Updates a streamer's state by how a join to it, or a subscription on it, ended.
     fn record_ending(&mut self, id: StreamerId, ending: Ending, played: bool) {
-        let full_duration = Duration::from_millis(600) + self.rng.span(Duration::from_millis(800));
+        let full_duration = Duration::from_millis(600) + self.rng.random_duration(Duration::from_millis(800));
         let Some(streamer) = self.streamers.get_mut(&id) else { return };
         match ending {
             Ending::Served | Ending::Cancelled | Ending::Moot => return,
@@ -531,7 +535,7 @@
     /// Avoids a streamer for 4 to 7 s: short, since a join to a failed streamer costs little; random, so that
     /// controllers do not return together.
     fn avoid(&mut self, id: StreamerId) {
-        let until = self.now + Duration::from_secs(4) + self.rng.span(Duration::from_secs(3));
+        let until = self.now + Duration::from_secs(4) + self.rng.random_duration(Duration::from_secs(3));
         self.streamers.entry(id).and_modify(|s| s.avoid_until = s.avoid_until.max(until));
     }
 
@@ -568,7 +572,7 @@
             full_join_rate * (initial_fraction * age + growth * age.powi(3)) / self.settings.controllers
         };
         let window_start = self.now.saturating_sub(window);
-        let turn_offset = (scattered(id, streamer.start_number) + self.settings.number("/me", 0.0))
+        let turn_offset = (start_hash(id, streamer.start_number) + self.settings.number("/me", 0.0))
             / self.settings.controllers;
         let turns_until = |at: Duration| (0.5 * own_budget_until(at) + turn_offset).floor();
         let own_budget = f64::max(
@@ -581,10 +585,13 @@
     /// The design's load: remaining work over capacity, where the uplink limits like the link.
     fn load(&self, id: StreamerId) -> f64 {
         let (link, uplink_utilization) = (NetworkLink::Link(id), self.utilization(self.uplink(id)));
-        let hinted =
-            self.subscriptions.values().filter(|s| s.streamer == Some(id) && s.request.hinted.is_some());
-        let remaining_work =
-            hinted.map(|s| self.settings.rate(&s.request, s.rung) * (self.hint_factor(s) - 1.0)).sum::<f64>();
+        let duration_hint = self
+            .subscriptions
+            .values()
+            .filter(|s| s.streamer == Some(id) && s.request.duration_hint.is_some());
+        let remaining_work = duration_hint
+            .map(|s| self.settings.rate(&s.request, s.rung) * (self.hint_factor(s) - 1.0))
+            .sum::<f64>();
         let link_utilization = self.utilization(link) + remaining_work / self.capacity(link);
         // A part of the smaller value keeps the streamers behind one full uplink distinguishable.
         link_utilization.max(uplink_utilization) + 0.2 * link_utilization.min(uplink_utilization)
@@ -592,7 +599,7 @@
 
     /// Hinted time that is left over the mean hint, within the design's bounds.
     fn hint_factor(&self, subscription: &Subscription) -> f64 {
-        let Some(hint) = subscription.request.hinted else { return 1.0 };
+        let Some(hint) = subscription.request.duration_hint else { return 1.0 };
         let time_left_s = hint.saturating_sub(self.now - subscription.accepted_at).as_secs_f64();
         (time_left_s * self.hint_sums.1 / self.hint_sums.0.max(0.1)).clamp(0.5, 2.0)
     }
@@ -602,7 +609,7 @@
         streamer.health == Health::Ready
             && streamer.listed
             && streamer.full_until <= self.now
-            && subscription.request.held_by(streamer.cell, self.settings.cells)
+            && subscription.request.is_held_by(streamer.cell, self.settings.cells)
             && self.effect_allows_join(subscription, id)
             && self.cold_budget_allows(id, streamer)
             && self.crossing_budget_allows(subscription, streamer)
@@ -676,7 +683,7 @@
         let unmeasured_count = (ids.len() - measured.len()) as f64;
         ids.iter()
             .copied()
-            .filter(|id| self.rng.share() * unmeasured_count < 3.0 || measured.contains(id))
+            .filter(|id| self.rng.unit_interval() * unmeasured_count < 3.0 || measured.contains(id))
             .collect()
     }
 
@@ -714,7 +721,7 @@
             let cost = self.load(id)
                 + crossing_cost
                 + connection_cost
-                + rival_utilization.max(0.04) * self.rng.share();
+                + rival_utilization.max(0.04) * self.rng.unit_interval();
             ranked.push(((last_resort, !candidates.contains(&id)), cost, id));
         }
         ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -763,7 +770,7 @@
     }
 
     /// Rule 5: whether a seat is free for the title and room type, outstanding joins included.
-    fn seat_free(&self, request: &Asked) -> bool {
+    fn seat_free(&self, request: &SubscriptionRequest) -> bool {
         let seats = self.settings.list_number("/familyInfo/licenceCap", request.room_type, 0.0) as usize;
         let same =
             |s: &&Subscription| s.request.title == request.title && s.request.room_type == request.room_type;
@@ -785,7 +792,7 @@
     }
 
     /// Sends a join for a subscription, schedules another attempt, or rejects it.
-    fn place<W: Writer>(&mut self, job: JobId, out: &mut W) {
+    fn place<W: DecisionSink>(&mut self, job: JobId, out: &mut W) {
         let Some(subscription) = self.subscriptions.get(&job).cloned() else { return };
         let max_joins = self.settings.number("/permissions/maxAttempts", 1.0).max(1.0) as u32;
         let may_join_again = subscription.possibly_ran.is_empty()
@@ -799,7 +806,7 @@
         let may_join = self.seat_free(&subscription.request)
             && (subscription.joins_sent == 0 || self.retry_budget_allows());
         let is_holder = |s: &Streamer| {
-            s.health == Health::Ready && subscription.request.held_by(s.cell, self.settings.cells)
+            s.health == Health::Ready && subscription.request.is_held_by(s.cell, self.settings.cells)
         };
         let may_be_served = self.streamers.is_empty() || self.streamers.values().any(is_holder);
         // Thousands of waiting subscriptions cost much time, so the interval grows with their number.
@@ -841,9 +848,9 @@
     }
 
     /// Sends a probe to a streamer.
-    fn probe<W: Writer>(&mut self, id: StreamerId, out: &mut W) {
+    fn probe<W: DecisionSink>(&mut self, id: StreamerId, out: &mut W) {
         self.streamers.entry(id).and_modify(|s| s.probed_at = self.now);
-        out.health_check(id);
+        out.send_probe(id);
     }
 
     /// Whether a subscription would step up if there were headroom, and would gain more than a probe costs.
@@ -867,7 +874,7 @@
     }
 
     /// Probes each streamer where a subscription may step up and of which nothing was learned for a while.
-    fn probe_stale_streamers<W: Writer>(&mut self, out: &mut W) {
+    fn probe_stale_streamers<W: DecisionSink>(&mut self, out: &mut W) {
         let may_step_up =
             self.subscriptions.values().filter(|s| self.settings.probes_report_load && self.may_step_up(s));
         let stale = may_step_up.filter_map(|s| s.streamer).filter(|id| {
@@ -898,9 +905,9 @@
     /// Sends all peers the measurements that only this controller has made since the last progress reports
     /// (the draft's SERVSTAT, sent by the controller that measures). On average one controller sends in each
     /// period.
-    fn share_measurements<W: Writer>(&mut self, out: &mut W) {
+    fn share_measurements<W: DecisionSink>(&mut self, out: &mut W) {
         let (now, report_interval) = (self.now, self.settings.report_interval);
-        if !self.sharing_beats_probing() || self.rng.share() * self.settings.controllers >= 1.0 {
+        if !self.sharing_beats_probing() || self.rng.unit_interval() * self.settings.controllers >= 1.0 {
             return;
         }
         let unshared = self.network_links.states.iter();
@@ -921,12 +928,12 @@
             self.network_links.states.entry(report.network_link).or_default().last_shared_at = now
         });
         if !reports.is_empty() {
-            out.signal(None, &load_reports::encode(&reports));
+            out.send_to_peers(None, &load_reports::encode(&reports));
         }
     }
 
     /// Sends a join for a subscription to a streamer.
-    fn send_join<W: Writer>(&mut self, job: JobId, id: StreamerId, is_last: bool, out: &mut W) {
+    fn send_join<W: DecisionSink>(&mut self, job: JobId, id: StreamerId, is_last: bool, out: &mut W) {
         let now = self.now;
         let Some(subscription) = self.subscriptions.get_mut(&job) else { return };
         (subscription.join_sent_at, subscription.setup_reports_received) = (now, false);
@@ -942,28 +949,31 @@
         let rung = self.spend_crossing_budget(id, &subscription, rung);
         self.assign(job, Some(id), rung);
         if (rung > floor || subscription.joins_sent > 1) && rung <= self.top(&subscription) {
-            out.step_to(job, rung);
+            out.set_rung(job, rung);
         }
         let deadline = subscription.accepted_at + subscription.request.client_timeout;
         // A lost join leaves time for two more within the join objective; the last join has all the time that
         // is left.
         let join_timeout = self.settings.join_objective(&subscription.request).mul_f64(0.5);
-        out.pass_on(job, id, if is_last { deadline } else { deadline.min(now + join_timeout) });
+        out.send_join(job, id, if is_last { deadline } else { deadline.min(now + join_timeout) });
     }
 
     /// Rejects a subscription: throttles it, with a time after which to retry where that is allowed, or fails
     /// it.
-    fn reject<W: Writer>(&mut self, job: JobId, out: &mut W) {
+    fn reject<W: DecisionSink>(&mut self, job: JobId, out: &mut W) {
         let Some(subscription) = self.remove_subscription(job) else { return };
         if !self.may_throttle(&subscription) {
             return out.respond_error(job);
         }
         // 0.5 to 1 s: by then a slot or the list may be available, and viewers do not return at the same
         // time.
-        let retry_after = Duration::from_millis(500) + self.rng.span(Duration::from_millis(500));
+        let retry_after = Duration::from_millis(500) + self.rng.random_duration(Duration::from_millis(500));
         let max_retry_after = self.settings.duration("/permissions/maxRetryAfterUs", Duration::ZERO);
         let may_send_retry_after = self.settings.flag("/permissions/retryAfter");
-        out.shed(job, if may_send_retry_after { retry_after.min(max_retry_after) } else { Duration::ZERO });
+        out.throttle(
+            job,
+            if may_send_retry_after { retry_after.min(max_retry_after) } else { Duration::ZERO },
+        );
     }
 
     /// The demand that this controller allows itself on a link: its allowance; for a join its part of the
@@ -1107,7 +1117,7 @@
 
     /// Lowers rungs over the allowance at once; raises rungs that have headroom, each at most once per step
     /// interval.
-    fn adjust_rungs<W: Writer>(&mut self, out: &mut W) {
+    fn adjust_rungs<W: DecisionSink>(&mut self, out: &mut W) {
         let own_uplinks = self.subscriptions.values().filter_map(|s| Some(self.uplink(s.streamer?)));
         for uplink in own_uplinks.collect::<BTreeSet<_>>() {
             let exceeds_allowance = |controller: &Self, network_link| {
@@ -1131,7 +1141,7 @@
                     let last_step_at = self.now.saturating_sub(Duration::from_secs(12 * u64::from(lowering)));
                     self.subscriptions.entry(job).and_modify(|s| s.last_step_at = last_step_at);
                     self.assign(job, Some(id), rung);
-                    out.step_to(job, rung);
+                    out.set_rung(job, rung);
                 }
             }
         }
@@ -1140,7 +1150,7 @@
     /// The design's tick: moves own subscriptions to a holder whose load, with the subscription added, stays
     /// below that of the source without it by the design's margin, if the target has headroom and the gain
     /// exceeds the price of a move. At most two per tick, as in the design.
-    fn move_subscriptions<W: Writer>(&mut self, out: &mut W) {
+    fn move_subscriptions<W: DecisionSink>(&mut self, out: &mut W) {
         for _ in 0..2 {
             let mut best: Option<(f64, JobId)> = None;
             let available = self.streamers.iter().filter(|(_, s)| s.avoid_until <= self.now);
@@ -1173,7 +1183,7 @@
             }
             let Some((_, job)) = best else { return };
             self.remove_subscription(job);
-            out.shift(job);
+            out.move_subscription(job);
         }
     }
 
@@ -1185,7 +1195,7 @@
     /// The expected time left of a subscription, in seconds.
     fn expected_time_left_s(&self, subscription: &Subscription) -> f64 {
         let age = self.now - subscription.accepted_at;
-        match subscription.request.hinted {
+        match subscription.request.duration_hint {
             Some(hint) => hint.saturating_sub(age).as_secs_f64(),
             // Lifetimes differ: the mean less the age, and at least a quarter of the mean for long ones.
             None => (self.mean_lifetime_s() - age.as_secs_f64()).max(self.mean_lifetime_s() / 4.0),
--- a/crates/core/src/decide/sums.rs
+++ b/crates/core/src/decide/sums.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value};
 
 use super::{Controller, DUE_TIMER, MEASUREMENT_VALIDITY};
-use crate::interface::{JobId, Listing, StreamerId, Writer};
+use crate::interface::{DecisionSink, JobId, Listing, StreamerId};
 use crate::settings::{mean, Settings};
 use crate::state::{NetworkLink, Subscription};
 
@@ -11,7 +11,7 @@
     /// Replaces the settings. Room types, zones, kinds and cells must keep their numbers, since existing
     /// state refers to them by number. A rung above its new top is lowered to it. Links and uplinks get their
     /// new capacities with the next list.
-    pub fn retell(&mut self, options: Map<String, Value>) {
+    pub fn update_settings(&mut self, options: Map<String, Value>) {
         self.settings = Settings::new(options);
         let Self { settings, subscriptions, .. } = self;
         subscriptions.values_mut().for_each(|subscription| {
@@ -30,16 +30,16 @@
 
     /// Limits a subscription to rungs up to `top` for good, by lowering it now. A cap that was set before
     /// stays.
-    pub fn ends_at<W: Writer>(&mut self, job: JobId, top: u8, out: &mut W) {
+    pub fn limit_rung<W: DecisionSink>(&mut self, job: JobId, top: u8, out: &mut W) {
         let Some(cap) = self.subscriptions.get(&job).map(|subscription| subscription.rung_cap) else {
             return;
         };
-        self.cap(job, Some(cap.map_or(top, |cap| cap.min(top))), out);
+        self.set_rung_cap(job, Some(cap.map_or(top, |cap| cap.min(top))), out);
         self.subscriptions.entry(job).and_modify(|subscription| subscription.rung_cap = cap);
     }
 
     /// Records that a timer set through the writer has fired.
-    pub fn fired(&mut self, token: u64) {
+    pub fn timer_fired(&mut self, token: u64) {
         if token == DUE_TIMER {
             self.due_timer_at = None;
         }
--- a/crates/core/src/fleet_tests.rs
+++ b/crates/core/src/fleet_tests.rs
@@ -8,10 +8,12 @@
 
 use serde_json::{json, Value};
 
-use crate::chance::Chance;
 use crate::decide::Controller;
-use crate::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId, Writer};
+use crate::interface::{
+    DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest,
+};
 use crate::load_reports::{self, LoadReport};
+use crate::random::Rng;
 use crate::state::NetworkLink;
 
 const TICK: Duration = Duration::from_millis(10);
@@ -58,29 +60,29 @@
     timers: Vec<(Duration, u64)>,
 }
 
-impl Writer for Decisions {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, _try_until: Duration) {
+impl DecisionSink for Decisions {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, _try_until: Duration) {
         self.joins.push((job, streamer));
     }
-    fn shed(&mut self, job: JobId, _cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, _cool_down: Duration) {
         self.ended.push(job);
     }
     fn respond_error(&mut self, job: JobId) {
         self.ended.push(job);
     }
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         self.timers.push((from_now, token));
     }
-    fn step_to(&mut self, _job: JobId, _rung: u8) {}
-    fn shift(&mut self, _job: JobId) {}
+    fn set_rung(&mut self, _job: JobId, _rung: u8) {}
+    fn move_subscription(&mut self, _job: JobId) {}
     fn cancel(&mut self, _job: JobId, _join: u16) {}
-    fn health_check(&mut self, _streamer: StreamerId) {}
-    fn close(&mut self, _streamer: StreamerId) {}
-    fn signal(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
-    fn observe(&mut self, _want: bool) {}
-    fn list_all(&mut self) {}
-    fn emit(&mut self, _line: &str) {}
-    fn give_in(&mut self, _line: &str) {}
+    fn send_probe(&mut self, _streamer: StreamerId) {}
+    fn close_connection(&mut self, _streamer: StreamerId) {}
+    fn send_to_peers(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
+    fn watch_list(&mut self, _want: bool) {}
+    fn request_full_list(&mut self) {}
+    fn log_info(&mut self, _line: &str) {}
+    fn log_error(&mut self, _line: &str) {}
 }
 
 /// One process, whose clock is `clock_offset` ahead of the fleet's.
@@ -99,7 +101,7 @@
     controllers: u32,
     stream_capacity: f64,
     processes: Vec<Process>,
-    rng: Chance,
+    rng: Rng,
     /// The listed start of each cell's streamer on the fleet's clock; zero is long past.
     listed: BTreeMap<u32, Duration>,
     /// Times of the joins to the first cell's streamer.
@@ -113,7 +115,7 @@
     fn new(controllers: u32, stream_capacity: f64, seed: u64) -> Self {
         let listed = (0..CELLS).map(|cell| (cell, Duration::ZERO)).collect();
         let (processes, joins_to_first_cell) = (Vec::new(), Vec::new());
-        let (now, rng) = (Duration::from_secs(1000), Chance(seed));
+        let (now, rng) = (Duration::from_secs(1000), Rng(seed));
         let mut fleet = Self {
             now,
             controllers,
@@ -130,7 +132,7 @@
         }
         // The handover tells each controller that the whole fleet started with it.
         for index in 0..controllers as usize {
-            let playing = Asked { copies: CELLS, ..request(1) };
+            let playing = SubscriptionRequest { copies: CELLS, ..request(1) };
             fleet.round(index, |c| c.resumed(JobId::MAX, playing, streamer(1)));
         }
         fleet.advance(ms(100));
@@ -142,8 +144,8 @@
         let Value::Object(options) = test_settings(index, self.controllers, self.stream_capacity) else {
             unreachable!("an object")
         };
-        let clock_offset = Duration::from_secs(3000) + self.rng.span(Duration::from_secs(3000));
-        let seed = (self.rng.share() * 1e15) as u64;
+        let clock_offset = Duration::from_secs(3000) + self.rng.random_duration(Duration::from_secs(3000));
+        let seed = (self.rng.unit_interval() * 1e15) as u64;
         let mut controller = Controller::new(self.now + clock_offset, seed, options);
         let listed_start = |at: Duration| match at {
             Duration::ZERO => Start::default(),
@@ -184,7 +186,7 @@
     fn request_every(&mut self, request_interval: Duration) {
         for process in &mut self.processes {
             (process.next_request_at, process.request_interval) =
-                (self.now + self.rng.span(request_interval), request_interval);
+                (self.now + self.rng.random_duration(request_interval), request_interval);
         }
     }
 
@@ -209,7 +211,8 @@
             age: ms(0),
         };
         let message = load_reports::encode(&(0..CELLS).map(report).collect::<Vec<_>>());
-        (0..self.processes.len()).for_each(|index| self.round(index, |c| c.peer(0, &message)));
+        (0..self.processes.len())
+            .for_each(|index| self.round(index, |c| c.receive_load_reports(0, &message)));
     }
 
     /// Runs rounds of one process until no join is left: each join is served and its subscription ends at
@@ -222,7 +225,7 @@
         while let Some((job, streamer_id)) = decisions.joins.pop() {
             self.joins_to_first_cell.extend((streamer_id == streamer(0)).then_some(now));
             let finish = |c: &mut Controller, _: &mut Decisions| {
-                c.flowing(job, 0, streamer_id, ms(1));
+                c.join_served(job, 0, streamer_id, ms(1));
                 c.outcome(job, streamer_id, 0, Ending::Served, true, ms(1), &[]);
             };
             process.controller.round(clock, finish, &mut decisions);
@@ -246,13 +249,17 @@
             process.next_request_at += process.request_interval;
             process.next += 1;
             let job = process.next;
-            let first_cell = (self.rng.share() * f64::from(CELLS)) as u32;
-            let requested = if self.three_holders { Asked { first_cell, ..request(3) } } else { request(1) };
+            let first_cell = (self.rng.unit_interval() * f64::from(CELLS)) as u32;
+            let requested = if self.three_holders {
+                SubscriptionRequest { first_cell, ..request(3) }
+            } else {
+                request(1)
+            };
             self.round(index, |c| c.request(job, requested));
         }
         while let Some((at, token)) = self.processes[index].timers.first().copied().filter(|r| r.0 <= now) {
             self.processes[index].timers.remove(&(at, token));
-            self.round(index, |c| c.fired(token));
+            self.round(index, |c| c.timer_fired(token));
         }
     }
 
@@ -280,8 +287,8 @@
 }
 
 /// A request for a title that only the first `copies` cells hold.
-fn request(copies: u32) -> Asked {
-    Asked { client_timeout: ms(4000), copies, max_rung: 2, ..Asked::default() }
+fn request(copies: u32) -> SubscriptionRequest {
+    SubscriptionRequest { client_timeout: ms(4000), copies, max_rung: 2, ..SubscriptionRequest::default() }
 }
 
 const CONTROLLERS: [u32; 5] = [3, 20, 30, 300, 350];
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -70,7 +70,7 @@
 
 /// A request for a subscription, or the description of one that already plays.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct SubscriptionRequest {
     pub title: u64,
     pub path_key: u64,
     pub room_type: usize,
@@ -82,48 +82,48 @@
     /// The highest rung that the viewer accepts.
     pub max_rung: u8,
     /// Expected duration of the subscription, if the viewer gave one.
-    pub hinted: Option<Duration>,
+    pub duration_hint: Option<Duration>,
     /// Whether it was moved already; a subscription is moved at most once.
     pub moved: bool,
 }
 
-impl Asked {
+impl SubscriptionRequest {
     /// Whether a cell is one of those that hold the title, by the wire's rule: `copies` cells from
     /// `first_cell` on, wrapping at `cells`.
-    pub fn held_by(&self, cell: u32, cells: u32) -> bool {
+    pub fn is_held_by(&self, cell: u32, cells: u32) -> bool {
         let cells = cells.max(1);
         (cell % cells + cells - self.first_cell % cells) % cells < self.copies
     }
 }
 
 /// Receives the decisions of a round as they are made.
-pub trait Writer {
+pub trait DecisionSink {
     /// Sends a join to a streamer, which is tried until `try_until`.
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration);
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration);
     /// Throttles a subscription; the viewer may come back after `cool_down`.
-    fn shed(&mut self, job: JobId, cool_down: Duration);
+    fn throttle(&mut self, job: JobId, cool_down: Duration);
     /// Answers a subscription with an error: trying again could do harm.
     fn respond_error(&mut self, job: JobId);
     /// Sets the rung of a subscription.
-    fn step_to(&mut self, job: JobId, rung: u8);
+    fn set_rung(&mut self, job: JobId, rung: u8);
     /// Moves a subscription away from its streamer; it comes back as a new request.
-    fn shift(&mut self, job: JobId);
+    fn move_subscription(&mut self, job: JobId);
     /// Cancels an outstanding join.
     fn cancel(&mut self, job: JobId, join: u16);
     /// Sets a timer, which gives `token` back when it fires.
-    fn remind(&mut self, from_now: Duration, token: u64);
+    fn set_timer(&mut self, from_now: Duration, token: u64);
     /// Sends a probe to a streamer.
-    fn health_check(&mut self, streamer: StreamerId);
+    fn send_probe(&mut self, streamer: StreamerId);
     /// Closes an idle connection to a streamer.
-    fn close(&mut self, streamer: StreamerId);
+    fn close_connection(&mut self, streamer: StreamerId);
     /// Sends a message to one other controller, or to all.
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]);
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]);
     /// Starts or stops the subscription to list changes.
-    fn observe(&mut self, want: bool);
+    fn watch_list(&mut self, want: bool);
     /// Requests the complete list.
-    fn list_all(&mut self);
+    fn request_full_list(&mut self);
     /// Writes an informational line to the log of the host.
-    fn emit(&mut self, line: &str);
+    fn log_info(&mut self, line: &str);
     /// Reports a failure that the decisions cannot handle, as a line of the log of the host.
-    fn give_in(&mut self, line: &str);
+    fn log_error(&mut self, line: &str);
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,10 @@
 //! The decisions of badgerledge, without any I/O: on which streamer a subscription plays, at which rung, and
 //! when it is moved.
 
-pub mod chance;
 pub mod decide;
 pub mod interface;
 pub mod load_reports;
+pub mod random;
 pub mod settings;
 pub mod state;
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::interface::Asked;
+use crate::interface::SubscriptionRequest;
 
 /// The settings as received, and the values that each decision needs, read once.
 #[derive(Default)]
@@ -99,7 +99,7 @@
     }
 
     /// One text of a room type's profile, or an empty one.
-    pub fn room_type_text(&self, request: &Asked, key: &str) -> &str {
+    pub fn room_type_text(&self, request: &SubscriptionRequest, key: &str) -> &str {
         self.room_type_value(request.room_type, key).and_then(Value::as_str).unwrap_or("")
     }
 
@@ -160,19 +160,19 @@
     }
 
     /// The join objective, at most the client timeout of this attempt.
-    pub fn join_objective(&self, request: &Asked) -> Duration {
+    pub fn join_objective(&self, request: &SubscriptionRequest) -> Duration {
         let us =
             self.room_type_value(request.room_type, "aimUs").and_then(Value::as_u64).unwrap_or(1_000_000);
         request.client_timeout.min(Duration::from_micros(us))
     }
 
     /// The lowest rung of the request's room type.
-    pub fn floor(&self, request: &Asked) -> u8 {
+    pub fn floor(&self, request: &SubscriptionRequest) -> u8 {
         self.floors.get(request.room_type).copied().unwrap_or(0)
     }
 
     /// The highest rung that the viewer, the room type and the ladder allow.
-    pub fn top(&self, request: &Asked) -> u8 {
+    pub fn top(&self, request: &SubscriptionRequest) -> u8 {
         let ladder_top = self.ladders.get(request.room_type).map_or(1, Vec::len).saturating_sub(1);
         let room_type_top = self.tops.get(request.room_type).copied().unwrap_or(u8::MAX);
         request.max_rung.min(room_type_top).min(ladder_top.min(255) as u8)
@@ -185,12 +185,12 @@
     }
 
     /// The rate of a rung, in kB/s.
-    pub fn rate(&self, request: &Asked, rung: u8) -> f64 {
+    pub fn rate(&self, request: &SubscriptionRequest, rung: u8) -> f64 {
         self.rung_rate_and_benefit(request.room_type, rung).0
     }
 
     /// The benefit of one second at a rung.
-    pub fn benefit(&self, request: &Asked, rung: u8) -> f64 {
+    pub fn benefit(&self, request: &SubscriptionRequest, rung: u8) -> f64 {
         self.rung_rate_and_benefit(request.room_type, rung).1
     }
 
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::interface::{Asked, Health, JobId, StreamerId};
+use crate::interface::{Health, JobId, StreamerId, SubscriptionRequest};
 use crate::settings::{mean, Settings};
 
 /// A network resource of limited capacity: a streamer's link, or the uplink that the streamers of a rack
@@ -237,7 +237,7 @@
 /// A subscription that this controller is placing or that plays.
 #[derive(Clone, Debug, Default)]
 pub struct Subscription {
-    pub request: Asked,
+    pub request: SubscriptionRequest,
     pub accepted_at: Duration,
     /// Number of joins sent so far.
     pub joins_sent: u32,
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -9,7 +9,9 @@
 use serde_json::{json, Value};
 
 use crate::decide::Controller;
-use crate::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId, Writer};
+use crate::interface::{
+    DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest,
+};
 use crate::load_reports::{self, LinkName, LoadReport};
 use crate::state::NetworkLink;
 
@@ -45,10 +47,10 @@
         "report": {"fields": ["x0"], "how": "answers"}, "zone": 0})
 }
 
-fn request(room_type: usize, title: u32, copies: u32) -> Asked {
+fn request(room_type: usize, title: u32, copies: u32) -> SubscriptionRequest {
     let client_timeout = ms(3000);
     let (max_rung, title) = (2, u64::from(title));
-    Asked {
+    SubscriptionRequest {
         title,
         room_type,
         client_timeout,
@@ -62,7 +64,7 @@
 /// The model's record of one attempt.
 #[derive(Clone, Debug)]
 struct Attempt {
-    request: Asked,
+    request: SubscriptionRequest,
     deadline: Duration,
     join_count: u16,
     join: Option<(StreamerId, Duration)>,
@@ -111,8 +113,8 @@
     }
 }
 
-impl Writer for RuleChecker {
-    fn pass_on(&mut self, job: JobId, id: StreamerId, until: Duration) {
+impl DecisionSink for RuleChecker {
+    fn send_join(&mut self, job: JobId, id: StreamerId, until: Duration) {
         let (cell, health, came_up) = self.list[&id];
         let attempt = self.attempts[&job].clone();
         assert!(
@@ -168,7 +170,7 @@
         (attempt.join, attempt.sent_at) = (Some((id, until.min(attempt.deadline))), self.now);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         let attempt = self.finish(job);
         assert!(cool_down <= ms(500));
         let harmless = match self.effect(&attempt, "effect").as_str() {
@@ -183,7 +185,7 @@
         self.finish(job);
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         self.rung_steps += 1;
         let attempt = self.attempts.get_mut(&job).unwrap();
         let floor = self.settings["familyInfo"]["floorByClass"][attempt.request.room_type].as_u64().unwrap();
@@ -193,29 +195,29 @@
         attempt.rung = rung;
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         assert!(self.attempts[&job].playing, "only a playing subscription is moved");
         self.attempts.get_mut(&job).unwrap().ended = true;
         self.moved.push(job);
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         self.timers.insert((self.now + from_now, token));
     }
 
     fn cancel(&mut self, _job: JobId, _join: u16) {}
-    fn health_check(&mut self, id: StreamerId) {
+    fn send_probe(&mut self, id: StreamerId) {
         assert!(self.settings["permissions"]["probing"] == true && self.list.contains_key(&id));
         self.probed.push(id);
     }
-    fn close(&mut self, _streamer: StreamerId) {}
-    fn signal(&mut self, _peer: Option<u16>, bytes: &[u8]) {
+    fn close_connection(&mut self, _streamer: StreamerId) {}
+    fn send_to_peers(&mut self, _peer: Option<u16>, bytes: &[u8]) {
         self.sent_messages.push(bytes.to_vec());
     }
-    fn observe(&mut self, _want: bool) {}
-    fn list_all(&mut self) {}
-    fn emit(&mut self, _line: &str) {}
-    fn give_in(&mut self, _line: &str) {}
+    fn watch_list(&mut self, _want: bool) {}
+    fn request_full_list(&mut self) {}
+    fn log_info(&mut self, _line: &str) {}
+    fn log_error(&mut self, _line: &str) {}
 }
 
 /// One controller, whose decisions the rule checker receives.
@@ -265,7 +267,7 @@
         (0..CELLS).for_each(|cell| self.list_streamer(cell, Health::Ready, Duration::ZERO));
     }
 
-    fn submit(&mut self, request: Asked, playing_on: Option<StreamerId>) -> JobId {
+    fn submit(&mut self, request: SubscriptionRequest, playing_on: Option<StreamerId>) -> JobId {
         let (job, now) = (self.next, self.checker.now);
         self.next += 1;
         let (deadline, playing) = (now + request.client_timeout, playing_on.is_some());
@@ -307,7 +309,7 @@
         let Some((id, _)) = attempt.join.take() else { return };
         if ending == Ending::Served {
             attempt.playing = true;
-            return self.round(|c, _| c.flowing(job, 0, id, ms(50)));
+            return self.round(|c, _| c.join_served(job, 0, id, ms(50)));
         }
         if !ending.proves_it_never_ran() {
             attempt.possibly_ran.push((id, attempt.sent_at));
@@ -329,7 +331,7 @@
             }
             while let Some(&(at, token)) = self.checker.timers.first().filter(|r| r.0 <= now) {
                 self.checker.timers.remove(&(at, token));
-                self.round(|c, _| c.fired(token));
+                self.round(|c, _| c.timer_fired(token));
             }
             let answer_overdue = |t: &Attempt| !t.ended && !t.playing && t.deadline + ms(20) < now;
             assert!(!self.checker.attempts.values().any(answer_overdue), "a final answer is overdue");
@@ -563,7 +565,7 @@
             "the join waits for the probe results"
         );
         for id in probed.iter().filter(|_| answers) {
-            simulation.round(|c, _| c.echo(*id, Ending::Served, ms(3), &[0.0]));
+            simulation.round(|c, _| c.probe_result(*id, Ending::Served, ms(3), &[0.0]));
         }
         simulation.advance(ms(60));
         assert_eq!(probed.contains(&simulation.joined_streamer(job).expect("it is placed")), answers);
@@ -606,7 +608,7 @@
     let messages = messages_at(0.08);
     assert_eq!(messages.len(), 1, "once, until the next progress reports");
     let mut simulation = simulation_with_probe_price(1, 0.08);
-    simulation.round(|c, _| c.peer(0, &messages[0]));
+    simulation.round(|c, _| c.receive_load_reports(0, &messages[0]));
     let job = simulation.submit(request(1, 0, 3), None);
     assert_eq!((simulation.joined_streamer(job), simulation.checker.probed.len()), (Some(streamer(1)), 0));
     simulation.advance(ms(10_000));
@@ -662,7 +664,7 @@
         age: ms(0),
     });
     let message = load_reports::encode(&reports.collect::<Vec<_>>());
-    simulation.round(|c, _| c.peer(1022, &message));
+    simulation.round(|c, _| c.receive_load_reports(1022, &message));
     let jobs: Vec<_> = (0..24).map(|n| simulation.submit(request(1, 1000 + n, 1), None)).collect();
     assert!(
         jobs.iter().all(|job| simulation.joined_streamer(*job).is_none()),
@@ -712,7 +714,7 @@
     simulation.submit(request(1, 9, 6), Some(streamer(5)));
     let report_utilizations = |simulation: &mut Simulation, utilizations: [f64; 3]| {
         let report = |(n, utilization)| {
-            simulation.round(|c, _| c.echo(streamer(n), Ending::Served, ms(1), &[utilization]))
+            simulation.round(|c, _| c.probe_result(streamer(n), Ending::Served, ms(1), &[utilization]))
         };
         (0..).zip(utilizations).for_each(report);
     };
@@ -770,8 +772,8 @@
             c.list_begins(Listing::Changes);
             c.list_entry(streamer(cell), 1, 0, cell, Health::Ready, 1.0, Start::default());
             c.list_ends(Listing::Changes);
-            c.crossing(None, 1e9);
-            c.crossing(Some(1), 150.0);
+            c.set_crossing_budget(None, 1e9);
+            c.set_crossing_budget(Some(1), 150.0);
         });
     }
     // The lowest rung of this room type has 120 kB/s, the next one 240 kB/s.
@@ -785,13 +787,13 @@
         ),
         (true, 0, None)
     );
-    simulation.round(|c, _| c.crossing(Some(1), 1e9));
+    simulation.round(|c, _| c.set_crossing_budget(Some(1), 1e9));
     simulation.advance(ms(100));
     assert!(simulation.joined_streamer(second).is_some(), "the budget no longer limits it");
     let at_top = simulation.hand_over_at_top_rung(1)[0];
     let rung_steps = simulation.checker.rung_steps;
-    simulation.round(|c, out| c.cap(at_top, Some(1), out));
-    simulation.round(|c, out| c.cap(at_top, Some(0), out));
+    simulation.round(|c, out| c.set_rung_cap(at_top, Some(1), out));
+    simulation.round(|c, out| c.set_rung_cap(at_top, Some(0), out));
     assert_eq!(
         (simulation.checker.rung_steps, simulation.checker.attempts[&at_top].rung),
         (rung_steps + 1, 1),
@@ -830,7 +832,7 @@
     for _ in 0..8 {
         simulation.advance(ms(1000));
         for id in std::mem::take(&mut simulation.checker.probed) {
-            simulation.round(|c, _| c.echo(id, Ending::Served, ms(1), &[0.1]));
+            simulation.round(|c, _| c.probe_result(id, Ending::Served, ms(1), &[0.1]));
         }
     }
     assert_eq!(simulation.checker.attempts[&job].rung, 2, "nobody else plays there");
@@ -893,7 +895,8 @@
             simulation.round(|c, _| c.progress(playing, streamer(n), 3, utilization));
         }
         simulation.advance(ms(if probing { 11_000 } else { 10 }));
-        let job = simulation.submit(Asked { client_timeout: time_left, ..request(1, 0, 3) }, None);
+        let job =
+            simulation.submit(SubscriptionRequest { client_timeout: time_left, ..request(1, 0, 3) }, None);
         assert!(!probing || simulation.joined_streamer(job).is_some(), "there is no time for a probe");
         simulation.advance(time_left.saturating_sub(ms(5)));
         let attempt = &simulation.checker.attempts[&job];
--- a/crates/crossing/src/lending.rs
+++ b/crates/crossing/src/lending.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 /// How long a grant lasts for the borrower: long against the way of a message, short against a change of demand.
 pub const GRANT_LASTS: Duration = Duration::from_secs(10);
@@ -83,7 +83,7 @@
     controllers: u32,
     share: f64,
     born: Duration,
-    chance: Chance,
+    chance: Rng,
     /// What it asked for: when, and whom. Answers to anything else are not taken.
     asked: BTreeMap<u64, (Duration, u32)>,
     next_number: u64,
@@ -103,7 +103,7 @@
             controllers,
             share,
             born: now,
-            chance: Chance(seed),
+            chance: Rng(seed),
             asked: BTreeMap::new(),
             // Numbers of an earlier life must not be taken for this one's.
             next_number: seed,
@@ -144,9 +144,9 @@
             return;
         }
         // A random part keeps many that want more from asking in step.
-        self.ask_at = now + ASK_EVERY.mul_f64(0.75 + 0.5 * self.chance.share());
+        self.ask_at = now + ASK_EVERY.mul_f64(0.75 + 0.5 * self.chance.unit_interval());
         for _ in 0..ASKED_AT_A_TIME.min(self.controllers as usize - 1) {
-            let other = (self.chance.share() * f64::from(self.controllers - 1)) as u32;
+            let other = (self.chance.unit_interval() * f64::from(self.controllers - 1)) as u32;
             let other = if other >= self.me { other + 1 } else { other };
             self.next_number = self.next_number.wrapping_add(1);
             self.asked.insert(self.next_number, (now, other));
--- a/crates/deployment/src/entries.rs
+++ b/crates/deployment/src/entries.rs
@@ -163,7 +163,7 @@
 pub fn title_of(key: &str, value: &[u8]) -> Result<Option<(u64, Title)>, EntriesFault> {
     let Some(id) = title_id(key)? else { return Ok(None) };
     let text = format!("[{key}]\n{}", value_text(key, value)?);
-    let catalogue = Catalogue::of_text(&text).filter(|read| read.len() == 1 && read.text() == text);
+    let catalogue = Catalogue::parse_canonical(&text).filter(|read| read.len() == 1 && read.text() == text);
     let title = catalogue.as_ref().and_then(|read| read.title(id));
     match title {
         Some(title) => Ok(Some((id, title.clone()))),
@@ -199,7 +199,7 @@
     for (id, value) in by_id {
         text += &format!("[{TITLE}{id:x}]\n{value}");
     }
-    match Catalogue::of_text(&text) {
+    match Catalogue::parse_canonical(&text) {
         Some(read) if read.len() == count && read.text() == text => Ok(text),
         _ => Err(EntriesFault::Titles(titles_fault(&text))),
     }
@@ -207,7 +207,7 @@
 
 /// What is wrong with the text of titles: the sheet knows the line.
 fn titles_fault(text: &str) -> String {
-    match Sheet::parse("titles", text).and_then(|sheet| Catalogue::of(&sheet)) {
+    match Sheet::parse("titles", text).and_then(|sheet| Catalogue::from_sheet(&sheet)) {
         Err(faults) => faults.to_string(),
         Ok(_) => "a title has the lines copies, first_cell and room_type, and no others".to_owned(),
     }
--- a/crates/deployment/src/kinds.rs
+++ b/crates/deployment/src/kinds.rs
@@ -135,7 +135,7 @@
         }
     }
     // Titles that are not in order have no form: whoever reads the text says what is wrong with them.
-    match Catalogue::among(sheet) {
+    match Catalogue::from_sections(sheet) {
         Ok(titles) => text + &titles.text(),
         Err(_) => text + &sheet.copy(&["title"]),
     }
@@ -273,7 +273,7 @@
 /// # Errors
 /// Names what is not in order, by itself or beside the rest.
 pub fn revised(sheet: &Sheet) -> Result<(Shared, Catalogue), Faults> {
-    let (shared, titles) = Faults::both(Shared::of(sheet), Catalogue::among(sheet))?;
+    let (shared, titles) = Faults::both(Shared::of(sheet), Catalogue::from_sections(sheet))?;
     let strays = titles.titles().filter(|(_, title)| shared.room_type(&title.room_type).is_none());
     // One is enough to refuse it, and each costs a look through the whole text for its line.
     let stray = strays.take(1).map(|(id, title)| {
--- a/crates/deployment/src/text.rs
+++ b/crates/deployment/src/text.rs
@@ -40,7 +40,7 @@
     pub fn read(bytes: &[u8]) -> Result<Self, String> {
         let text = std::str::from_utf8(bytes).map_err(|e| e.to_string())?;
         let (settings, tail) = Self::split(text);
-        let titles = Catalogue::of_text(tail).filter(|titles| titles.text() == tail);
+        let titles = Catalogue::parse_canonical(tail).filter(|titles| titles.text() == tail);
         let Some(titles) = titles else {
             return Err(Self::fault(text));
         };
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -11,4 +11,4 @@
 mod tests;
 
 pub use backoff::Backoff;
-pub use streamer_list::{health_word, Entry, ListBook, ListFault, Sink, ENTRIES, LONGEST_LINE};
+pub use streamer_list::{health_name, Entry, ListFault, Sink, StreamerList, MAX_ENTRIES, MAX_LINE_BYTES};
--- a/crates/discovery/src/streamer_list.rs
+++ b/crates/discovery/src/streamer_list.rs
@@ -15,7 +15,7 @@
     #[allow(clippy::too_many_arguments)]
     fn list_entry(
         &mut self, streamer: StreamerId, zone: u16, kind: usize, cell: u32, health: Health, weight: f64,
-        came_up: Start,
+        start: Start,
     );
     /// The list or the change is complete.
     fn list_ends(&mut self, listing: Listing);
@@ -30,9 +30,9 @@
     pub health: Health,
     pub weight: f64,
     /// Identifies the start of its process: a later start has another number.
-    pub start: u64,
+    pub start_number: u64,
     /// Time of that start on this process's clock; zero is long past.
-    pub came_up: Duration,
+    pub started_at: Duration,
 }
 
 /// Why a message of the list service is rejected.
@@ -44,25 +44,25 @@
     Gap { from: u64, current: u64 },
     #[error("revision {received} is older than revision {current}")]
     Older { received: u64, current: u64 },
-    #[error("{found} streamers where at most {ENTRIES} are allowed")]
+    #[error("{found} streamers where at most {MAX_ENTRIES} are allowed")]
     TooMany { found: usize },
 }
 
 /// Maximum number of streamers in a list: about ten times the largest planned fleet.
-pub const ENTRIES: usize = 65_536;
+pub const MAX_ENTRIES: usize = 65_536;
 /// Maximum length of a line in bytes: that many entries of about 100 bytes.
-pub const LONGEST_LINE: usize = 8 * 1024 * 1024;
+pub const MAX_LINE_BYTES: usize = 8 * 1024 * 1024;
 
 /// The latest list that was applied.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ListBook {
+pub struct StreamerList {
     /// Identifies the run of the list service to which the revision belongs.
     epoch: u64,
     revision: u64,
     entries: BTreeMap<StreamerId, Entry>,
 }
 
-impl ListBook {
+impl StreamerList {
     /// The revision of the list within its epoch.
     pub fn revision(&self) -> u64 {
         self.revision
@@ -84,13 +84,13 @@
     }
 
     /// All streamers of the list.
-    pub fn known(&self) -> Vec<StreamerId> {
+    pub fn streamers(&self) -> Vec<StreamerId> {
         self.entries.keys().copied().collect()
     }
 
     /// The request for changes from the present revision on, or to stop them. It names the controller by its
     /// number, for the records of the service.
-    pub fn ask_changes(&self, want: bool, controller: u32) -> String {
+    pub fn changes_request(&self, want: bool, controller: u32) -> String {
         let Self { epoch, revision, .. } = self;
         format!(
             "{}\n",
@@ -99,12 +99,12 @@
     }
 
     /// The request for the complete list, once.
-    pub fn ask_whole(controller: u32) -> String {
+    pub fn full_list_request(controller: u32) -> String {
         format!("{}\n", json!({"list": true, "controller": controller}))
     }
 
     /// Applies a message of the service and passes its entries on. Ages are subtracted from `now`.
-    pub fn take(&mut self, line: &[u8], now: Duration, sink: &mut impl Sink) -> Result<Listing, ListFault> {
+    pub fn apply(&mut self, line: &[u8], now: Duration, sink: &mut impl Sink) -> Result<Listing, ListFault> {
         let message: Value =
             serde_json::from_slice(line).map_err(|error| ListFault::Malformed(error.to_string()))?;
         let listing = match message["how"].as_str() {
@@ -133,7 +133,7 @@
             .iter()
             .filter(|(id, _)| listing == Listing::Changes && !self.entries.contains_key(id))
             .count();
-        if listing == Listing::Changes && self.entries.len() + added > ENTRIES {
+        if listing == Listing::Changes && self.entries.len() + added > MAX_ENTRIES {
             return Err(ListFault::TooMany { found: self.entries.len() + added });
         }
         sink.list_begins(listing);
@@ -155,7 +155,7 @@
     /// Parses the entries of a message, of which one invalid entry makes all invalid.
     fn parse_entries(&self, received: &Value, now: Duration) -> Result<Vec<(StreamerId, Entry)>, ListFault> {
         let received = received.as_array().ok_or_else(|| malformed("entries"))?;
-        if received.len() > ENTRIES {
+        if received.len() > MAX_ENTRIES {
             return Err(ListFault::TooMany { found: received.len() });
         }
         received
@@ -172,27 +172,29 @@
         let (zone, kind, cell) = (zone.try_into().ok()?, kind.try_into().ok()?, cell.try_into().ok()?);
         let health = parse_health(fields[4].as_str()?)?;
         let weight = fields[5].as_f64().filter(|weight| *weight > 0.0)?;
-        let start = fields[6].as_u64()?;
+        let start_number = fields[6].as_u64()?;
         // A known start keeps its time: ages are measured anew for each message, so the time would drift.
-        let known = self.entries.get(&id).filter(|known| known.start == start);
-        let came_up = match (known, fields[7].as_u64()) {
-            (Some(known), _) => known.came_up,
+        let known = self.entries.get(&id).filter(|known| known.start_number == start_number);
+        let started_at = match (known, fields[7].as_u64()) {
+            (Some(known), _) => known.started_at,
             (None, Some(age)) => now.saturating_sub(Duration::from_millis(age)).max(Duration::from_micros(1)),
             (None, None) if fields[7].is_null() => Duration::ZERO,
             (None, None) => return None,
         };
-        Some((id, Entry { zone, kind, cell, health, weight, start, came_up }))
+        Some((id, Entry { zone, kind, cell, health, weight, start_number, started_at }))
     }
 
     /// The copy for the disk. `wall_clock` is the time of day at `now`, since the clock of this process means
     /// nothing to the next process.
     pub fn store(&self, now: Duration, wall_clock: Duration) -> String {
         let entries = self.entries.iter().map(|(id, entry)| {
-            let started_at = match entry.came_up {
+            let started_at = match entry.started_at {
                 Duration::ZERO => Value::Null,
-                came_up => json!(wall_clock.saturating_sub(now.saturating_sub(came_up)).as_millis() as u64),
+                started_at => {
+                    json!(wall_clock.saturating_sub(now.saturating_sub(started_at)).as_millis() as u64)
+                }
             };
-            let health = health_word(entry.health);
+            let health = health_name(entry.health);
             json!([
                 id.to_string(),
                 entry.zone,
@@ -200,7 +202,7 @@
                 entry.cell,
                 health,
                 entry.weight,
-                entry.start,
+                entry.start_number,
                 started_at
             ])
         });
@@ -208,8 +210,8 @@
         json!({"version": 1, "epoch": self.epoch, "revision": self.revision, "entries": entries}).to_string()
     }
 
-    /// Reads what [`ListBook::store`] wrote. If the time of day has gone back since, a start counts as just
-    /// now: a warm streamer that counts as cold only gets less load.
+    /// Reads what [`StreamerList::store`] wrote. If the time of day has gone back since, a start counts as
+    /// just now: a warm streamer that counts as cold only gets less load.
     pub fn restore(text: &str, now: Duration, wall_clock: Duration) -> Result<Self, ListFault> {
         let mut stored: Value =
             serde_json::from_str(text).map_err(|error| ListFault::Malformed(error.to_string()))?;
@@ -231,7 +233,7 @@
     }
 
     /// Passes all entries on, as the list from the previous process.
-    pub fn tell_cached(&self, sink: &mut impl Sink) {
+    pub fn pass_cached(&self, sink: &mut impl Sink) {
         sink.list_begins(Listing::Cached);
         self.entries.iter().for_each(|(id, entry)| pass_entry(sink, *id, entry));
         sink.list_ends(Listing::Cached);
@@ -240,8 +242,8 @@
 
 /// Passes one entry to the receiver.
 fn pass_entry(sink: &mut impl Sink, id: StreamerId, entry: &Entry) {
-    let Entry { zone, kind, cell, health, weight, start, came_up } = *entry;
-    sink.list_entry(id, zone, kind, cell, health, weight, Start { at: came_up, number: start });
+    let Entry { zone, kind, cell, health, weight, start_number, started_at } = *entry;
+    sink.list_entry(id, zone, kind, cell, health, weight, Start { at: started_at, number: start_number });
 }
 
 fn malformed(field: &str) -> ListFault {
@@ -259,7 +261,7 @@
 }
 
 /// The name of a health in the list.
-pub fn health_word(health: Health) -> &'static str {
+pub fn health_name(health: Health) -> &'static str {
     match health {
         Health::Gone => "gone",
         Health::Ready => "ready",
--- a/crates/discovery/src/tests.rs
+++ b/crates/discovery/src/tests.rs
@@ -7,7 +7,7 @@
 use quickcheck::Gen;
 use serde_json::{json, Value};
 
-use crate::{health_word, Backoff, ListBook, ListFault, Sink};
+use crate::{health_name, Backoff, ListFault, Sink, StreamerList};
 
 /// What the receiver of the entries stores.
 #[derive(Default)]
@@ -23,9 +23,9 @@
 
     fn list_entry(
         &mut self, id: StreamerId, _zone: u16, _kind: usize, _cell: u32, health: Health, _weight: f64,
-        came_up: Start,
+        start: Start,
     ) {
-        self.streamers.insert(id, (health, came_up.at));
+        self.streamers.insert(id, (health, start.at));
         self.named.push(id);
     }
 
@@ -53,18 +53,18 @@
 fn list_agrees_with_a_simple_map_on_generated_messages() {
     let mut gen = Gen::from_size_and_seed(50, 11);
     let (mut list, mut recorded, mut expected) =
-        (ListBook::default(), SinkRecord::default(), BTreeMap::new());
+        (StreamerList::default(), SinkRecord::default(), BTreeMap::new());
     let (mut revision, mut faults) = (0, 0);
     for _ in 0..3000 {
         let port = u64::from(*gen.choose(&[1u8, 2, 3, 4, 5]).unwrap());
         let health = *gen.choose(&[Health::Ready, Health::Draining, Health::Gone]).unwrap();
-        let entries = [entry(port, health_word(health), 1, Some(5))];
+        let entries = [entry(port, health_name(health), 1, Some(5))];
         let complete = *gen.choose(&[true, false, false]).unwrap();
         // Some messages are repeated, some are lost, some are old.
         let gap: u64 = *gen.choose(&[0, 0, 0, 0, 1, 5]).unwrap();
         let from = (revision + gap).saturating_sub(2 * (gap / 5));
         let message = message_line(if complete { "complete" } else { "changes" }, from, from + 1, &entries);
-        match list.take(&message, NOW, &mut recorded) {
+        match list.apply(&message, NOW, &mut recorded) {
             Ok(_) => {
                 if complete {
                     expected.clear();
@@ -89,8 +89,8 @@
 
 #[test]
 fn invalid_messages_change_nothing() {
-    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
-    list.take(&message_line("complete", 0, 4, &[entry(1, "ready", 1, None)]), NOW, &mut recorded).unwrap();
+    let (mut list, mut recorded) = (StreamerList::default(), SinkRecord::default());
+    list.apply(&message_line("complete", 0, 4, &[entry(1, "ready", 1, None)]), NOW, &mut recorded).unwrap();
     let before = list.clone();
     for invalid in [
         b"{".to_vec(),
@@ -100,20 +100,20 @@
         message_line("changes", 4, 5, &[entry(2, "well", 1, None)]),
         message_line("complete", 0, 5, &[json!(["127.0.0.1:3", 0, 0, 1, "ready", -1.0, 1, null])]),
     ] {
-        assert!(list.take(&invalid, NOW, &mut recorded).is_err());
+        assert!(list.apply(&invalid, NOW, &mut recorded).is_err());
         assert_eq!(list, before);
     }
-    let gap = list.take(&message_line("changes", 7, 8, &[]), NOW, &mut recorded);
+    let gap = list.apply(&message_line("changes", 7, 8, &[]), NOW, &mut recorded);
     assert_eq!(gap, Err(ListFault::Gap { from: 7, current: 4 }));
-    assert_eq!(list.take(b"{\"how\":\"failed\"}", NOW, &mut recorded), Ok(Listing::Failed));
+    assert_eq!(list.apply(b"{\"how\":\"failed\"}", NOW, &mut recorded), Ok(Listing::Failed));
     assert_eq!((list, recorded.streamers.len()), (before, 1));
 }
 
 #[test]
 fn known_start_keeps_its_time_and_new_start_gets_its_own() {
-    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
+    let (mut list, mut recorded) = (StreamerList::default(), SinkRecord::default());
     let mut take = |how, from, entries: &[Value], at: u64| {
-        list.take(&message_line(how, from, from + 1, entries), Duration::from_millis(at), &mut recorded)
+        list.apply(&message_line(how, from, from + 1, entries), Duration::from_millis(at), &mut recorded)
             .unwrap();
         recorded.streamers.values().next().unwrap().1.as_millis()
     };
@@ -124,28 +124,28 @@
 
 #[test]
 fn stored_copy_is_restored_on_another_clock() {
-    let (mut list, mut recorded) = (ListBook::default(), SinkRecord::default());
+    let (mut list, mut recorded) = (StreamerList::default(), SinkRecord::default());
     let entries = [entry(1, "ready", 7, Some(3000)), entry(2, "draining", 1, None)];
-    list.take(&message_line("complete", 0, 4, &entries), NOW, &mut recorded).unwrap();
+    list.apply(&message_line("complete", 0, 4, &entries), NOW, &mut recorded).unwrap();
     let wall_clock = Duration::from_secs(1_700_000_000);
     let text = list.store(NOW, wall_clock);
     let restored =
-        ListBook::restore(&text, Duration::from_secs(3600), wall_clock + Duration::from_secs(2)).unwrap();
-    let started_at: Vec<_> = restored.entries().map(|(_, entry)| entry.came_up).collect();
+        StreamerList::restore(&text, Duration::from_secs(3600), wall_clock + Duration::from_secs(2)).unwrap();
+    let started_at: Vec<_> = restored.entries().map(|(_, entry)| entry.started_at).collect();
     assert_eq!(started_at, [Duration::from_secs(3595), Duration::ZERO]);
     assert_eq!(restored.revision(), 4);
     let restored_after_clock_went_back =
-        ListBook::restore(&text, NOW, wall_clock - Duration::from_secs(60)).unwrap();
+        StreamerList::restore(&text, NOW, wall_clock - Duration::from_secs(60)).unwrap();
     assert_eq!(
-        restored_after_clock_went_back.entries().next().unwrap().1.came_up,
+        restored_after_clock_went_back.entries().next().unwrap().1.started_at,
         NOW,
         "after the clock went back it counts as cold"
     );
     for invalid in [&text[..text.len() / 2], "", "{\"version\":2}", "{\"version\":1}"] {
-        assert!(ListBook::restore(invalid, NOW, wall_clock).is_err());
+        assert!(StreamerList::restore(invalid, NOW, wall_clock).is_err());
     }
     let mut cached = SinkRecord::default();
-    restored.tell_cached(&mut cached);
+    restored.pass_cached(&mut cached);
     assert_eq!(cached.streamers.len(), 2);
 }
 
--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -37,7 +37,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_revisions::{Keeper, Revisions};
 
 pub use config::{Config, ConfigFault, LEAST_APART, MOST_APART};
@@ -77,7 +77,7 @@
     serving: Serving,
     checkpoints: Checkpoints,
     relay: Relay,
-    chance: Chance,
+    chance: Rng,
     /// The highest number that is known certified, and since when it is.
     certified: (Number, Duration),
     /// When another machine's batch for the next number came.
--- a/crates/distribution/src/control/agreement.rs
+++ b/crates/distribution/src/control/agreement.rs
@@ -213,7 +213,7 @@
         if others.len() > 1 {
             others.retain(|peer| Some(*peer) != before);
         }
-        let at = (self.chance.share() * others.len() as f64) as usize;
+        let at = (self.chance.unit_interval() * others.len() as f64) as usize;
         let machine = others.get(at).copied().unwrap_or(me);
         let request = self.catch_up.ask(now, machine, &self.ledger);
         if machine != me {
--- a/crates/distribution/src/control/recovery.rs
+++ b/crates/distribution/src/control/recovery.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_revisions::{Regime, Revisions, Terms};
 
 use crate::change::Summary;
@@ -76,8 +76,8 @@
         stored.agreement.as_deref().and_then(|bytes| badgerledge_revisions::Stored::read(bytes).ok());
     let top = agreement.as_ref().and_then(|stored| stored.top.clone());
     let mut found = find(stored, genesis, top, &hand);
-    let mut chance = Chance(seed);
-    let mut drawn = || (chance.share() * f64::from(u32::MAX)) as u64;
+    let mut chance = Rng(seed);
+    let mut drawn = || (chance.unit_interval() * f64::from(u32::MAX)) as u64;
     let (agreement_seed, relay_seed) = (drawn(), drawn());
     let terms = Terms {
         me: config.me,
--- a/crates/distribution/src/control/sequencer.rs
+++ b/crates/distribution/src/control/sequencer.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::change::{Built, Change, ChangeId, History, Rejection};
 use crate::control::batches::text_digest;
@@ -172,8 +172,7 @@
 
     /// Builds the next batch, if it is time, and tells what became of changes that need none.
     pub fn build(
-        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Hand>,
-        chance: &mut Chance,
+        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Hand>, chance: &mut Rng,
     ) -> (Option<Proposal>, Vec<Answer>) {
         let BuildContext { ledger, outcomes, hand, check } = context;
         self.forget_old(now);
@@ -181,7 +180,7 @@
         if !due || ledger.number() != standing.certified {
             return (None, Vec::new());
         }
-        self.patience = chance.span(YIELD);
+        self.patience = chance.random_duration(YIELD);
         let earlier = self.in_flight.take();
         let offered: BTreeSet<ChangeId> =
             earlier.iter().flat_map(|flight| &flight.changes).map(|waiting| waiting.change.id).collect();
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_revisions::word::Go;
 
 use crate::control::ledger::Ledger;
@@ -100,7 +100,7 @@
     /// Who comes first where bytes are short: the one after the last that got some.
     turn: ConnectionId,
     next_tick: Duration,
-    chance: Chance,
+    chance: Rng,
     regional_leases: u64,
 }
 
@@ -120,7 +120,7 @@
             allowed: None,
             turn: 0,
             next_tick: now,
-            chance: Chance(seed),
+            chance: Rng(seed),
             regional_leases: 0,
         }
     }
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::control::ConnectionId;
 use crate::tokens::Tokens;
@@ -67,9 +67,9 @@
 
     /// When one that is sent away is to come back: in its turn behind those sent away before it, and by chance, so that they
     /// don't come back together.
-    pub fn retry_after(&mut self, now: Duration, chance: &mut Chance) -> Duration {
+    pub fn retry_after(&mut self, now: Duration, chance: &mut Rng) -> Duration {
         self.sent_away.spend(now, 1.0);
         let turn = self.sent_away.next_at(now).saturating_sub(now);
-        COME_BACK + turn + chance.span(COME_BACK)
+        COME_BACK + turn + chance.random_duration(COME_BACK)
     }
 }
--- a/crates/distribution/src/tests/control/plays.rs
+++ b/crates/distribution/src/tests/control/plays.rs
@@ -41,7 +41,7 @@
 }
 
 fn drawn(net: &mut Net, below: usize) -> usize {
-    (net.chance.share() * below as f64) as usize
+    (net.chance.unit_interval() * below as f64) as usize
 }
 
 fn drawn_machine(net: &mut Net, size: &Size) -> MachineId {
@@ -55,13 +55,13 @@
 fn push(net: &mut Net, size: &Size) {
     let at = drawn_machine(net, size);
     let author = 1 + drawn(net, 3) as u16;
-    let exclusive = !size.apart.is_zero() && net.chance.share() < 0.4;
+    let exclusive = !size.apart.is_zero() && net.chance.unit_interval() < 0.4;
     let kind = if exclusive { EXCLUSIVE } else { "title " };
     let key = format!("{kind}{}", drawn(net, 5));
     let value = format!("{}", drawn(net, 1000));
     let base = net.machines[usize::from(at)].machine.as_ref().map_or(0, |machine| machine.number());
     // Now and then against an older revision.
-    let back = if net.chance.share() < 0.2 { 2 } else { 0 };
+    let back = if net.chance.unit_interval() < 0.2 { 2 } else { 0 };
     net.push_on(at, author, base.saturating_sub(back), vec![put(&key, &value)]);
 }
 
@@ -74,7 +74,7 @@
 }
 
 fn drawn_node(net: &mut Net, size: &Size) -> Node {
-    if net.chance.share() < 0.7 {
+    if net.chance.unit_interval() < 0.7 {
         return Node::Machine(drawn_machine(net, size));
     }
     Node::Watcher(drawn_watcher(net, size))
@@ -82,9 +82,9 @@
 
 fn kill_one_machine(net: &mut Net, size: &Size) {
     let who = drawn_machine(net, size);
-    let wiped = net.chance.share() < 0.5 && net.all_acceptors_vote();
+    let wiped = net.chance.unit_interval() < 0.5 && net.all_acceptors_vote();
     net.kill_machine(who, wiped);
-    let pause = 3.0 * net.chance.share();
+    let pause = 3.0 * net.chance.unit_interval();
     net.run_for(pause);
     net.start_machine(who);
 }
@@ -93,13 +93,13 @@
     let odd = drawn(net, 2) as MachineId;
     let half: Vec<MachineId> = (0..size.machines).filter(|machine| machine % 2 == odd).collect();
     half.iter().for_each(|machine| net.kill_machine(*machine, false));
-    let pause = 3.0 * net.chance.share();
+    let pause = 3.0 * net.chance.unit_interval();
     net.run_for(pause);
     half.iter().for_each(|machine| net.start_machine(*machine));
 }
 
 fn stall(net: &mut Net, size: &Size) {
-    let until = net.now + Duration::from_secs_f64(8.0 * net.chance.share());
+    let until = net.now + Duration::from_secs_f64(8.0 * net.chance.unit_interval());
     match drawn_node(net, size) {
         Node::Machine(me) => net.machines[usize::from(me)].stalled_until = until,
         Node::Watcher(me) => net.watchers[me as usize].stalled_until = until,
@@ -126,13 +126,13 @@
         9 => kill_half(net, size),
         10 => {
             let who = drawn_watcher(net, size);
-            let wiped = net.chance.share() < 0.3;
+            let wiped = net.chance.unit_interval() < 0.3;
             net.kill_watcher(who, wiped);
             net.start_watcher(who);
         }
         11 => push_again(net, size),
         12 => (0..4).for_each(|_| push(net, size)),
-        _ => net.loss = net.chance.share() * 0.2,
+        _ => net.loss = net.chance.unit_interval() * 0.2,
     }
 }
 
@@ -152,7 +152,7 @@
     net.run_for(6.0);
     for _ in 0..10 {
         step(&mut net, &size);
-        let pause = STEP_SECONDS * net.chance.share();
+        let pause = STEP_SECONDS * net.chance.unit_interval();
         net.run_for(pause);
     }
     net.cut.clear();
--- a/crates/distribution/src/tests/net.rs
+++ b/crates/distribution/src/tests/net.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::edits::entry;
 use super::hand::{sign_as_author, DigestHand};
@@ -103,7 +103,7 @@
     pub cut: BTreeSet<(Node, Node)>,
     pub machines: Vec<MachineSeat>,
     pub watchers: Vec<WatcherSeat>,
-    pub chance: Chance,
+    pub chance: Rng,
     pub broken: Broken,
     /// Machines that say to be ready for their watchers, and send them nothing.
     pub liars: BTreeSet<MachineId>,
@@ -142,7 +142,7 @@
             stalled_until: Duration::ZERO,
             due: Duration::MAX,
         };
-        let mut chance = Chance(seed);
+        let mut chance = Rng(seed);
         let relays: Vec<(MachineId, bool)> = (0..machines).map(|machine| (machine, false)).collect();
         let mut watcher_seat = |controller| {
             let near = |(machine, _): &(MachineId, bool)| {
@@ -157,7 +157,7 @@
                 life: 0,
                 stalled_until: Duration::ZERO,
                 due: Duration::MAX,
-                pace: 1.0 - 0.0095 * chance.share(),
+                pace: 1.0 - 0.0095 * chance.unit_interval(),
             }
         };
         let watchers = (0..watchers).map(&mut watcher_seat).collect();
@@ -252,7 +252,7 @@
     pub fn start_watcher(&mut self, me: ControllerId) {
         let hand = self.hand(MachineId::MAX);
         let seed = self.seed();
-        let mut nonces = Chance(self.seed());
+        let mut nonces = Rng(self.seed());
         let own = self.genesis.clone();
         let seat = &mut self.watchers[me as usize];
         seat.life += 1;
@@ -264,7 +264,7 @@
             late: LATE,
             regional: !self.apart.is_zero(),
             check: Box::new(|_, _| Ok(())),
-            nonce: Box::new(move || std::array::from_fn(|_| (nonces.share() * 256.0) as u8)),
+            nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
         };
         let stored = watcher::Stored::read(&seat.disk).ok();
         let now = self.now.mul_f64(seat.pace);
@@ -283,7 +283,7 @@
     }
 
     fn seed(&mut self) -> u64 {
-        (self.chance.share() * f64::from(u32::MAX)) as u64
+        (self.chance.unit_interval() * f64::from(u32::MAX)) as u64
     }
 
     /// Cuts all between two sets of nodes, both ways.
@@ -348,8 +348,9 @@
         }
         let frame = message::encode(&message);
         let life = self.machines[usize::from(from)].life;
-        for _ in 0..if self.chance.share() < 0.02 { 2 } else { 1 } {
-            if self.is_cut(Node::Machine(from), Node::Machine(to)) || self.chance.share() < self.loss {
+        for _ in 0..if self.chance.unit_interval() < 0.02 { 2 } else { 1 } {
+            if self.is_cut(Node::Machine(from), Node::Machine(to)) || self.chance.unit_interval() < self.loss
+            {
                 continue;
             }
             let at = self.now + self.way(Node::Machine(from), Node::Machine(to));
@@ -378,7 +379,7 @@
     fn way(&mut self, from: Node, to: Node) -> Duration {
         let near = region_of(from) == region_of(to);
         let longest = if near { self.delay / 20 } else { self.delay };
-        longest.mul_f64(0.7 + 0.3 * self.chance.share())
+        longest.mul_f64(0.7 + 0.3 * self.chance.unit_interval())
     }
 
     pub fn with_watcher(
--- a/crates/distribution/src/tests/net/streams.rs
+++ b/crates/distribution/src/tests/net/streams.rs
@@ -137,7 +137,7 @@
         let ends = (stream.client, Node::Machine(stream.machine));
         let (from, to) = if way == Way::Up { ends } else { (ends.1, ends.0) };
         let mut at = self.now + self.way(from, to);
-        while self.chance.share() < self.loss {
+        while self.chance.unit_interval() < self.loss {
             at += AGAIN;
         }
         let Some(stream) = self.streams.streams.get_mut(&id) else { return };
--- a/crates/distribution/src/tests/watcher/lease_play.rs
+++ b/crates/distribution/src/tests/watcher/lease_play.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::super::certified::{edited, hand, Version, ACCEPTORS};
 use super::super::edits::put;
@@ -103,7 +103,7 @@
 
 struct Play {
     now: Duration,
-    chance: Chance,
+    chance: Rng,
     broken: Broken,
     seats: Vec<Seat>,
     versions: Vec<Version>,
@@ -132,8 +132,8 @@
 
 impl Play {
     fn new(seed: u64, broken: Broken) -> Self {
-        let mut chance = Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        (0..8).for_each(|_| assert!(chance.share() < 1.0));
+        let mut chance = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        (0..8).for_each(|_| assert!(chance.unit_interval() < 1.0));
         let seat = |pace: f64| Seat {
             watcher: None,
             reckoning: Reckoning::default(),
@@ -145,7 +145,7 @@
             open: [false; RELAYS],
         };
         // Within half of one in a hundred of the true pace: two differ by one in a hundred at most.
-        let seats = (0..WATCHERS).map(|_| seat(0.995 + chance.share() * 0.0099)).collect();
+        let seats = (0..WATCHERS).map(|_| seat(0.995 + chance.unit_interval() * 0.0099)).collect();
         let mut play = Self {
             now: seconds(1000.0),
             chance,
@@ -168,11 +168,11 @@
     }
 
     fn chance_of(&mut self, share: f64) -> bool {
-        self.chance.share() < share
+        self.chance.unit_interval() < share
     }
 
     fn one_of(&mut self, count: usize) -> usize {
-        ((self.chance.share() * count as f64) as usize).min(count - 1)
+        ((self.chance.unit_interval() * count as f64) as usize).min(count - 1)
     }
 
     /// What a watcher's clock shows.
@@ -212,7 +212,7 @@
             match output {
                 WatcherOutput::Connect(relay) => {
                     self.end(at, relay);
-                    let delay = self.chance.span(seconds(0.2));
+                    let delay = self.chance.random_duration(seconds(0.2));
                     self.put(delay, at, relay, Event::Opened);
                 }
                 WatcherOutput::Close(relay) => self.end(at, relay),
@@ -224,7 +224,7 @@
                             .retain(|_, drawn| *drawn + LEASE > now || self.broken != Broken::Nothing);
                         reckoning.drawn.insert(nonce, now);
                     }
-                    let delay = self.chance.span(seconds(0.2));
+                    let delay = self.chance.random_duration(seconds(0.2));
                     self.put(delay, at, relay, Event::Request(message));
                 }
                 WatcherOutput::Store(StoreRequest::Replace(bytes)) => self.seats[at].disk = bytes,
@@ -244,7 +244,7 @@
     fn hand_down(&mut self, at: usize, relay: usize, message: ToWatcher) {
         // Mostly soon; now and then long after.
         let most = if self.chance_of(0.25) { 9.0 } else { 0.4 };
-        let delay = self.chance.span(seconds(most));
+        let delay = self.chance.random_duration(seconds(most));
         self.put(delay, at, relay, Event::Message(Box::new(message)));
     }
 
@@ -348,7 +348,7 @@
                     let state = watcher.prepared_state().unwrap_or(watcher.active_state());
                     (acting.prepared.unwrap_or(acting.active), state.root())
                 });
-                if let Some((held, root)) = known.filter(|_| self.chance.share() < 0.7) {
+                if let Some((held, root)) = known.filter(|_| self.chance.unit_interval() < 0.7) {
                     self.update(at, relay, held, root);
                 }
             }
@@ -467,7 +467,7 @@
             self.put(Duration::ZERO, at, relay, Event::Ended);
         }
         if self.chance_of(0.004) {
-            self.seats[at].stalled_until = self.now + self.chance.span(seconds(8.0));
+            self.seats[at].stalled_until = self.now + self.chance.random_duration(seconds(8.0));
         }
         if self.chance_of(0.002) {
             if self.chance_of(0.3) {
--- a/crates/distribution/src/tests/watcher/network.rs
+++ b/crates/distribution/src/tests/watcher/network.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::super::certified::{hand, version};
 use super::super::edits::{put, titles};
@@ -38,7 +38,7 @@
     world: World,
     events: BTreeMap<(Duration, u64), (u32, Event)>,
     sequence: u64,
-    chance: Chance,
+    chance: Rng,
     /// When it first had a lease.
     leased: Option<Duration>,
     /// How long it held back at a stretch at most, since it first had a lease.
@@ -63,7 +63,7 @@
             world: World { versions: Vec::new(), allowed: 0 },
             events: BTreeMap::new(),
             sequence: 0,
-            chance: Chance(7),
+            chance: Rng(7),
             leased: None,
             longest_hold: Duration::ZERO,
             held_since: None,
@@ -109,7 +109,7 @@
         for said in said {
             let after = match kind {
                 Kind::Slow(more) => DELAY + more,
-                Kind::Shuffled => DELAY + self.chance.span(DELAY * 10),
+                Kind::Shuffled => DELAY + self.chance.random_duration(DELAY * 10),
                 _ => DELAY,
             };
             match said {
--- a/crates/distribution/src/watcher/links.rs
+++ b/crates/distribution/src/watcher/links.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use thiserror::Error;
 
 use crate::lease::{LEASE, REQUESTS_IN_A_LEASE};
@@ -191,7 +191,7 @@
 /// All relays, by their place in the order of preference.
 pub(super) struct Links {
     links: Vec<Link>,
-    chance: Chance,
+    chance: Rng,
     serving: Option<usize>,
     trying: Option<usize>,
     /// No relay is tried before that.
@@ -208,8 +208,8 @@
 
 impl Links {
     pub fn new(relays: usize, seed: u64, now: Duration) -> Self {
-        let mut chance = Chance(seed);
-        let return_spread = chance.span(RETURN_SPREAD);
+        let mut chance = Rng(seed);
+        let return_spread = chance.random_duration(RETURN_SPREAD);
         Self {
             links: vec![Link::new(now); relays],
             chance,
@@ -360,7 +360,7 @@
 
     /// Leaves a relay; its connection is to be closed.
     pub fn leave(&mut self, now: Duration, place: usize, why: Leave) {
-        let share = self.chance.share();
+        let share = self.chance.unit_interval();
         let Some(link) = self.links.get_mut(place) else { return };
         link.enter(now, Phase::Closed);
         link.is_spare = matches!(why, Leave::NoBetter | Leave::NotNeeded);
@@ -387,7 +387,7 @@
             }
         }
         if why != Leave::NotNeeded {
-            let pause = growing_pause(ATTEMPT_PAUSE, self.attempts, self.chance.share());
+            let pause = growing_pause(ATTEMPT_PAUSE, self.attempts, self.chance.unit_interval());
             self.next_attempt = self.next_attempt.max(now + pause);
             self.attempts = self.attempts.saturating_add(1);
         }
@@ -468,7 +468,7 @@
     fn serve(&mut self, now: Duration, place: usize) {
         (self.serving, self.trying, self.returning) = (Some(place), None, None);
         self.good_since = now;
-        self.return_spread = self.chance.span(RETURN_SPREAD);
+        self.return_spread = self.chance.random_duration(RETURN_SPREAD);
     }
 
     /// Looks at how the present relay serves: well for long, and a more preferred one is tried; badly, and any other.
@@ -492,7 +492,7 @@
         }
         if self.returning.is_some_and(|next| next >= serving) {
             (self.good_since, self.returning) = (now, None);
-            self.return_spread = self.chance.span(RETURN_SPREAD);
+            self.return_spread = self.chance.random_duration(RETURN_SPREAD);
         }
     }
 
@@ -544,7 +544,7 @@
         let every = LEASE / REQUESTS_IN_A_LEASE;
         for (place, link) in self.links.iter_mut().enumerate() {
             if link.is_open() && now >= link.next_ask {
-                link.next_ask = now + every.mul_f64(1.0 - self.chance.share() / 10.0);
+                link.next_ask = now + every.mul_f64(1.0 - self.chance.unit_interval() / 10.0);
                 actions.push(LinkAction::AskLease(place));
             }
         }
--- a/crates/exchange/src/admission.rs
+++ b/crates/exchange/src/admission.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 /// Room at a controller, by count: what one subscription holds there (two connections, buffers, a record) is much
 /// the same for all.
 pub struct Admission {
     most: usize,
     held: usize,
-    chance: Chance,
+    chance: Rng,
     /// When subscriptions left, of late: the pace at which room comes free.
     left: VecDeque<Duration>,
     /// Until when viewers that were turned away have been asked to stay away, as places in a queue.
@@ -28,7 +28,7 @@
 
 impl Admission {
     pub fn new(most: usize, seed: u64) -> Self {
-        Self { most, held: 0, chance: Chance(seed), left: VecDeque::new(), asked_back: Duration::ZERO }
+        Self { most, held: 0, chance: Rng(seed), left: VecDeque::new(), asked_back: Duration::ZERO }
     }
 
     pub fn held(&self) -> usize {
@@ -48,7 +48,7 @@
         self.asked_back = self.asked_back.max(now + SHORTEST).min(now + LONGEST) + turn;
         let wait = self.asked_back.saturating_sub(now).min(LONGEST);
         // A random part up to a quarter: controllers that filled up together must not call all back together.
-        Err(wait.mul_f64(1.0 - 0.25 * self.chance.share()).max(SHORTEST))
+        Err(wait.mul_f64(1.0 - 0.25 * self.chance.unit_interval()).max(SHORTEST))
     }
 
     pub fn leave(&mut self, now: Duration) {
--- a/crates/exchange/src/book.rs
+++ b/crates/exchange/src/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, StreamerId, SubscriptionRequest};
 use tracing::Span;
 
 use crate::Line;
@@ -33,7 +33,7 @@
 /// One subscription that was taken and is not over.
 #[derive(Debug)]
 pub struct Held {
-    pub asked: Asked,
+    pub asked: SubscriptionRequest,
     pub taken: Duration,
     /// Lines that wait for the answer: the newest is the viewer's present one.
     pub waiting: Vec<Line>,
@@ -119,12 +119,14 @@
         self.by_line.get(&line).copied()
     }
 
-    pub fn of_viewer(&self, asked: &Asked) -> Option<JobId> {
+    pub fn of_viewer(&self, asked: &SubscriptionRequest) -> Option<JobId> {
         self.by_viewer.get(&(asked.path_key, asked.title)).copied()
     }
 
     /// Opens a record and names it.
-    pub fn open(&mut self, line: Line, asked: Asked, taken: Duration, last_call: Duration) -> JobId {
+    pub fn open(
+        &mut self, line: Line, asked: SubscriptionRequest, taken: Duration, last_call: Duration,
+    ) -> JobId {
         let job = self.next_job();
         self.last_job = job;
         let span = tracing::info_span!("subscription", job, viewer = asked.path_key, title = asked.title);
@@ -235,7 +237,7 @@
     }
 
     /// Keeps in mind that a subscription that must not be set up twice has ended without a promise.
-    pub fn remember_unsafe(&mut self, asked: &Asked, until: Duration) {
+    pub fn remember_unsafe(&mut self, asked: &SubscriptionRequest, until: Duration) {
         if self.ended_unsafe.len() >= REMEMBERED {
             let first = self.ended_unsafe.iter().min_by_key(|(_, until)| **until).map(|(viewer, _)| *viewer);
             first.map(|viewer| self.ended_unsafe.remove(&viewer));
@@ -244,7 +246,7 @@
     }
 
     /// Whether such a one ended so lately that a request of its viewer was sent before its end was known.
-    pub fn ended_unsafe(&mut self, asked: &Asked, now: Duration) -> bool {
+    pub fn ended_unsafe(&mut self, asked: &SubscriptionRequest, now: Duration) -> bool {
         self.ended_unsafe.retain(|_, until| *until > now);
         self.ended_unsafe.contains_key(&(asked.path_key, asked.title))
     }
--- a/crates/exchange/src/changing.rs
+++ b/crates/exchange/src/changing.rs
@@ -1,7 +1,7 @@
 //! Other settings and titles, told in a round before anything else that came in: what is decided in it is decided under
 //! them. What becomes of each subscription was decided before (`badgerledge-changes`); it is carried out here.
 
-use badgerledge_core::interface::{Ending, JobId, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId};
 use serde_json::{Map, Value};
 
 use crate::desk::Carrier;
@@ -13,7 +13,7 @@
     /// plays at.
     pub fn ends_at(&mut self, job: JobId, top: u8) {
         self.deliver();
-        self.module.ends_at(job, top, self.desk);
+        self.module.limit_rung(job, top, self.desk);
         // One that does not flow yet is set up lower, or stepped once it flows.
         let over = self.desk.book.get(job).is_some_and(|held| held.rung.is_some_and(|rung| rung > top));
         if over {
@@ -25,7 +25,7 @@
     pub fn retell(&mut self, told: Map<String, Value>) {
         self.deliver();
         *self.desk.unsafe_types = unsafe_types(&told);
-        self.module.retell(told);
+        self.module.update_settings(told);
     }
 
     /// The title of a subscription lies on so many cells from another one on.
--- a/crates/exchange/src/desk.rs
+++ b/crates/exchange/src/desk.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, JobId, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId, SubscriptionRequest};
 
 use crate::book::{Book, Join};
 use crate::{Admission, Line};
@@ -19,7 +19,7 @@
     /// Begins a join: connects, and tells [`crate::Floor::join_opened`].
     fn open_join(&mut self, job: JobId, number: u16, streamer: StreamerId);
     /// Sends SETUP on a join that has opened.
-    fn set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>);
+    fn set_up(&mut self, job: JobId, number: u16, asked: &SubscriptionRequest, rung: Option<u8>);
     /// Sends PLAY on a join that was set up.
     fn play(&mut self, job: JobId, number: u16);
     /// Sends a new rung on a join that plays.
@@ -74,7 +74,7 @@
     /// A subscription was terminated: for an unsafe room type that is kept in mind for as long as its viewer may have
     /// sent another request meanwhile. Viewers of those stay away once they know. Guards rule 2 against a retry that
     /// waited unread while this process was stopped. Harm: a viewer that comes again all the same is turned away.
-    pub fn keep_in_mind(&mut self, asked: &Asked) {
+    pub fn keep_in_mind(&mut self, asked: &SubscriptionRequest) {
         if self.unsafe_types.contains(&asked.room_type) {
             self.book.remember_unsafe(asked, self.now + asked.client_timeout);
         }
@@ -99,8 +99,8 @@
     }
 }
 
-impl<C: Carrier> Writer for Desk<'_, C> {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
+impl<C: Carrier> DecisionSink for Desk<'_, C> {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
         let Some(number) = self.book.join(job, streamer, self.now, try_until) else {
             // It has a join out, plays, or is over: the bench's `moot`.
             let moot = Owed::Outcome(job, u16::MAX, streamer, Ending::Moot, true, Duration::ZERO, Vec::new());
@@ -116,7 +116,7 @@
         self.carrier.open_join(job, number, streamer);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         if let Some(held) = self.book.get(job) {
             held.span.in_scope(|| tracing::info!(cool_down_ms = cool_down.as_millis() as u64, "throttled"));
         }
@@ -132,7 +132,7 @@
         self.answer(job, |carrier, line| carrier.terminate(line, late));
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         let Some(held) = self.book.set_rung(job, rung) else { return };
         if let Some(join) = held.join.as_ref().filter(|join| join.flows()) {
             held.span.in_scope(|| tracing::debug!(rung, "step"));
@@ -140,7 +140,7 @@
         }
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         let Some(held) = self.close(job) else { return };
         held.span.in_scope(|| tracing::info!("moved"));
         if let Some(join) = &held.join {
@@ -160,34 +160,34 @@
         }
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         self.carrier.remind(from_now, token);
     }
 
-    fn health_check(&mut self, streamer: StreamerId) {
+    fn send_probe(&mut self, streamer: StreamerId) {
         self.carrier.probe(streamer);
     }
 
     // Each join has a connection of its own, closed with it: none is idle.
-    fn close(&mut self, _streamer: StreamerId) {}
+    fn close_connection(&mut self, _streamer: StreamerId) {}
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.carrier.signal(peer, bytes);
     }
 
-    fn observe(&mut self, want: bool) {
+    fn watch_list(&mut self, want: bool) {
         self.carrier.observe(want);
     }
 
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.carrier.list_all();
     }
 
-    fn emit(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         tracing::info!(target: "module", "{line}");
     }
 
-    fn give_in(&mut self, line: &str) {
+    fn log_error(&mut self, line: &str) {
         tracing::error!(target: "module", "{line}");
     }
 }
--- a/crates/exchange/src/floor.rs
+++ b/crates/exchange/src/floor.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_core::decide::Controller;
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest};
 
 use crate::book::Join;
 use crate::desk::{Carrier, Desk, Owed};
@@ -22,7 +22,7 @@
 
     /// A viewer asks on a line, which waits for an answer from now on. `asked.client_timeout` is as the viewer
     /// named it, counted from `since`.
-    pub fn viewer_asks(&mut self, line: Line, mut asked: Asked, since: Duration) {
+    pub fn viewer_asks(&mut self, line: Line, mut asked: SubscriptionRequest, since: Duration) {
         self.deliver();
         let last_call = since + limits::last_call(asked.client_timeout);
         let waited = self.desk.now.saturating_sub(since);
@@ -114,7 +114,7 @@
             match owed {
                 Owed::Flowing(job, number, streamer, latency) => {
                     self.desk.carrier.came_to(streamer, None);
-                    self.module.flowing(job, number, streamer, latency);
+                    self.module.join_served(job, number, streamer, latency);
                 }
                 Owed::Outcome(job, number, streamer, ending, over, latency, usage) => {
                     self.desk.carrier.came_to(streamer, Some(ending));
@@ -162,18 +162,18 @@
 
     /// What a budget leaves for new joins from a building, or from any other, kB a second.
     pub fn crossing(&mut self, from: Option<u16>, left: f64) {
-        self.module.crossing(from, left);
+        self.module.set_crossing_budget(from, left);
     }
 
     /// The highest rung that a subscription from another building may have for now.
     pub fn cap(&mut self, job: JobId, cap: Option<u8>) {
         self.deliver();
-        self.module.cap(job, cap, self.desk);
+        self.module.set_rung_cap(job, cap, self.desk);
     }
 
     /// Several other controllers lost joins on a streamer.
     pub fn reported_in_trouble(&mut self, streamer: StreamerId) {
-        self.module.hearsay(streamer);
+        self.module.failure_reported_by_peers(streamer);
     }
 
     /// A subscription must not cross any more: its viewer comes back, and is placed by the module like any other.
@@ -200,17 +200,17 @@
 
     /// A probe's end.
     pub fn probed(&mut self, streamer: StreamerId, ending: Ending, latency: Duration, usage: &[f64]) {
-        self.module.echo(streamer, ending, latency, usage);
+        self.module.probe_result(streamer, ending, latency, usage);
     }
 
     /// A reminder that the module set.
     pub fn fired(&mut self, token: u64) {
-        self.module.fired(token);
+        self.module.timer_fired(token);
     }
 
     /// A message of another controller.
     pub fn peer(&mut self, peer: u32, bytes: &[u8]) {
-        self.module.peer(peer, bytes);
+        self.module.receive_load_reports(peer, bytes);
     }
 
     /// A word of the list begins. A complete one names all that are `known`; what it leaves out is gone.
--- a/crates/exchange/src/tests.rs
+++ b/crates/exchange/src/tests.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest};
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{json, Value};
 
@@ -38,16 +38,16 @@
         "report": {"fields": ["x0"], "how": "answers"}, "zone": 0})
 }
 
-fn asked(viewer: u64, room_type: usize) -> Asked {
+fn asked(viewer: u64, room_type: usize) -> SubscriptionRequest {
     let client_timeout = ms(2000);
-    Asked {
+    SubscriptionRequest {
         title: 1,
         path_key: viewer,
         room_type,
         client_timeout,
         copies: 4,
         max_rung: 2,
-        ..Asked::default()
+        ..SubscriptionRequest::default()
     }
 }
 
@@ -140,7 +140,7 @@
         assert!(self.joins.insert((job, number), join).is_none(), "joins are numbered");
     }
 
-    fn set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>) {
+    fn set_up(&mut self, job: JobId, number: u16, asked: &SubscriptionRequest, rung: Option<u8>) {
         assert!(asked.room_type != 0 || rung.is_none_or(|rung| rung >= 1), "rule 5: under the floor");
         assert!(rung.is_none_or(|rung| rung <= asked.max_rung));
         let join = self.joins.get_mut(&(job, number)).unwrap();
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::budget::Budget;
 use crate::health::Health;
@@ -58,7 +58,7 @@
     budget: Budget,
     rate_limits: RateLimits,
     counter: u32,
-    chance: Chance,
+    chance: Rng,
     bulletins: BTreeMap<Member, (u32, u32)>,
     bulletin_number: u32,
     next_period: Duration,
@@ -81,9 +81,9 @@
         me: Member, keyring: H, life: u32, at: SocketAddrV4, seeds: Vec<SocketAddrV4>, now: Duration,
         seed: u64,
     ) -> Self {
-        let mut chance = Chance(seed);
+        let mut chance = Rng(seed);
         // Members that start in one second do not go on in step.
-        let first = now + PERIOD.mul_f64(chance.share());
+        let first = now + PERIOD.mul_f64(chance.unit_interval());
         let mut gossip = Self {
             keyring,
             me,
@@ -209,19 +209,19 @@
             self.begin_probe(now, out);
         }
         if now >= self.next_seeds && self.is_alone() {
-            self.next_seeds = now + SEEDS_EVERY.mul_f64(0.5 + self.chance.share());
+            self.next_seeds = now + SEEDS_EVERY.mul_f64(0.5 + self.chance.unit_interval());
             self.try_seed(now, out);
         }
         if now >= self.next_gone {
-            self.next_gone = now + TRY_GONE_EVERY.mul_f64(0.5 + self.chance.share());
+            self.next_gone = now + TRY_GONE_EVERY.mul_f64(0.5 + self.chance.unit_interval());
             self.try_gone(now, out);
         }
         if now >= self.next_compare {
-            self.next_compare = now + COMPARE_EVERY.mul_f64(0.5 + self.chance.share());
+            self.next_compare = now + COMPARE_EVERY.mul_f64(0.5 + self.chance.unit_interval());
             self.compare(now, out);
         }
         if now >= self.next_news && !self.outbox.is_empty() {
-            self.next_news = now + NEWS_EVERY.mul_f64(0.5 + self.chance.share());
+            self.next_news = now + NEWS_EVERY.mul_f64(0.5 + self.chance.unit_interval());
             self.spread(now, out);
         }
         self.due = self.next_due().max(now);
--- a/crates/gossip/src/member/anti_entropy.rs
+++ b/crates/gossip/src/member/anti_entropy.rs
@@ -50,7 +50,7 @@
             return;
         }
         // This member lacks something, or the other does: it compares again soon itself.
-        let soon = now + COMPARE_SOON.mul_f64(0.5 + self.chance.share());
+        let soon = now + COMPARE_SOON.mul_f64(0.5 + self.chance.unit_interval());
         self.next_compare = self.next_compare.min(soon);
         shuffle(&mut differ, &mut self.chance);
         let statements = differ.iter().flat_map(|member| self.view.statements(*member));
--- a/crates/gossip/src/member/joining.rs
+++ b/crates/gossip/src/member/joining.rs
@@ -90,7 +90,7 @@
         if others.is_empty() {
             return;
         }
-        let seed = others[(self.chance.share() * others.len() as f64) as usize % others.len()];
+        let seed = others[(self.chance.unit_interval() * others.len() as f64) as usize % others.len()];
         self.ping_at(now, ANYONE, seed, out);
     }
 
--- a/crates/gossip/src/member/sending.rs
+++ b/crates/gossip/src/member/sending.rs
@@ -23,7 +23,7 @@
             if chosen.len() < count {
                 chosen.push(member);
             } else {
-                let at = (self.chance.share() * (seen + 1) as f64) as usize;
+                let at = (self.chance.unit_interval() * (seen + 1) as f64) as usize;
                 chosen.get_mut(at).into_iter().for_each(|place| *place = member);
             }
         }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::Member;
 
@@ -52,7 +52,7 @@
     /// The next one in turn of those that take part.
     pub fn next_target(
         &mut self, mut takes_part: impl FnMut(Member) -> bool, all: impl Fn() -> Vec<Member>,
-        chance: &mut Chance,
+        chance: &mut Rng,
     ) -> Option<Member> {
         for _ in 0..2 {
             while let Some(member) = self.order.pop() {
@@ -67,9 +67,9 @@
     }
 
     /// Puts a member that came new at a random place of this turn.
-    pub fn insert(&mut self, member: Member, chance: &mut Chance) {
+    pub fn insert(&mut self, member: Member, chance: &mut Rng) {
         if !self.order.contains(&member) {
-            let at = (chance.share() * (self.order.len() + 1) as f64) as usize;
+            let at = (chance.unit_interval() * (self.order.len() + 1) as f64) as usize;
             self.order.insert(at.min(self.order.len()), member);
         }
     }
@@ -107,9 +107,9 @@
 }
 
 /// In an order drawn by chance (Fisher and Yates).
-pub fn shuffle(members: &mut [Member], chance: &mut Chance) {
+pub fn shuffle(members: &mut [Member], chance: &mut Rng) {
     for last in (1..members.len()).rev() {
-        let other = (chance.share() * (last + 1) as f64) as usize;
+        let other = (chance.unit_interval() * (last + 1) as f64) as usize;
         members.swap(last, other.min(last));
     }
 }
--- a/crates/gossip_lab/src/net.rs
+++ b/crates/gossip_lab/src/net.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_gossip::envelope::{begin, Header};
 use badgerledge_gossip::statement::Statement;
 use badgerledge_gossip::{Event, Gossip, Keyring, Member, Transport};
@@ -60,7 +60,7 @@
     seats: Vec<Seat>,
     events: BTreeMap<(Duration, u64), Scheduled>,
     sequence: u64,
-    chance: Chance,
+    chance: Rng,
     seed: u64,
 }
 
@@ -98,7 +98,7 @@
             seats: (0..members).map(|_| seat()).collect(),
             events: BTreeMap::new(),
             sequence: 0,
-            chance: Chance(seed ^ 0x5eed),
+            chance: Rng(seed ^ 0x5eed),
             seed,
         }
     }
@@ -123,7 +123,7 @@
     pub fn start_all(&mut self, span: Duration) {
         let begin = self.now;
         for member in 0..self.seats.len() as Member {
-            let at = begin + self.chance.span(span);
+            let at = begin + self.chance.random_duration(span);
             self.now = at;
             self.start(member, 1);
         }
@@ -218,14 +218,14 @@
             let to = to.port() - 20_000;
             if usize::from(to) >= self.seats.len()
                 || (self.cut)(from, to)
-                || self.chance.share() < self.way.loss
+                || self.chance.unit_interval() < self.way.loss
             {
                 continue;
             }
-            let copies = if self.chance.share() < self.way.doubled { 2 } else { 1 };
+            let copies = if self.chance.unit_interval() < self.way.doubled { 2 } else { 1 };
             for _ in 0..copies {
                 let (least, most) = self.way.delay;
-                let delay = Duration::from_secs_f64(least + (most - least) * self.chance.share());
+                let delay = Duration::from_secs_f64(least + (most - least) * self.chance.unit_interval());
                 self.add(
                     self.now + delay,
                     Scheduled::Datagram { to, from: address(from), bytes: bytes.clone() },
--- a/crates/platform/src/asked.rs
+++ b/crates/platform/src/asked.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_signalling::viewers::{
     Parameters, CLIENT_TIMEOUT, DESCRIPTION, FIGURES, HINT, ROOM_TYPE, TITLE,
 };
@@ -80,7 +80,7 @@
 
 /// A request as it came: what the module is told, and what goes on to streamers unchanged.
 pub struct Request {
-    pub asked: Asked,
+    pub asked: SubscriptionRequest,
     pub title: String,
     pub description: String,
     /// The streamer that it plays at already.
@@ -102,14 +102,14 @@
     // Who plays already waits for nothing, and names a wait without end.
     let longest = if at.is_some() { Duration::MAX } else { LONGEST_WAIT };
     let client_timeout = left.filter(|left| !left.is_zero() && *left <= longest).ok_or("client timeout")?;
-    let hinted = match parameters.text(HINT) {
+    let duration_hint = match parameters.text(HINT) {
         None => None,
         Some(text) => {
             let hint: Option<f64> = text.parse().ok().filter(|ms| (0.0..=LONGEST_HINT).contains(ms));
             Some(Duration::from_secs_f64(hint.ok_or("hint")? / 1000.0)).filter(|hint| !hint.is_zero())
         }
     };
-    let asked = Asked {
+    let asked = SubscriptionRequest {
         title: hex64(title).ok_or("title")?,
         path_key: figures.get("viewer").copied().and_then(hex64).ok_or("viewer")?,
         room_type,
@@ -117,7 +117,7 @@
         first_cell: whole("home", 0.0, terms.positions - 1.0).ok_or("home")? as u32,
         copies: whole("copies", 1.0, terms.positions).ok_or("copies")? as u32,
         max_rung: whole("top", 0.0, terms.rungs - 1.0).ok_or("top")? as u8,
-        hinted,
+        duration_hint,
         moved: figures.get("again") == Some(&"1"),
     };
     let description = parameters.text(DESCRIPTION).filter(|text| !text.is_empty() || at.is_some());
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -167,7 +167,7 @@
     }
 
     pub fn usage(&self, load: Option<&str>) -> Vec<f64> {
-        load.map_or_else(Vec::new, |load| streamers::load(load, &self.terms.report))
+        load.map_or_else(Vec::new, |load| streamers::parse_load_report(load, &self.terms.report))
     }
 }
 
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Ending, JobId, Listing, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, Listing, StreamerId};
 use badgerledge_signalling::{streamers, viewers};
 
 use crate::calls::{trace, Calls, Due, Offered};
@@ -34,8 +34,8 @@
     }
 }
 
-impl<W: Wires> Writer for Dispatcher<'_, W> {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
+impl<W: Wires> DecisionSink for Dispatcher<'_, W> {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
         let (now, most) = (self.now, self.calls.terms.most_joins);
         let Some(call) = self.calls.get_mut(job) else { return };
         let join = call.joins;
@@ -56,7 +56,7 @@
         self.wires.join(job, wire_id, streamer, offer);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         self.answer(job, THROTTLED, cool_down);
     }
 
@@ -64,7 +64,7 @@
         self.answer(job, CUT, Duration::ZERO);
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         let Some(call) = self.calls.get_mut(job) else { return };
         call.rung = Some(rung);
         if let Phase::Stands(streamer) = call.phase {
@@ -72,7 +72,7 @@
         }
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         let Some(call) = self.calls.get_mut(job) else { return };
         if let Phase::Stands(streamer) = call.phase {
             call.phase = Phase::Leaves(streamer);
@@ -96,41 +96,41 @@
         }
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         // Never in the round that is being answered.
         let at = self.now + from_now.max(Duration::from_micros(1));
         self.calls.due.insert((at, Due::Module(token)));
     }
 
-    fn health_check(&mut self, streamer: StreamerId) {
+    fn send_probe(&mut self, streamer: StreamerId) {
         self.wires.probe(streamer);
     }
 
-    fn close(&mut self, streamer: StreamerId) {
+    fn close_connection(&mut self, streamer: StreamerId) {
         self.wires.drop_idle(streamer);
     }
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.wires.signal(peer, bytes);
     }
 
-    fn observe(&mut self, _want: bool) {
-        self.list_all();
+    fn watch_list(&mut self, _want: bool) {
+        self.request_full_list();
     }
 
     /// The list is asked for all the time; that it came is told.
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.calls.arrivals.push(Box::new(|module| {
             module.list_begins(Listing::Changes);
             module.list_ends(Listing::Changes);
         }));
     }
 
-    fn emit(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         tracing::info!(line, "the module");
     }
 
-    fn give_in(&mut self, line: &str) {
+    fn log_error(&mut self, line: &str) {
         tracing::error!(line, "the module gave in");
     }
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_signalling::MOST;
+use badgerledge_signalling::MAX_MESSAGE_BYTES;
 
 /// A whole frame, and the answers to a flood of them.
-pub const BOUNDS: Bounds = Bounds { input: MOST + 2, output: 4 * MOST };
+pub const BOUNDS: Bounds = Bounds { input: MAX_MESSAGE_BYTES + 2, output: 4 * MAX_MESSAGE_BYTES };
 /// A connection that was sent nothing, and has nothing open, for this long is closed, and one that owes the rest of a
 /// frame. Under the three seconds in which one that sends what cannot be read must hear something.
 const QUIET: Duration = Duration::from_secs(2);
--- a/crates/platform/src/hearing.rs
+++ b/crates/platform/src/hearing.rs
@@ -48,14 +48,14 @@
     pub ready: bool,
 }
 
-impl viewers::Heard for ViewerEar<'_> {
+impl viewers::MessageHandler for ViewerEar<'_> {
     fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
         let (sessions, ends) = &mut self.service;
         ends.front.asked(self.line, self.now);
         sessions.set_up(self.now, self.line, wire_id, parameters, *ends);
     }
 
-    fn spoilt_set_up(&mut self, wire_id: u64) {
+    fn malformed_set_up(&mut self, wire_id: u64) {
         let (sessions, ends) = &mut self.service;
         sessions.turn_away(self.now, self.line, wire_id, *ends);
     }
@@ -71,7 +71,7 @@
         ends.answer(self.line, &viewers::tested(wire_id, self.ready));
     }
 
-    fn release_heard(&mut self, wire_id: u64) {
+    fn release_acknowledged(&mut self, wire_id: u64) {
         self.service.1.front.release_heard(wire_id);
     }
 }
@@ -85,7 +85,7 @@
     pub fault: Option<Fault>,
 }
 
-impl streamers::Heard for StreamerEar<'_> {
+impl streamers::MessageHandler for StreamerEar<'_> {
     fn answered(&mut self, wire_id: u64, description: &str) {
         let (sessions, ends) = &mut self.service;
         match ends.pool.join_on(self.line, wire_id) {
@@ -125,7 +125,7 @@
         sessions.echo(self.streamer, ending, self.now.saturating_sub(sent), load);
     }
 
-    fn noted(&mut self, wire_id: u64, note: &str, value: f64) {
+    fn progress_report(&mut self, wire_id: u64, note: &str, value: f64) {
         let (sessions, ends) = &mut self.service;
         match sessions.noted(self.streamer, wire_id, note, value) {
             Ok(true) => {}
--- a/crates/platform/src/pool.rs
+++ b/crates/platform/src/pool.rs
@@ -11,10 +11,10 @@
 
 use badgerledge_core::interface::{Ending, JobId, StreamerId};
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_signalling::{streamers, MOST};
+use badgerledge_signalling::{streamers, MAX_MESSAGE_BYTES};
 
 /// A line that a message is never longer than, and room for the messages of one round.
-const BOUNDS: Bounds = Bounds { input: MOST + 1, output: 8 * MOST };
+const BOUNDS: Bounds = Bounds { input: MAX_MESSAGE_BYTES + 1, output: 8 * MAX_MESSAGE_BYTES };
 /// Part of the settings' idle time after which a connection takes no join and is closed: a streamer that closes
 /// it at that very time would reset the join.
 const IDLE_PART: f64 = 0.7;
@@ -28,7 +28,7 @@
 /// How long a message waits for a connection: what stands for longer than this after its end is lost anyway.
 const UNSAID_FOR: Duration = Duration::from_secs(8);
 /// Bytes that wait so for one streamer at most: some two hundred releases.
-const UNSAID: usize = MOST;
+const UNSAID: usize = MAX_MESSAGE_BYTES;
 /// Tries of a silent streamer, or of one that cut all connections, that must end in nothing.
 const TRIES: u32 = 2;
 
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result};
-use badgerledge_core::chance::Chance;
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{Ending, Listing, StreamerId};
+use badgerledge_core::random::Rng;
 use badgerledge_names::Names;
 use badgerledge_reactor::{raise_descriptors, Happening, Line, Reactor};
 use badgerledge_signalling::{streamers, viewers};
@@ -48,7 +48,7 @@
     ends: Ends,
     sessions: SessionTable,
     names: Names,
-    chance: Chance,
+    chance: Rng,
     /// Where viewers come.
     listener: Line,
     /// The socket to the name service, and when it is asked next.
@@ -111,7 +111,7 @@
         let name = place.name.clone();
         let (sockets, memory_mb, last) = (place.sockets, place.memory_mb, names.last());
         let ends = Ends { reactor, now: ORIGIN, front, pool, place, peers };
-        let chance = Chance(ends.place.seed.rotate_left(31));
+        let chance = Rng(ends.place.seed.rotate_left(31));
         let mut service = Self {
             ends,
             sessions,
@@ -264,7 +264,7 @@
         let ready = (self.listed || now >= ORIGIN + READY_WITHOUT) && self.ending.is_none();
         let fault = loop {
             let mut ear = ViewerEar { service: (&mut self.sessions, &mut self.ends), line, now, ready };
-            match viewers::hear(input.as_slice(), &mut ear) {
+            match viewers::decode(input.as_slice(), &mut ear) {
                 Ok(0) => break None,
                 Ok(count) => input.consume(count),
                 Err(fault) => break Some(fault),
@@ -328,7 +328,7 @@
         let fault = loop {
             let service = (&mut self.sessions, &mut self.ends);
             let mut ear = StreamerEar { service, line, streamer, now, fault: None };
-            match streamers::hear(input.as_slice(), &mut ear) {
+            match streamers::decode(input.as_slice(), &mut ear) {
                 Ok(0) => break None,
                 Ok(count) => {
                     if let Some(fault) = ear.fault {
--- a/crates/platform/src/serve/discovery.rs
+++ b/crates/platform/src/serve/discovery.rs
@@ -28,8 +28,8 @@
             return;
         }
         // The random part keeps controllers that were started together from asking at one moment.
-        self.ask_at = now + ASK_EVERY.mul_f64(0.9 + 0.2 * self.chance.share());
-        let query = self.names.query((self.chance.share() * 65536.0) as u16);
+        self.ask_at = now + ASK_EVERY.mul_f64(0.9 + 0.2 * self.chance.unit_interval());
+        let query = self.names.query((self.chance.unit_interval() * 65536.0) as u16);
         if now >= ORIGIN + LIST_LATE {
             self.fresh_from.get_or_insert(self.names.asked());
         }
--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -253,7 +253,7 @@
         wires.trust(line);
         self.calls.stand(job, streamer);
         let latency = now.saturating_sub(sent);
-        self.calls.arrivals.push(Box::new(move |module| module.flowing(job, join, streamer, latency)));
+        self.calls.arrivals.push(Box::new(move |module| module.join_served(job, join, streamer, latency)));
     }
 
     /// The join that is out has ended without an answer.
@@ -332,11 +332,13 @@
     /// How a probe ended.
     pub fn echo(&mut self, streamer: StreamerId, ending: Ending, latency: Duration, load: Option<&str>) {
         let usage = self.calls.usage(load);
-        self.calls.arrivals.push(Box::new(move |module| module.echo(streamer, ending, latency, &usage)));
+        self.calls
+            .arrivals
+            .push(Box::new(move |module| module.probe_result(streamer, ending, latency, &usage)));
     }
 
     pub fn peer(&mut self, peer: u32, bytes: Vec<u8>) {
-        self.calls.arrivals.push(Box::new(move |module| module.peer(peer, &bytes)));
+        self.calls.arrivals.push(Box::new(move |module| module.receive_load_reports(peer, &bytes)));
     }
 
     /// A list, or what has changed in it, entry by entry. It goes to the module before all else that came.
@@ -376,7 +378,7 @@
         while let Some((at, due)) = self.calls.due.first().copied().filter(|due| due.0 <= now) {
             self.calls.due.remove(&(at, due));
             match due {
-                Due::Module(token) => self.calls.arrivals.push(Box::new(move |m| m.fired(token))),
+                Due::Module(token) => self.calls.arrivals.push(Box::new(move |m| m.timer_fired(token))),
                 Due::Join(job, join) => self.late_join(now, job, join, wires),
                 Due::LastCall(job) => self.last_call(now, job, wires),
                 Due::Moved(job) => {
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use badgerledge_core::decide::Controller;
-use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId};
 use badgerledge_reactor::Line;
 use badgerledge_signalling::viewers::{self, Parameters};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -150,7 +150,7 @@
         frame.extend(wire_id.to_be_bytes());
         frame.extend(parameters);
         let mut ear = Ear { play: self, line };
-        viewers::hear(&frame, &mut ear).expect("a frame");
+        viewers::decode(&frame, &mut ear).expect("a frame");
     }
 
     fn answer(&mut self, wire_id: u64) -> Option<StreamerId> {
@@ -171,19 +171,19 @@
     line: Line,
 }
 
-impl viewers::Heard for Ear<'_> {
+impl viewers::MessageHandler for Ear<'_> {
     fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
         let play = &mut *self.play;
         play.sessions.set_up(play.now, self.line, wire_id, parameters, &mut play.ends);
     }
-    fn spoilt_set_up(&mut self, wire_id: u64) {
+    fn malformed_set_up(&mut self, wire_id: u64) {
         self.play.sessions.turn_away(self.play.now, self.line, wire_id, &mut self.play.ends);
     }
     fn ended(&mut self, wire_id: u64) {
         self.play.sessions.ended_by_viewer(self.play.now, self.line, wire_id, &mut self.play.ends);
     }
     fn tested(&mut self, _session: u64) {}
-    fn release_heard(&mut self, _session: u64) {}
+    fn release_acknowledged(&mut self, _session: u64) {}
 }
 
 fn entry(number: u32, health: Health) -> ListEntry {
@@ -512,7 +512,8 @@
     let at = "home:0;copies:4;top:2;viewer:00000000b4d65521;at:s-00000000";
     play.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
     let job = play.sessions.calls.job(5).expect("it is held");
-    Dispatcher { now: play.now, calls: &mut play.sessions.calls, wires: &mut play.ends }.shift(job);
+    Dispatcher { now: play.now, calls: &mut play.sessions.calls, wires: &mut play.ends }
+        .move_subscription(job);
     play
 }
 
--- a/crates/relay/src/backoff.rs
+++ b/crates/relay/src/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 const FIRST: Duration = Duration::from_millis(100);
 /// A control machine that is back is connected to within this, and its half again.
@@ -23,10 +23,10 @@
 
 impl Backoff {
     /// How long to wait after one more failed try.
-    pub fn next(&mut self, chance: &mut Chance) -> Duration {
+    pub fn next(&mut self, chance: &mut Rng) -> Duration {
         let pause = self.pause;
         self.pause = (pause * 2).min(LONGEST);
-        pause / 2 + chance.span(pause / 2)
+        pause / 2 + chance.random_duration(pause / 2)
     }
 
     /// A try succeeded.
--- a/crates/relay/src/edits.rs
+++ b/crates/relay/src/edits.rs
@@ -115,7 +115,7 @@
         if !self.sheet.sections().any(|section| section.starts_with("title ")) {
             return;
         }
-        match Catalogue::among(self.sheet) {
+        match Catalogue::from_sections(self.sheet) {
             Ok(titles) => {
                 for Entry { key, value } in title_entries(&titles.text()) {
                     let heading = key.clone();
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -9,7 +9,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::message::{decode, encode, PeerMessage};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
@@ -85,7 +85,7 @@
     by_line: BTreeMap<Line, MachineId>,
     incoming: BTreeMap<Line, Incoming>,
     lives: Lives,
-    chance: Chance,
+    chance: Rng,
     lines: LineLimit,
 }
 
@@ -115,7 +115,7 @@
             by_line: BTreeMap::new(),
             incoming: BTreeMap::new(),
             lives: Lives::default(),
-            chance: Chance(seed),
+            chance: Rng(seed),
             lines: LineLimit::default(),
         }
     }
--- a/crates/replay/src/revisions.rs
+++ b/crates/replay/src/revisions.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_revisions::{bound, lease_for};
 
 use crate::operators::Pushed;
@@ -123,9 +123,13 @@
         let mut cells = BTreeSet::new();
         let mut allowed = BTreeSet::new();
         for place in places {
-            let asked = Asked { first_cell: place.0, copies: place.1, ..Asked::default() };
+            let asked = SubscriptionRequest {
+                first_cell: place.0,
+                copies: place.1,
+                ..SubscriptionRequest::default()
+            };
             let fit: Vec<u32> =
-                lie.cells.iter().copied().filter(|cells| asked.held_by(set_up.cell, *cells)).collect();
+                lie.cells.iter().copied().filter(|cells| asked.is_held_by(set_up.cell, *cells)).collect();
             if !fit.is_empty() {
                 allowed.insert(*place);
             }
--- a/crates/replay/src/scripted.rs
+++ b/crates/replay/src/scripted.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{bail, Context, Result};
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_deployment::kinds::revised;
 use badgerledge_settings::Sheet;
 use badgerledge_ways::Way;
@@ -195,8 +195,12 @@
         let (shared, titles) = revised(&Sheet::parse("the last text", &text)?)?;
         let astray = self.streamers.streams().filter(|(cell, id)| {
             titles.title(*id).is_some_and(|title| {
-                let asked = Asked { first_cell: title.first_cell, copies: title.copies, ..Asked::default() };
-                !asked.held_by(*cell, shared.fleet.cells)
+                let asked = SubscriptionRequest {
+                    first_cell: title.first_cell,
+                    copies: title.copies,
+                    ..SubscriptionRequest::default()
+                };
+                !asked.is_held_by(*cell, shared.fleet.cells)
             })
         });
         Ok(astray.count())
--- a/crates/revisions/src/certify.rs
+++ b/crates/revisions/src/certify.rs
@@ -140,7 +140,7 @@
                 }
                 let reply = self.keeper.as_mut().and_then(|keeper| keeper.accept(number, ballot, digest));
                 if matches!(reply, Some(Reply::Vote { .. })) {
-                    let wait = RESCUE + self.chance.span(RESCUE);
+                    let wait = RESCUE + self.chance.random_duration(RESCUE);
                     self.next_rescue = Some(now + wait);
                 }
                 self.reply(now, from, reply, out);
--- a/crates/revisions/src/member.rs
+++ b/crates/revisions/src/member.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::apart::Apart;
 use crate::gate::Gate;
@@ -110,7 +110,7 @@
     /// The highest round of its own ballots in this life: none is used for two texts.
     pub(crate) round: u32,
     pub(crate) gone: BTreeMap<Member, Gone>,
-    pub(crate) chance: Chance,
+    pub(crate) chance: Rng,
     pub(crate) next_beat: Duration,
     pub(crate) next_ask: Duration,
     /// How long the next wait for an answer is, while something is new.
@@ -159,7 +159,7 @@
             proposal: None,
             round: 0,
             gone: BTreeMap::new(),
-            chance: Chance(seed),
+            chance: Rng(seed),
             next_beat: now,
             next_ask: now,
             ask_again: ASK_AGAIN,
@@ -459,7 +459,7 @@
     }
 
     pub(crate) fn one_of(&mut self, members: &[Member]) -> Option<Member> {
-        let at = (self.chance.share() * members.len() as f64) as usize;
+        let at = (self.chance.unit_interval() * members.len() as f64) as usize;
         members.get(at).copied()
     }
 
--- a/crates/revisions/src/propose.rs
+++ b/crates/revisions/src/propose.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::{quorum, Ballot, Digest, Member, Number, Signed};
 
@@ -28,8 +28,8 @@
 }
 
 impl Proposal {
-    pub fn new(wanted: Signed, ballot: Ballot, now: Duration, chance: &mut Chance) -> Self {
-        let over_at = now + BALLOT * 2 + chance.span(BALLOT * 2);
+    pub fn new(wanted: Signed, ballot: Ballot, now: Duration, chance: &mut Rng) -> Self {
+        let over_at = now + BALLOT * 2 + chance.random_duration(BALLOT * 2);
         Self {
             wanted,
             ballot,
@@ -46,7 +46,7 @@
     }
 
     /// The next ballot, over one that was seen.
-    pub fn higher(&mut self, seen: Ballot, now: Duration, chance: &mut Chance) {
+    pub fn higher(&mut self, seen: Ballot, now: Duration, chance: &mut Rng) {
         let round = self.ballot.round.max(seen.round).saturating_add(1);
         *self = Self::new(self.wanted, Ballot { round, ..self.ballot }, now, chance);
     }
--- a/crates/revisions/src/spread.rs
+++ b/crates/revisions/src/spread.rs
@@ -182,7 +182,7 @@
         }
         if now >= self.next_ask {
             let wait = self.ask_again.min(self.lease / (ASKS_IN_A_LEASE + 1));
-            self.next_ask = now + wait.mul_f64(0.75 + ASK_JITTER * self.chance.share());
+            self.next_ask = now + wait.mul_f64(0.75 + ASK_JITTER * self.chance.unit_interval());
             self.ask_again = (self.ask_again * 2).min(self.lease);
             if self.needs_lease(now) {
                 self.ask_for_leases(now, out);
@@ -195,7 +195,7 @@
         }
         if now >= self.next_beat {
             let beat = if now < self.busy_until { BEAT_BUSY } else { BEAT };
-            self.next_beat = now + beat.mul_f64(0.75 + 0.5 * self.chance.share());
+            self.next_beat = now + beat.mul_f64(0.75 + 0.5 * self.chance.unit_interval());
             self.act(now, out);
             // A lease that has run out may be what the word waited for.
             self.consider_go(now, out);
--- a/crates/revisions/src/tests/many.rs
+++ b/crates/revisions/src/tests/many.rs
@@ -29,9 +29,9 @@
     let leases = crate::lease_for(usize::from(members)).as_secs_f64() / 3.0;
     net.run(net.now + secs(3.0 * leases));
     for step in 0..7 {
-        let who = (net.chance.share() * f64::from(members)) as Member;
-        let other = (net.chance.share() * f64::from(members)) as Member;
-        match (net.chance.share() * 11.0) as u32 {
+        let who = (net.chance.unit_interval() * f64::from(members)) as Member;
+        let other = (net.chance.unit_interval() * f64::from(members)) as Member;
+        match (net.chance.unit_interval() * 11.0) as u32 {
             0..=3 => net.push(who, 1 + step % 2, &[step as u8, who as u8]),
             4 => drop(net.cut.insert((who, other))),
             5 => {
@@ -55,13 +55,13 @@
             9 => {
                 let half: Vec<Member> = (0..members).filter(|member| member % 2 == other % 2).collect();
                 half.iter().for_each(|member| net.kill(*member, false));
-                let span = leases * net.chance.share();
+                let span = leases * net.chance.unit_interval();
                 net.run(net.now + secs(span));
                 half.iter().for_each(|member| net.start(*member));
             }
-            _ => net.loss = net.chance.share() * 0.3,
+            _ => net.loss = net.chance.unit_interval() * 0.3,
         }
-        let span = 4.0 * leases * net.chance.share();
+        let span = 4.0 * leases * net.chance.unit_interval();
         net.run(net.now + secs(span));
     }
     net.cut.clear();
--- a/crates/revisions/src/tests/net.rs
+++ b/crates/revisions/src/tests/net.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::word::Word;
 use crate::{digest, Author, Digest, Given, Hand, Head, Keeper, Kept, Member, Number, Regime};
@@ -96,7 +96,7 @@
     pub delay: Duration,
     pub cut: BTreeSet<(Member, Member)>,
     pub seats: Vec<Seat>,
-    pub chance: Chance,
+    pub chance: Rng,
     pub broken: Broken,
     /// A member that can't act on a text.
     pub refuses: Option<(Member, Vec<u8>)>,
@@ -135,7 +135,7 @@
             delay: Duration::from_millis(30),
             cut: BTreeSet::new(),
             seats: (0..members).map(seat).collect(),
-            chance: Chance(seed),
+            chance: Rng(seed),
             broken: Broken::default(),
             refuses: None,
             regime,
@@ -170,7 +170,7 @@
         let terms = Terms { me, life: seat.life, regime: self.regime, late: LATE, check: Box::new(check) };
         let hand = Sealed { me, ..self.hand.clone() };
         let texts = seat.disk.texts.values().cloned().collect();
-        let seed = (self.chance.share() * 1e15) as u64;
+        let seed = (self.chance.unit_interval() * 1e15) as u64;
         seat.member =
             Some(Revisions::new(hand, terms, Arc::from(&b"own"[..]), stored, texts, self.now, seed));
         seat.stalled_until = Duration::ZERO;
@@ -231,7 +231,7 @@
                 }
                 Given::Fetch(signed, from) => {
                     if !self.cut.contains(&(me, from)) && !self.cut.contains(&(from, me)) {
-                        let at = self.now + self.chance.span(self.delay) * 4;
+                        let at = self.now + self.chance.random_duration(self.delay) * 4;
                         self.put(at, Event::Text(me, from, signed));
                     }
                 }
@@ -241,11 +241,11 @@
     }
 
     fn send(&mut self, from: Member, to: Member, bytes: &[u8]) {
-        for _ in 0..if self.chance.share() < 0.02 { 2 } else { 1 } {
-            if self.cut.contains(&(from, to)) || self.chance.share() < self.loss {
+        for _ in 0..if self.chance.unit_interval() < 0.02 { 2 } else { 1 } {
+            if self.cut.contains(&(from, to)) || self.chance.unit_interval() < self.loss {
                 continue;
             }
-            let at = self.now + self.chance.span(self.delay);
+            let at = self.now + self.chance.random_duration(self.delay);
             let life = self.seats[usize::from(from)].life;
             self.put(at, Event::Word(from, life, to, bytes.to_vec()));
         }
--- a/crates/rollout/src/tests/plays.rs
+++ b/crates/rollout/src/tests/plays.rs
@@ -83,7 +83,7 @@
 /// What operators do in a play, by its seed.
 fn orders(seed: u64) -> Vec<Ordered> {
     let mut chance = world::chance_of(seed ^ 0xdead);
-    let mut at = |from: f64| (from + chance.share() * 120.0) as u64;
+    let mut at = |from: f64| (from + chance.unit_interval() * 120.0) as u64;
     let order = |from, order, until| Ordered { from, order, until };
     match seed % 4 {
         0 => vec![
--- a/crates/rollout/src/tests/plays/fleet.rs
+++ b/crates/rollout/src/tests/plays/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::{duty_of, Arm, CountReport, Counted, Duty, Member, Own, Report, Rollout};
 
@@ -63,10 +63,10 @@
         }
     }
 
-    fn begins(&mut self, now: u64, chance: &mut Chance) {
+    fn begins(&mut self, now: u64, chance: &mut Rng) {
         self.life += 1;
         self.began = now;
-        self.ready_at = now + 3 + chance.span(Duration::from_secs(9)).as_secs();
+        self.ready_at = now + 3 + chance.random_duration(Duration::from_secs(9)).as_secs();
         self.counted = Counted::default();
     }
 
@@ -81,7 +81,7 @@
         breaks || self.restarts >= 2
     }
 
-    pub fn second(&mut self, now: u64, defect: Defect, chance: &mut Chance) {
+    pub fn second(&mut self, now: u64, defect: Defect, chance: &mut Rng) {
         let crashes = match defect {
             Defect::CrashesAtOnce => now > self.began,
             Defect::CrashesAfter(after) => now >= self.began + after,
@@ -97,7 +97,7 @@
         }
     }
 
-    fn follow(&mut self, now: u64, chance: &mut Chance) {
+    fn follow(&mut self, now: u64, chance: &mut Rng) {
         let Some(rollout) = &self.knows else { return };
         let own = Own { zone: &self.zone, runs: self.arm, restarts: self.restarts };
         if let Duty::ChangeTo(arm) = duty_of(rollout, self.member, &own) {
@@ -106,9 +106,9 @@
         }
     }
 
-    fn serve(&mut self, defect: Defect, chance: &mut Chance) {
+    fn serve(&mut self, defect: Defect, chance: &mut Rng) {
         let more = if self.arm == Arm::New && defect == Defect::Loses { LOSES_MORE } else { 0.0 };
-        let lost = (0..ASKED).filter(|_| chance.share() < USUALLY_LOST + more).count() as u64;
+        let lost = (0..ASKED).filter(|_| chance.unit_interval() < USUALLY_LOST + more).count() as u64;
         self.counted.asked += ASKED;
         self.counted.joins += ASKED;
         self.counted.lost += lost;
--- a/crates/rollout/src/tests/plays/world.rs
+++ b/crates/rollout/src/tests/plays/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::entries::setting_key;
 use badgerledge_distribution::state::Edit;
 
@@ -62,7 +62,7 @@
 }
 
 pub struct World {
-    chance: Chance,
+    chance: Rng,
     pub now: u64,
     pub defect: Defect,
     pub liar: Option<Liar>,
@@ -122,11 +122,11 @@
     }
 
     fn is(&mut self, likely: f64) -> bool {
-        self.chance.share() < likely
+        self.chance.unit_interval() < likely
     }
 
     fn late(&mut self, most: u64) -> u64 {
-        self.now + self.chance.span(Duration::from_secs(most)).as_secs()
+        self.now + self.chance.random_duration(Duration::from_secs(most)).as_secs()
     }
 
     pub fn second(&mut self) {
@@ -236,7 +236,7 @@
 
     /// What a conductor reads: the state as it is now, or as it was some seconds ago.
     fn late_read(&mut self) -> Read {
-        let back = (self.chance.share() * self.reads.len() as f64) as usize;
+        let back = (self.chance.unit_interval() * self.reads.len() as f64) as usize;
         self.reads[self.reads.len() - 1 - back].clone()
     }
 
@@ -298,13 +298,13 @@
 }
 
 /// Seeds in a row begin far apart.
-pub fn chance_of(seed: u64) -> Chance {
-    Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31))
+pub fn chance_of(seed: u64) -> Rng {
+    Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(31))
 }
 
-fn cut(chance: &mut Chance) -> Cut {
-    let from = 10 + chance.span(Duration::from_secs(300)).as_secs();
-    let lasts = 20 + chance.span(Duration::from_secs(60)).as_secs();
-    let conductor = Some((chance.share() * 4.0) as usize).filter(|n| *n < 3);
-    Cut { conductor, zone: (chance.share() * 3.0) as u16, from, until: from + lasts }
+fn cut(chance: &mut Rng) -> Cut {
+    let from = 10 + chance.random_duration(Duration::from_secs(300)).as_secs();
+    let lasts = 20 + chance.random_duration(Duration::from_secs(60)).as_secs();
+    let conductor = Some((chance.unit_interval() * 4.0) as usize).filter(|n| *n < 3);
+    Cut { conductor, zone: (chance.unit_interval() * 3.0) as u16, from, until: from + lasts }
 }
--- a/crates/rollout/src/tests/rolls.rs
+++ b/crates/rollout/src/tests/rolls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::limits;
 use crate::{judge, Controller, Counted, Measure, Place, Plan, Stage, Verdict};
@@ -42,28 +42,28 @@
 }
 
 /// A draw from Poisson's law, by the normal one where there are many.
-fn poisson(chance: &mut Chance, mean: f64) -> u64 {
+fn poisson(chance: &mut Rng, mean: f64) -> u64 {
     if mean > 50.0 {
         return (mean + mean.sqrt() * normal(chance)).round().max(0.0) as u64;
     }
-    let (bound, mut product, mut count) = ((-mean).exp(), chance.share(), 0);
+    let (bound, mut product, mut count) = ((-mean).exp(), chance.unit_interval(), 0);
     while product > bound && count < 1000 {
-        product *= chance.share();
+        product *= chance.unit_interval();
         count += 1;
     }
     count
 }
 
-fn normal(chance: &mut Chance) -> f64 {
-    (0..12).map(|_| chance.share()).sum::<f64>() - 6.0
+fn normal(chance: &mut Rng) -> f64 {
+    (0..12).map(|_| chance.unit_interval()).sum::<f64>() - 6.0
 }
 
-fn fleet(chance: &mut Chance, members: u16) -> Vec<One> {
+fn fleet(chance: &mut Rng, members: u16) -> Vec<One> {
     let zones: Vec<f64> = (0..3).map(|_| (0.3 * normal(chance)).exp()).collect();
     let one = |member: u16| {
         let zone = member % 3;
         let own =
-            |chance: &mut Chance, usual: f64| usual * zones[usize::from(zone)] * (0.4 * normal(chance)).exp();
+            |chance: &mut Rng, usual: f64| usual * zones[usize::from(zone)] * (0.4 * normal(chance)).exp();
         let (loses, late) = (own(chance, 0.01).min(0.3), own(chance, 0.02).min(0.3));
         let pace = 1.5 * (0.6 * normal(chance)).exp();
         let (changed_at, counted, base) = (None, Default::default(), Default::default());
@@ -74,7 +74,7 @@
 
 impl One {
     /// What comes in one look's time; `stress` is what all suffer now.
-    fn serves(&mut self, chance: &mut Chance, now: f64, worse: Worse, stress: f64) {
+    fn serves(&mut self, chance: &mut Rng, now: f64, worse: Worse, stress: f64) {
         for room_type in 0..2 {
             let share = if room_type == 1 { SECOND } else { 1.0 - SECOND };
             let asked = poisson(chance, self.pace * share * LOOK);
@@ -143,7 +143,7 @@
 }
 
 fn roll(seed: u64, members: u16, worse: Worse, judged: &dyn Fn(&Stage) -> Verdict) -> Came {
-    let mut chance = Chance(seed.wrapping_mul(0x9e37_79b9).wrapping_add(u64::from(members)));
+    let mut chance = Rng(seed.wrapping_mul(0x9e37_79b9).wrapping_add(u64::from(members)));
     let mut all = fleet(&mut chance, members);
     let places: Vec<Place> = all.iter().map(|one| one.place).collect();
     // Of a small fleet the first stages would be empty.
@@ -163,7 +163,7 @@
         }
         all.iter_mut().for_each(|one| one.base = one.counted);
         // In one roll of four a burst hits all for half a minute.
-        let burst = (chance.share() < 0.25).then(|| now + 60.0 * chance.share());
+        let burst = (chance.unit_interval() < 0.25).then(|| now + 60.0 * chance.unit_interval());
         loop {
             now += LOOK;
             let stress = if burst.is_some_and(|at| now > at && now < at + 30.0) { 3.0 } else { 1.0 };
--- a/crates/rollout/src/tests/texts.rs
+++ b/crates/rollout/src/tests/texts.rs
@@ -1,6 +1,6 @@
 //! States and plans as text: what is written is read again, and bad input is refused with its place.
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::kinds::{Kind, KINDS};
 use badgerledge_settings::Sheet;
 
@@ -113,8 +113,8 @@
 /// Whatever is done to a state's text, it is refused or read as one that is written and read again.
 #[test]
 fn a_state_that_was_tampered_with_is_refused_or_whole() {
-    let mut chance = Chance(0x5eed);
-    let mut draw = |below: usize| (chance.share() * below as f64) as usize;
+    let mut chance = Rng(0x5eed);
+    let mut draw = |below: usize| (chance.unit_interval() * below as f64) as usize;
     let text = rollout_at(1, 2).text();
     let values =
         ["", "0", "-1", "1", "2", "4294967295", "18446744073709551615", "nan", "1e308", "north 0-65535", ","];
--- a/crates/scale/src/flat.rs
+++ b/crates/scale/src/flat.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::{Digest, MachineId, Number};
 use badgerledge_revisions::word::Word;
 use badgerledge_revisions::{digest, Given, Head, Kept, Regime, Revisions, Signed, Stored, Terms};
@@ -72,7 +72,7 @@
     queue: Queue<Event>,
     paths: Paths,
     seats: Vec<Seat>,
-    chance: Chance,
+    chance: Rng,
     loss: f64,
     text_bytes: usize,
     acted_on: ActedOn,
@@ -119,8 +119,8 @@
             count: Rc::new(Cell::new(Signatures::default())),
         };
         let text_bytes = (scenario.load.entries * (scenario.load.entry_bytes + 20)) as usize;
-        let mut chance = Chance(scenario.run.seed);
-        chance.share();
+        let mut chance = Rng(scenario.run.seed);
+        chance.unit_interval();
         let seats = (0..count).map(|me| {
             let stored =
                 Stored { keeper: hand.acceptors.contains(&me).then(Kept::default), ..Stored::default() };
@@ -164,7 +164,7 @@
             (at, push) = (at + every, push + 1);
         }
         for me in 0..self.seats.len() as MachineId {
-            let at = self.chance.span(Duration::from_secs(1));
+            let at = self.chance.random_duration(Duration::from_secs(1));
             self.seats[usize::from(me)].due = at;
             self.queue.push(at, Event::Tend(me));
         }
@@ -259,7 +259,7 @@
 
     fn send(&mut self, from: MachineId, to: MachineId, bytes: Vec<u8>) {
         self.seats[usize::from(from)].bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
-        if self.chance.share() < self.loss {
+        if self.chance.unit_interval() < self.loss {
             return;
         }
         let (own, other) = (self.seats[usize::from(from)].zone, self.seats[usize::from(to)].zone);
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{bail, Context, Result};
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::{
     decode, encode, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
@@ -85,7 +85,7 @@
     /// The seat and the relay's place of a line.
     by_line: BTreeMap<Line, (usize, usize)>,
     seen: Observations,
-    chance: Chance,
+    chance: Rng,
     look_at: Duration,
     report_at: Duration,
     counting: bool,
@@ -117,8 +117,8 @@
         let hand = SharedVerifier(Rc::new(Verifier::new(ring)));
         let genesis = genesis(&settings.fleet, &settings.load)?;
         let now = reactor.now();
-        let mut chance = Chance(settings.seed);
-        chance.share();
+        let mut chance = Rng(settings.seed);
+        chance.unit_interval();
         let mut host = Self {
             resident_before: resident_bytes(std::process::id()),
             cpu_before: Duration::ZERO,
@@ -166,7 +166,7 @@
                 acts_on: None,
             });
             self.by_controller.insert(controller, place);
-            let at = now + self.chance.span(spread);
+            let at = now + self.chance.random_duration(spread);
             self.reactor.due(at, START + place as u64);
         }
         self.reactor.due(self.look_at, LOOK);
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::decode;
 use badgerledge_distribution::state::State;
@@ -91,7 +91,7 @@
     timeline: Vec<crate::timeline::At>,
     genesis: State,
     hand: SimulatedHand,
-    chance: Chance,
+    chance: Rng,
     seen: Observations,
     memory_before: u64,
     show_progress: bool,
@@ -135,13 +135,13 @@
             timeline: timeline(scenario),
             genesis: genesis(fleet, &scenario.load)?,
             hand,
-            chance: Chance(seed),
+            chance: Rng(seed),
             seen: Observations::default(),
             memory_before: resident_bytes(std::process::id()),
             show_progress,
             scenario: scenario.clone(),
         };
-        simulation.chance.share();
+        simulation.chance.unit_interval();
         simulation.seat_all();
         Ok(simulation)
     }
@@ -171,7 +171,7 @@
                 cpu: Duration::ZERO,
                 acts_on: None,
             });
-            let at = self.chance.span(START_SPREAD);
+            let at = self.chance.random_duration(START_SPREAD);
             self.queue.push(at, Event::StartWatcher(controller, true));
         }
         for author in 0..self.scenario.load.at_once as u16 {
@@ -339,6 +339,7 @@
 }
 
 /// A seed for something else.
-pub fn seed_of(chance: &mut Chance) -> u64 {
-    (chance.share() * (1u64 << 32) as f64) as u64 ^ ((chance.share() * (1u64 << 32) as f64) as u64) << 32
+pub fn seed_of(chance: &mut Rng) -> u64 {
+    (chance.unit_interval() * (1u64 << 32) as f64) as u64
+        ^ ((chance.unit_interval() * (1u64 << 32) as f64) as u64) << 32
 }
--- a/crates/scale/src/simulation/network.rs
+++ b/crates/scale/src/simulation/network.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::scenario::{Fleet, Network};
 
@@ -34,12 +34,12 @@
     network: Network,
     fleet: Fleet,
     cut_off: BTreeSet<u16>,
-    chance: Chance,
+    chance: Rng,
 }
 
 impl Paths {
     pub fn new(network: Network, fleet: Fleet, seed: u64) -> Self {
-        Self { network, fleet, cut_off: BTreeSet::new(), chance: Chance(seed) }
+        Self { network, fleet, cut_off: BTreeSet::new(), chance: Rng(seed) }
     }
 
     pub fn cut(&mut self, region: u16) {
@@ -68,13 +68,13 @@
 
     /// How long one datagram takes.
     pub fn one_way(&mut self, from: u16, to: u16) -> Duration {
-        let ms = self.base_ms(from, to) + self.network.jitter_ms * self.chance.share();
+        let ms = self.base_ms(from, to) + self.network.jitter_ms * self.chance.unit_interval();
         Duration::from_secs_f64(ms / 1000.0)
     }
 
     /// A share of a span, by chance.
     pub fn part(&mut self, span: Duration) -> Duration {
-        self.chance.span(span)
+        self.chance.random_duration(span)
     }
 
     /// How long a frame takes, with what is lost of it sent again.
@@ -93,7 +93,7 @@
     fn retransmits(&mut self, first: Duration) -> Duration {
         let (mut late, mut next) = (Duration::ZERO, first);
         for _ in 0..MOST_TRIES {
-            if self.chance.share() >= self.network.loss {
+            if self.chance.unit_interval() >= self.network.loss {
                 break;
             }
             late += next;
--- a/crates/scale/src/simulation/watchers.rs
+++ b/crates/scale/src/simulation/watchers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::{encode, ToWatcher, LONGEST_FROM_RELAY};
 use badgerledge_distribution::state::State;
@@ -23,14 +23,14 @@
         // Who lost its disk lost its file too: all of the configuration has to come.
         let own = if with_disk { self.genesis.clone() } else { State::new() };
         let seed = seed_of(&mut self.chance);
-        let mut nonces = Chance(seed_of(&mut self.chance));
+        let mut nonces = Rng(seed_of(&mut self.chance));
         let config = WatcherConfig {
             controller,
             relays: seat.relays.len(),
             late: control::Config::new(0, 1).late,
             regional: self.scenario.fleet.apart_s > 0,
             check: Box::new(|_, _| Ok(())),
-            nonce: Box::new(move || std::array::from_fn(|_| (nonces.share() * 256.0) as u8)),
+            nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
         };
         seat.state = Some(Watcher::new(self.hand.clone(), config, own, stored, seed, self.now));
         seat.due = Duration::MAX;
--- a/crates/scale/src/timeline.rs
+++ b/crates/scale/src/timeline.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::scenario::{Failure, Fleet, Scenario};
 
@@ -84,8 +84,8 @@
 /// Restarts by a Poisson process. One controller is not struck again before it is back.
 fn restarts(scenario: &Scenario) -> Vec<At> {
     let Some(restarts) = &scenario.restarts else { return Vec::new() };
-    let mut chance = Chance(scenario.run.seed ^ 0x5265_7374);
-    chance.share();
+    let mut chance = Rng(scenario.run.seed ^ 0x5265_7374);
+    chance.unit_interval();
     let mut free_at = vec![Duration::ZERO; scenario.fleet.controllers as usize];
     let off = Duration::from_secs_f64(restarts.off_s);
     let (mut all, mut at) = (Vec::new(), scenario.warm_up());
@@ -93,12 +93,12 @@
         return all;
     }
     loop {
-        at += Duration::from_secs_f64(-(1.0 - chance.share()).ln() / restarts.per_s());
+        at += Duration::from_secs_f64(-(1.0 - chance.unit_interval()).ln() / restarts.per_s());
         if at + off >= scenario.load_until() {
             return all;
         }
-        let controller = (chance.share() * free_at.len() as f64) as usize;
-        let without_disk = chance.share() < restarts.without_disk;
+        let controller = (chance.unit_interval() * free_at.len() as f64) as usize;
+        let without_disk = chance.unit_interval() < restarts.without_disk;
         if free_at[controller] > at {
             continue;
         }
--- a/crates/signalling/src/lib.rs
+++ b/crates/signalling/src/lib.rs
@@ -10,21 +10,21 @@
 use std::time::Duration;
 
 /// Maximum size of a message in bytes, without its length prefix or its line feed.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    #[error("frame of {0} bytes; 9 to {MOST} bytes are allowed")]
+    #[error("frame of {0} bytes; 9 to {MAX_MESSAGE_BYTES} bytes are allowed")]
     Length(usize),
-    #[error("more than {MOST} bytes without a line feed")]
-    Endless,
+    #[error("more than {MAX_MESSAGE_BYTES} bytes without a line feed")]
+    Unterminated,
     #[error("line is not a JSON object")]
     NotJson,
     #[error("field {0} is missing or of the wrong type")]
     Field(&'static str),
     #[error("unknown kind of message")]
-    Kind,
+    UnknownKind,
 }
 
 /// Parses sixteen hexadecimal digits, the form of ids of sessions, titles and viewers.
--- a/crates/signalling/src/streamers.rs
+++ b/crates/signalling/src/streamers.rs
@@ -4,10 +4,10 @@
 
 use serde_json::{json, Map, Value};
 
-use crate::{hex64, millis, Fault, MOST};
+use crate::{hex64, millis, Fault, MAX_MESSAGE_BYTES};
 
 /// Receives the decoded messages of a streamer.
-pub trait Heard {
+pub trait MessageHandler {
     /// The streamer accepts a session; `description` is for the viewer.
     fn answered(&mut self, session: u64, description: &str);
     /// A session was refused or has ended; `load` is the load report sent with it.
@@ -15,16 +15,16 @@
     /// The answer to a test.
     fn tested(&mut self, session: u64, passed: bool, load: Option<&str>);
     /// A progress report on a playing session.
-    fn noted(&mut self, session: u64, note: &str, value: f64);
+    fn progress_report(&mut self, session: u64, note: &str, value: f64);
 }
 
 /// Decodes one line and returns how many bytes it used; 0 while it is incomplete.
 ///
 /// # Errors
 /// If the line is not a valid message: nothing more from that connection can be trusted then.
-pub fn hear(bytes: &[u8], handler: &mut impl Heard) -> Result<usize, Fault> {
-    let Some(end) = bytes.iter().take(MOST + 1).position(|b| *b == b'\n') else {
-        return if bytes.len() > MOST { Err(Fault::Endless) } else { Ok(0) };
+pub fn decode(bytes: &[u8], handler: &mut impl MessageHandler) -> Result<usize, Fault> {
+    let Some(end) = bytes.iter().take(MAX_MESSAGE_BYTES + 1).position(|b| *b == b'\n') else {
+        return if bytes.len() > MAX_MESSAGE_BYTES { Err(Fault::Unterminated) } else { Ok(0) };
     };
     let line: Map<String, Value> = serde_json::from_slice(&bytes[..end]).map_err(|_| Fault::NotJson)?;
     let text = |key| line.get(key).and_then(Value::as_str);
@@ -38,10 +38,14 @@
         "tested" => handler.tested(session, cause()? == 1, load),
         "info" => {
             let note = with("note").and_then(Value::as_str).ok_or(Fault::Field("note"))?;
-            handler.noted(session, note, with("value").and_then(number).ok_or(Fault::Field("value"))?);
+            handler.progress_report(
+                session,
+                note,
+                with("value").and_then(number).ok_or(Fault::Field("value"))?,
+            );
         }
         "ringing" | "ended" => {}
-        _ => return Err(Fault::Kind),
+        _ => return Err(Fault::UnknownKind),
     }
     Ok(end + 1)
 }
@@ -54,7 +58,7 @@
 
 /// The numbers of a load report, in the order of the fields named in the settings; empty if one is missing or
 /// invalid.
-pub fn load(report: &str, fields: &[String]) -> Vec<f64> {
+pub fn parse_load_report(report: &str, fields: &[String]) -> Vec<f64> {
     let value_of = |field: &String| {
         let mut pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
         let number: f64 = pairs.find(|(name, _)| name == field)?.1.parse().ok()?;
@@ -81,7 +85,7 @@
         with["rung"] = json!(rung.to_string());
     }
     let out = encode_line("offer", session, json!({"with": with, "desc": description}));
-    (out.len() <= MOST).then_some(out)
+    (out.len() <= MAX_MESSAGE_BYTES).then_some(out)
 }
 
 /// Ends a session.
--- a/crates/signalling/src/tests.rs
+++ b/crates/signalling/src/tests.rs
@@ -5,8 +5,8 @@
 use quickcheck::{Gen, QuickCheck, TestResult};
 use serde_json::Value;
 
-use crate::viewers::{Parameters, CLIENT_TIMEOUT, DESCRIPTION, ROOM_TYPE, STAY_AWAY, TITLE};
-use crate::{hex64, streamers, viewers, Fault, MOST};
+use crate::viewers::{Parameters, CLIENT_TIMEOUT, DESCRIPTION, RETRY_AFTER, ROOM_TYPE, TITLE};
+use crate::{hex64, streamers, viewers, Fault, MAX_MESSAGE_BYTES};
 
 /// A generator with the same inputs in every run.
 fn quickcheck(seed: u64) -> QuickCheck {
@@ -17,13 +17,13 @@
 #[derive(Default)]
 struct Recorder(Vec<String>);
 
-impl viewers::Heard for Recorder {
+impl viewers::MessageHandler for Recorder {
     fn set_up(&mut self, session: u64, parameters: Parameters<'_>) {
         let [a, b, c] = [ROOM_TYPE, CLIENT_TIMEOUT, TITLE].map(|code| parameters.text(code).unwrap_or("-"));
         let description = parameters.value(DESCRIPTION).map_or(0, <[u8]>::len);
         self.0.push(format!("set-up {session:x} {a} {b} {c} {description}"));
     }
-    fn spoilt_set_up(&mut self, session: u64) {
+    fn malformed_set_up(&mut self, session: u64) {
         self.0.push(format!("malformed {session:x}"));
     }
     fn ended(&mut self, session: u64) {
@@ -32,12 +32,12 @@
     fn tested(&mut self, session: u64) {
         self.0.push(format!("tested {session:x}"));
     }
-    fn release_heard(&mut self, session: u64) {
+    fn release_acknowledged(&mut self, session: u64) {
         self.0.push(format!("release acknowledged {session:x}"));
     }
 }
 
-impl streamers::Heard for Recorder {
+impl streamers::MessageHandler for Recorder {
     fn answered(&mut self, session: u64, description: &str) {
         self.0.push(format!("answered {session:x} {description}"));
     }
@@ -47,7 +47,7 @@
     fn tested(&mut self, session: u64, passed: bool, load: Option<&str>) {
         self.0.push(format!("tested {session:x} {passed} {load:?}"));
     }
-    fn noted(&mut self, session: u64, note: &str, value: f64) {
+    fn progress_report(&mut self, session: u64, note: &str, value: f64) {
         self.0.push(format!("noted {session:x} {note} {value}"));
     }
 }
@@ -64,7 +64,7 @@
 fn decode_frames(mut bytes: &[u8]) -> (Vec<String>, Option<Fault>) {
     let mut recorder = Recorder::default();
     loop {
-        match viewers::hear(bytes, &mut recorder) {
+        match viewers::decode(bytes, &mut recorder) {
             Ok(0) => return (recorder.0, None),
             Ok(count) => bytes = &bytes[count..],
             Err(fault) => return (recorder.0, Some(fault)),
@@ -74,7 +74,7 @@
 
 fn decode_line(line: &str) -> Result<Vec<String>, Fault> {
     let mut recorder = Recorder::default();
-    streamers::hear(line.as_bytes(), &mut recorder).map(|_| recorder.0)
+    streamers::decode(line.as_bytes(), &mut recorder).map(|_| recorder.0)
 }
 
 #[test]
@@ -107,12 +107,12 @@
     // frame only.
     assert_eq!(decode_frames(&[0, 8, 1, 2, 3]).1, Some(Fault::Length(8)));
     assert_eq!(decode_frames(&[0xff, 0xff, 1]).1, Some(Fault::Length(65535)));
-    assert_eq!(decode_frames(&[0x40, 0x01]).1, Some(Fault::Length(MOST + 1)));
+    assert_eq!(decode_frames(&[0x40, 0x01]).1, Some(Fault::Length(MAX_MESSAGE_BYTES + 1)));
     let malformed = encoded_frame(1, 5, &[ROOM_TYPE, 0xff, 0xff, b'p']);
     let bytes = [malformed, encoded_frame(1, 6, &[ROOM_TYPE, 0]), encoded_frame(52, 8, &[])].concat();
     assert_eq!(decode_frames(&bytes).0, ["malformed 5", "malformed 6", "tested 8"]);
     // A kind that no viewer sends makes the frame invalid.
-    assert_eq!(decode_frames(&encoded_frame(222, 5, &[])).1, Some(Fault::Kind));
+    assert_eq!(decode_frames(&encoded_frame(222, 5, &[])).1, Some(Fault::UnknownKind));
     assert_eq!(decode_frames(&encoded_frame(6, 5, &[])), (Vec::new(), None));
 }
 
@@ -124,8 +124,8 @@
     }
     fn line(mut bytes: Vec<u8>) -> bool {
         bytes.push(b'\n');
-        streamers::hear(&bytes, &mut Recorder::default()).is_ok_and(|count| count > 0)
-            || streamers::hear(&bytes, &mut Recorder::default()).is_err()
+        streamers::decode(&bytes, &mut Recorder::default()).is_ok_and(|count| count > 0)
+            || streamers::decode(&bytes, &mut Recorder::default()).is_err()
     }
     quickcheck(1).quickcheck(frames as fn(Vec<u8>) -> bool);
     quickcheck(2).quickcheck(line as fn(Vec<u8>) -> bool);
@@ -136,7 +136,7 @@
     assert_eq!(viewers::moved(3), encoded_frame(51, 3, &[]));
     assert_eq!(viewers::tested(3, true), encoded_frame(53, 3, &encoded_parameter(75, &[1])));
     assert_eq!(viewers::release(3, 41, Duration::ZERO), encoded_frame(12, 3, &encoded_parameter(75, &[41])));
-    let release_parameters = [encoded_parameter(75, &[42]), encoded_parameter(STAY_AWAY, b"750")].concat();
+    let release_parameters = [encoded_parameter(75, &[42]), encoded_parameter(RETRY_AFTER, b"750")].concat();
     assert_eq!(
         viewers::release(3, 42, Duration::from_millis(750)),
         encoded_frame(12, 3, &release_parameters)
@@ -146,7 +146,7 @@
         viewers::answer(3, description),
         Some(encoded_frame(9, 3, &encoded_parameter(DESCRIPTION, description)))
     );
-    assert_eq!(viewers::answer(3, &vec![b'x'; MOST]), None);
+    assert_eq!(viewers::answer(3, &vec![b'x'; MAX_MESSAGE_BYTES]), None);
 }
 
 #[test]
@@ -164,11 +164,11 @@
     assert_eq!(decode("accept", r#""desc":7"#), Err(Fault::Field("desc")));
     assert_eq!(decode("end", r#""why":"34""#), Err(Fault::Field("why")));
     assert_eq!(decode("info", r#""with":{"note":"wire","value":"NaN"}"#), Err(Fault::Field("value")));
-    assert_eq!(decode("offer", r#""with":{}"#), Err(Fault::Kind));
+    assert_eq!(decode("offer", r#""with":{}"#), Err(Fault::UnknownKind));
     assert_eq!(decode_line("{\"op\":\"accept\",\"call\":\"12\"}\n"), Err(Fault::Field("call")));
     assert_eq!(decode_line("[]\n"), Err(Fault::NotJson));
-    assert_eq!(decode_line(&"x".repeat(MOST)), Ok(Vec::new()));
-    assert_eq!(decode_line(&"x".repeat(MOST + 1)), Err(Fault::Endless));
+    assert_eq!(decode_line(&"x".repeat(MAX_MESSAGE_BYTES)), Ok(Vec::new()));
+    assert_eq!(decode_line(&"x".repeat(MAX_MESSAGE_BYTES + 1)), Err(Fault::Unterminated));
 }
 
 #[test]
@@ -177,7 +177,7 @@
         let title = format!("{title:016x}");
         let left = Duration::from_millis(1500);
         let Some(line) = streamers::offer(session, "paid", &title, left, Some(2), &description) else {
-            return TestResult::from_bool(description.len() * 6 > MOST - 200);
+            return TestResult::from_bool(description.len() * 6 > MAX_MESSAGE_BYTES - 200);
         };
         let read: Value = serde_json::from_slice(&line).unwrap();
         let with = &read["with"];
@@ -195,8 +195,8 @@
 #[test]
 fn load_report_counts_only_with_all_its_fields() {
     let fields = ["x0".to_owned(), "x1".to_owned()];
-    assert_eq!(streamers::load("x1:0.5;queue:3;x0:1.2", &fields), [1.2, 0.5]);
+    assert_eq!(streamers::parse_load_report("x1:0.5;queue:3;x0:1.2", &fields), [1.2, 0.5]);
     for malformed in ["x0:1.2", "x0:1;x1:NaN", "x0:1;x1:-1", "x0:1;x1:inf", "x0=1;x1=1", ""] {
-        assert!(streamers::load(malformed, &fields).is_empty(), "{malformed}");
+        assert!(streamers::parse_load_report(malformed, &fields).is_empty(), "{malformed}");
     }
 }
--- a/crates/signalling/src/viewers.rs
+++ b/crates/signalling/src/viewers.rs
@@ -4,7 +4,7 @@
 
 use byteorder::{BigEndian, ByteOrder};
 
-use crate::{millis, Fault, MOST};
+use crate::{millis, Fault, MAX_MESSAGE_BYTES};
 
 /// Kinds of frames.
 const SET_UP: u8 = 1;
@@ -22,7 +22,7 @@
 pub const CLIENT_TIMEOUT: u8 = 36;
 pub const TITLE: u8 = 45;
 pub const FIGURES: u8 = 48;
-pub const STAY_AWAY: u8 = 51;
+pub const RETRY_AFTER: u8 = 51;
 pub const HINT: u8 = 63;
 pub const CAUSE: u8 = 75;
 pub const DESCRIPTION: u8 = 78;
@@ -31,17 +31,17 @@
 const HEADER_BYTES: usize = 9;
 
 /// Receives the decoded frames of a viewer.
-pub trait Heard {
+pub trait MessageHandler {
     /// A viewer asks for a subscription.
     fn set_up(&mut self, session: u64, parameters: Parameters<'_>);
     /// A set-up whose parameters exceed its frame.
-    fn spoilt_set_up(&mut self, session: u64);
+    fn malformed_set_up(&mut self, session: u64);
     /// The viewer withdraws its set-up or ends its subscription.
     fn ended(&mut self, session: u64);
     /// A test of the connection, to be answered with [`tested`].
     fn tested(&mut self, session: u64);
     /// The viewer acknowledges a release.
-    fn release_heard(&mut self, session: u64);
+    fn release_acknowledged(&mut self, session: u64);
 }
 
 /// The parameters of one frame, each as code, length and value.
@@ -86,21 +86,21 @@
 ///
 /// # Errors
 /// If the length is not allowed: the next frame cannot be found then.
-pub fn hear(bytes: &[u8], handler: &mut impl Heard) -> Result<usize, Fault> {
+pub fn decode(bytes: &[u8], handler: &mut impl MessageHandler) -> Result<usize, Fault> {
     let Some(length) = bytes.get(..2).map(|b| usize::from(BigEndian::read_u16(b))) else { return Ok(0) };
-    if !(HEADER_BYTES..=MOST).contains(&length) {
+    if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(Fault::Length(length));
     }
     let Some(frame) = bytes.get(2..2 + length) else { return Ok(0) };
     let session = BigEndian::read_u64(&frame[1..HEADER_BYTES]);
     match (frame[0], Parameters::parse(&frame[HEADER_BYTES..])) {
         (SET_UP, Some(parameters)) => handler.set_up(session, parameters),
-        (SET_UP, None) => handler.spoilt_set_up(session),
+        (SET_UP, None) => handler.malformed_set_up(session),
         (RELEASE, _) => handler.ended(session),
         (TEST, _) => handler.tested(session),
-        (RELEASE_ACKNOWLEDGED, _) => handler.release_heard(session),
+        (RELEASE_ACKNOWLEDGED, _) => handler.release_acknowledged(session),
         (PROGRESS | PROGRESS_NOTE, _) => {}
-        _ => return Err(Fault::Kind),
+        _ => return Err(Fault::UnknownKind),
     }
     Ok(2 + length)
 }
@@ -127,14 +127,14 @@
 
 /// The answer to a set-up with a streamer's description; `None` if it is too long for a frame.
 pub fn answer(session: u64, description: &[u8]) -> Option<Vec<u8>> {
-    (HEADER_BYTES + 3 + description.len() <= MOST)
+    (HEADER_BYTES + 3 + description.len() <= MAX_MESSAGE_BYTES)
         .then(|| frame(ANSWER, session, &[(DESCRIPTION, description)]))
 }
 
 /// Refuses or ends a subscription, with the time after which the viewer may come back.
 pub fn release(session: u64, cause: u8, stay_away: Duration) -> Vec<u8> {
     let retry_after_ms = millis(stay_away);
-    let parameters: [(u8, &[u8]); 2] = [(CAUSE, &[cause]), (STAY_AWAY, retry_after_ms.as_bytes())];
+    let parameters: [(u8, &[u8]); 2] = [(CAUSE, &[cause]), (RETRY_AFTER, retry_after_ms.as_bytes())];
     frame(RELEASE, session, &parameters[..if stay_away.is_zero() { 1 } else { 2 }])
 }
 
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{anyhow, bail, Result};
-use badgerledge_core::interface::{Ending, JobId, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId};
 use byteorder::{ReadBytesExt, WriteBytesExt, BE};
 
 /// Reads fields from one frame; `frame_offset` is where the frame begins in the input.
@@ -181,13 +181,13 @@
     }
 }
 
-impl Writer for Reply {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
+impl DecisionSink for Reply {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
         let until = try_until.as_micros() as u64;
         self.record(1).u32(job).streamer(streamer).u64(until);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         self.record(2).u32(job).duration(cool_down);
     }
 
@@ -199,43 +199,43 @@
         self.record(4).u32(job).u16(join);
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         self.record(5).duration(from_now).u64(token);
     }
 
-    fn health_check(&mut self, streamer: StreamerId) {
+    fn send_probe(&mut self, streamer: StreamerId) {
         self.record(6).streamer(streamer);
     }
 
-    fn close(&mut self, streamer: StreamerId) {
+    fn close_connection(&mut self, streamer: StreamerId) {
         self.record(7).streamer(streamer);
     }
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.record(8).u16(peer.unwrap_or(u16::MAX)).counted_bytes(bytes, 256);
     }
 
-    fn emit(&mut self, line: &str) {
+    fn log_info(&mut self, line: &str) {
         self.record(9).counted_bytes(line.as_bytes(), u16::MAX.into());
     }
 
-    fn give_in(&mut self, line: &str) {
+    fn log_error(&mut self, line: &str) {
         self.record(10).counted_bytes(line.as_bytes(), u16::MAX.into());
     }
 
-    fn observe(&mut self, want: bool) {
+    fn watch_list(&mut self, want: bool) {
         self.record(11).u8(want.into());
     }
 
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.record(12);
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         self.record(13).u32(job).u8(rung);
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         self.record(14).u32(job);
     }
 }
