--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use badgerledge_core::decide::Controller;
-use badgerledge_core::interface::{Asked, Health, Listing, Start};
+use badgerledge_core::interface::{Health, Listing, Start, SubscriptionRequest};
 use serde_json::Value;
 
 use crate::codec::{read_exactly, Fields, Reply};
@@ -105,7 +105,7 @@
             3 => progress(fields)?,
             4 => {
                 let token = fields.u64()?;
-                Box::new(move |c, _| c.fired(token))
+                Box::new(move |c, _| c.timer_fired(token))
             }
             6 => request(fields)?,
             7 => outcome(fields)?,
@@ -116,17 +116,17 @@
             9 => {
                 let (job, join, streamer) = (fields.u32()?, fields.u16()?, fields.streamer()?);
                 let latency = fields.duration()?;
-                Box::new(move |c, _| c.flowing(job, join, streamer, latency))
+                Box::new(move |c, _| c.join_served(job, join, streamer, latency))
             }
             10 => {
                 let (streamer, ending) = (fields.streamer()?, fields.ending()?);
                 let (latency, usage) = (fields.duration()?, fields.load_report()?);
-                Box::new(move |c, _| c.echo(streamer, ending, latency, &usage))
+                Box::new(move |c, _| c.probe_result(streamer, ending, latency, &usage))
             }
             12 => {
                 let (peer, count) = (fields.u32()?, fields.u16()?);
                 let bytes = fields.bytes(count.into())?.to_vec();
-                Box::new(move |c, _| c.peer(peer, &bytes))
+                Box::new(move |c, _| c.receive_load_reports(peer, &bytes))
             }
             13 => self.apply_list(fields)?,
             _ => bail!("unknown event {code} at byte {offset}"),
@@ -236,9 +236,18 @@
     let (room_type, path_key, flags) = (fields.u8()?.into(), fields.u64()?, fields.u8()?);
     let (copies, _tenant, hint) = (fields.count()?, fields.u32()?, fields.duration()?);
     let max_rung = fields.count()?.min(255) as u8;
-    let (hinted, moved) = (duration_hint(flags, hint), flags & 8 != 0);
-    let request =
-        Asked { title, path_key, room_type, client_timeout, first_cell, copies, max_rung, hinted, moved };
+    let (duration_hint, moved) = (duration_hint(flags, hint), flags & 8 != 0);
+    let request = SubscriptionRequest {
+        title,
+        path_key,
+        room_type,
+        client_timeout,
+        first_cell,
+        copies,
+        max_rung,
+        duration_hint,
+        moved,
+    };
     Ok(Box::new(move |c, _| c.request(job, request)))
 }
 
@@ -249,9 +258,18 @@
     let (hint, first_cell, copies) = (fields.duration()?, fields.count()?, fields.count()?);
     let (max_rung, flags) = (fields.count()?.min(255) as u8, fields.u8()?);
     let streamer = fields.streamer()?;
-    let (hinted, moved) = (duration_hint(flags, hint), flags & 8 != 0);
-    let request =
-        Asked { title, path_key, room_type, client_timeout, first_cell, copies, max_rung, hinted, moved };
+    let (duration_hint, moved) = (duration_hint(flags, hint), flags & 8 != 0);
+    let request = SubscriptionRequest {
+        title,
+        path_key,
+        room_type,
+        client_timeout,
+        first_cell,
+        copies,
+        max_rung,
+        duration_hint,
+        moved,
+    };
     Ok(Box::new(move |c, _| c.resumed(job, request, streamer)))
 }
 
--- a/crates/standins/src/list_service.rs
+++ b/crates/standins/src/list_service.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_core::interface::{Health, StreamerId};
-use badgerledge_discovery::{health_word, LONGEST_LINE};
+use badgerledge_discovery::{health_name, MAX_LINE_BYTES};
 use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
 use badgerledge_witness::Witness;
 use serde_json::{json, Value};
@@ -60,7 +60,7 @@
     late: BTreeSet<(Duration, Line)>,
 }
 
-const BOUNDS: Bounds = Bounds { input: 64 * 1024, output: LONGEST_LINE };
+const BOUNDS: Bounds = Bounds { input: 64 * 1024, output: MAX_LINE_BYTES };
 
 impl ListService {
     pub fn new(reactor: &mut Reactor, at: SocketAddr) -> Result<Self> {
@@ -253,6 +253,6 @@
 
 fn entry(id: StreamerId, listed: &Listed, now: Duration) -> Value {
     let age = listed.came_up.map(|came_up| now.saturating_sub(came_up).as_millis() as u64);
-    let health = health_word(listed.health);
+    let health = health_name(listed.health);
     json!([id.to_string(), listed.zone, listed.kind, listed.cell, health, listed.weight, listed.start, age])
 }
