--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -170,7 +170,7 @@
             read("[title 2a]\nroom_type = clip\nfirst_cell = 3\ncopies = 0\n[title x]\n").unwrap_err();
         assert_eq!(
             faults.to_string(),
-            "c.ini:4: [title 2a] copies = 0: 1 to 65535 is taken\n\
+            "c.ini:4: [title 2a] copies = 0: must be between 1 and 65535\n\
              c.ini:5: [title x]: a title's id has 1 to 16 hexadecimal digits"
         );
         let duplicate = "[title 2a]\nroom_type = a\nfirst_cell = 3\ncopies = 1\n[title 02a]\nroom_type = a\n\
--- a/crates/controller/tests/it/revisions.rs
+++ b/crates/controller/tests/it/revisions.rs
@@ -90,7 +90,7 @@
     refused(pushes(at, author, 3, &longer), "number 3");
     refused(pushes(at, author, 1, &longer.replace("2500", "900")), "client_timeout_ms");
     refused(pushes(at, author, 1, &longer.replace("clip", "film")), "no room type clip");
-    refused(pushes(at, author, 1, &longer.replace(" = ", "=")), "not in the one form");
+    refused(pushes(at, author, 1, &longer.replace(" = ", "=")), "not in canonical form");
     refused(asks(at, &order::write(&Order::Text { text: "ab".repeat(32), from: 0 })), "no such text");
     assert_eq!((report(at).active, report(at).held), (0, None));
 
--- a/crates/deployment/src/distribution_place.rs
+++ b/crates/deployment/src/distribution_place.rs
@@ -1,4 +1,4 @@
-//! `[distribution]`: the shared sections come from control machines, and change while controllers run.
+//! The section `[distribution]`: how a controller receives the shared sections from control machines.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -9,48 +9,50 @@
 use garde::Validate;
 use serde::Deserialize;
 
-use crate::sections::half_a_minute;
+use crate::sections::default_leave_within_s;
 
-/// Relays of one controller at most.
-const MOST_RELAYS: usize = 64;
+/// Maximum number of relays in the settings of one controller.
+const MAX_RELAYS: usize = 64;
 
-/// `[distribution]`: this controller as a watcher of the control machines.
+/// `[distribution]`: this controller watches control machines, from which it receives the shared sections while it runs.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct DistributionPlace {
-    /// The file of the control machines' and authors' public keys, the same everywhere.
+    /// The file of the control machines' and authors' public keys; the same at all controllers.
     #[garde(skip)]
     pub ring: PathBuf,
     /// The control machines that serve controllers, in any order: `NUMBER ZONE ADDRESS` each.
-    #[garde(length(min = 1, max = MOST_RELAYS), custom(each_machine_once))]
+    #[garde(length(min = 1, max = MAX_RELAYS), custom(check_unique_relays))]
     pub relays: Vec<RelayPlace>,
-    /// The address of this machine that connections to relays go out from; any where none is named.
+    /// The local address of connections to relays; chosen by the system if `None`.
     #[garde(skip)]
     pub from: Option<IpAddr>,
-    /// Whether the titles go with the settings: then the catalogue's file counts only until the first revision, and is not
-    /// read again. To be the same at all.
+    /// Whether the titles are distributed with the settings: then the catalogue's file applies only until the first
+    /// revision, and is not read again. Must be the same at all controllers.
     #[garde(skip)]
     #[serde(default)]
     pub titles: bool,
-    /// Whether this controller goes on under its old configuration while its region is cut off, as long as two control machines
-    /// vouch for it: as long as their `apart_s` says. Control machines must know of it: their build and setting come first.
+    /// Whether this controller may keep its old configuration while its region is partitioned, under regional leases of
+    /// two control machines, for at most their `apart_s`. Upgrade and configure the control machines first: they must
+    /// support it.
     #[garde(skip)]
     #[serde(default)]
     pub apart: bool,
-    /// Who plays where its title lies no more is moved within this.
+    /// Time in seconds within which subscriptions are moved off streamers that no longer hold their title.
     #[garde(custom(within(0, 3600)))]
-    #[serde(default = "half_a_minute")]
+    #[serde(default = "default_leave_within_s")]
     pub leave_within_s: u64,
 }
 
-/// Where a control machine serves controllers.
+/// A control machine that serves controllers: its number, zone and address.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct RelayPlace {
-    /// Its number in the control machines' ring.
+    /// Its number in the ring of control machines.
     pub machine: MachineId,
-    /// Controllers of this zone prefer it.
+    /// Its zone; controllers of this zone prefer it.
     pub zone: String,
+    /// The address at which it accepts controllers.
     pub at: SocketAddr,
 }
 
@@ -58,11 +60,13 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let words: Vec<&str> = text.split_whitespace().collect();
-        let [machine, zone, at] = words[..] else { return Err("NUMBER ZONE ADDRESS is taken for each") };
-        let machine = machine.parse().map_err(|_| "a control machine's number is taken first")?;
-        let at = at.parse().map_err(|_| "an address with a port is taken last")?;
-        Ok(Self { machine, zone: zone.to_owned(), at })
+        let tokens: Vec<&str> = text.split_whitespace().collect();
+        let [machine, zone, address] = tokens[..] else {
+            return Err("each relay must be NUMBER ZONE ADDRESS");
+        };
+        let machine = machine.parse().map_err(|_| "the first field must be a control machine's number")?;
+        let address = address.parse().map_err(|_| "the last field must be an address with a port")?;
+        Ok(Self { machine, zone: zone.to_owned(), at: address })
     }
 }
 
@@ -74,13 +78,14 @@
     }
 }
 
-fn each_machine_once(relays: &[RelayPlace], (): &()) -> garde::Result {
-    let twice = |(at, relay): (usize, &RelayPlace)| {
-        relays[..at].iter().any(|before| before.machine == relay.machine || before.at == relay.at)
+/// Rejects a control machine or an address that is given twice.
+fn check_unique_relays(relays: &[RelayPlace], (): &()) -> garde::Result {
+    let is_duplicate = |(index, relay): (usize, &RelayPlace)| {
+        relays[..index].iter().any(|earlier| earlier.machine == relay.machine || earlier.at == relay.at)
     };
-    match relays.iter().enumerate().find(|found| twice(*found)) {
+    match relays.iter().enumerate().find(|found| is_duplicate(*found)) {
         Some((_, relay)) => Err(garde::Error::new(format!(
-            "each control machine and address once; {} at {} is given twice",
+            "each control machine and address must be given only once; {} at {} is given twice",
             relay.machine, relay.at
         ))),
         None => Ok(()),
--- a/crates/deployment/src/entries.rs
+++ b/crates/deployment/src/entries.rs
@@ -1,14 +1,14 @@
-//! The canonical text of a configuration as entries of a key-value state, and back.
+//! Converts the canonical text of a configuration into entries of a key-value state, and back.
 //!
 //! | key | value |
 //! |---|---|
-//! | `SECTION<tab>` | the section's place among those of its family, in decimal: room types are numbered by it |
+//! | `SECTION<tab>` | the section's position among those of its kind, in decimal: room types are numbered by it |
 //! | `SECTION<tab>KEY` | the value of a setting |
 //! | `title ID` | the lines of a title |
 //!
-//! A section exists where its first entry does. Two sections with the same place, as two authors may add them, stand in
-//! the order of their names. Keys that begin with a NUL byte belong to the protocol that distributes the state and are
-//! passed over.
+//! A section exists if its entry `SECTION<tab>` does. Two sections with the same position, as two authors may add them,
+//! are sorted by name. Keys that begin with a NUL byte belong to the protocol that distributes the state, and are
+//! ignored here.
 
 use std::collections::BTreeMap;
 
@@ -20,32 +20,32 @@
 use crate::kinds::plain;
 use crate::{Text, SHARED_SECTIONS};
 
-/// Ends the section's name in the key of a setting.
+/// Separates section and name in the key of a setting.
 const SEPARATOR: char = '\t';
-/// Begins the key of a title.
+/// Prefix of the key of a title.
 const TITLE: &str = "title ";
-/// Begins the protocol's own keys.
+/// Prefix of the keys that belong to the distribution protocol.
 const RESERVED: char = '\0';
 
-/// Why entries are not those of a configuration, or a text has none.
+/// Why entries do not form a configuration, or a text can not be converted into entries.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntriesFault {
     #[error("{0}")]
     Text(String),
-    #[error("entry {0:?}: no key of a setting or a title")]
+    #[error("entry {0:?}: not the key of a setting or a title")]
     Key(String),
     #[error("entry {key:?}: {reason}")]
     Value { key: String, reason: &'static str },
-    #[error("entry {key:?}: there is no entry for its section, whose key is {section:?} and a tab")]
+    #[error("entry {key:?}: there is no entry for its section, with the key {section:?} and a tab")]
     NoSection { key: String, section: String },
     #[error("the entries of titles are not in canonical form: {0}")]
     Titles(String),
 }
 
-/// The entries of a canonical text. The order of sections is kept in them.
+/// The entries of a canonical text, which preserve the order of sections.
 ///
 /// # Errors
-/// Where the text is not a configuration in canonical form.
+/// If the text is not a valid configuration in canonical form.
 pub fn entries_of(text: &str) -> Result<Vec<Entry>, EntriesFault> {
     Text::read(text.as_bytes()).map_err(EntriesFault::Text)?;
     let (settings, titles) = Text::split(text);
@@ -72,48 +72,49 @@
 fn settings_entries(settings: &str) -> Result<Vec<Entry>, EntriesFault> {
     let sheet =
         Sheet::parse("settings", settings).map_err(|faults| EntriesFault::Text(faults.to_string()))?;
-    let mut places: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut positions: BTreeMap<&str, usize> = BTreeMap::new();
     let mut entries = Vec::new();
     for section in sheet.sections() {
-        let place = places.entry(family(section)).or_default();
-        entries.push(setting(section, "", &place.to_string()));
-        *place += 1;
+        let position = positions.entry(family(section)).or_default();
+        entries.push(setting_entry(section, "", &position.to_string()));
+        *position += 1;
         for (key, value) in sheet.keys(section) {
-            entries.push(setting(section, key, value));
+            entries.push(setting_entry(section, key, value));
         }
     }
     Ok(entries)
 }
 
-fn setting(section: &str, key: &str, value: &str) -> Entry {
+fn setting_entry(section: &str, key: &str, value: &str) -> Entry {
     Entry { key: setting_key(section, key), value: value.as_bytes().to_vec() }
 }
 
-/// The key of a setting's entry; of the entry of its section where the setting's name is empty.
+/// The key of a setting's entry, or of its section's entry if `name` is empty.
 pub fn setting_key(section: &str, name: &str) -> String {
     format!("{section}{SEPARATOR}{name}")
 }
 
+/// The kind of section without its name: `room_type` of `room_type NAME`.
 fn family(section: &str) -> &str {
     section.split(' ').next().unwrap_or(section)
 }
 
-/// The section and the name of a setting's entry, by its key; nothing where the key is none of a setting.
+/// The section and the name in the key of a setting's entry; `None` if the key is not that of a setting.
 pub fn setting_of(key: &str) -> Option<(&str, &str)> {
     key.split_once(SEPARATOR)
 }
 
-/// One section on its way into a text: its place among those of its family, and its settings by key.
+/// A section collected from entries: its position among those of its kind, and its settings by key.
 #[derive(Default)]
 struct Section<'a> {
-    place: Option<u32>,
+    position: Option<u32>,
     settings: BTreeMap<&'a str, &'a str>,
 }
 
-/// The text that entries stand for, in canonical form. Whether a controller can act on it is for [`Text::read`] to say.
+/// The canonical text of a state's entries. [`Text::read`] checks whether it is a valid configuration.
 ///
 /// # Errors
-/// Names the entry that is not one of a configuration.
+/// Names the entry that can not be part of a configuration.
 pub fn text_of<'a>(entries: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Result<String, EntriesFault> {
     let mut sections: BTreeMap<&str, Section> = BTreeMap::new();
     let mut titles = Vec::new();
@@ -126,7 +127,7 @@
         let value = checked_setting(key, section, name, value)?;
         let section = sections.entry(section).or_default();
         if name.is_empty() {
-            section.place = Some(place_of(key, value)?);
+            section.position = Some(parse_position(key, value)?);
         } else {
             section.settings.insert(name, value);
         }
@@ -138,14 +139,14 @@
     let mut ordered = Vec::new();
     for (name, section) in sections {
         let rank = SHARED_SECTIONS.iter().position(|known| *known == family(name)).unwrap_or(usize::MAX);
-        let Some(place) = section.place else {
+        let Some(position) = section.position else {
             let first = section.settings.keys().next().copied().unwrap_or_default();
             let key = format!("{name}{SEPARATOR}{first}");
             return Err(EntriesFault::NoSection { key, section: (*name).to_owned() });
         };
-        ordered.push((rank, place, *name, section));
+        ordered.push((rank, position, *name, section));
     }
-    ordered.sort_unstable_by_key(|(rank, place, name, _)| (*rank, *place, *name));
+    ordered.sort_unstable_by_key(|(rank, position, name, _)| (*rank, *position, *name));
     let mut text = String::new();
     for (_, _, name, section) in ordered {
         text += &format!("[{name}]\n");
@@ -156,37 +157,38 @@
     Ok(text)
 }
 
-/// The title that an entry's key and value stand for; nothing where the key is not one of a title.
+/// Parses an entry as a title with its id; `None` if the key is not that of a title.
 ///
 /// # Errors
-/// Where the key or the value is not in canonical form.
+/// If the key or the value is not in canonical form.
 pub fn title_of(key: &str, value: &[u8]) -> Result<Option<(u64, Title)>, EntriesFault> {
     let Some(id) = title_id(key)? else { return Ok(None) };
     let text = format!("[{key}]\n{}", value_text(key, value)?);
-    let catalogue = Catalogue::parse_canonical(&text).filter(|read| read.len() == 1 && read.text() == text);
-    let title = catalogue.as_ref().and_then(|read| read.title(id));
+    let catalogue =
+        Catalogue::parse_canonical(&text).filter(|parsed| parsed.len() == 1 && parsed.text() == text);
+    let title = catalogue.as_ref().and_then(|catalogue| catalogue.title(id));
     match title {
         Some(title) => Ok(Some((id, title.clone()))),
         None => Err(EntriesFault::Titles(titles_fault(&text))),
     }
 }
 
-/// The id in the key of a title; nothing where the key is not one of a title.
+/// The id in the key of a title; `None` if the key is not that of a title.
 ///
 /// # Errors
-/// Where the id is not in canonical form.
+/// If the id is not in canonical form.
 pub fn title_id(key: &str) -> Result<Option<u64>, EntriesFault> {
     let Some(digits) = key.strip_prefix(TITLE) else { return Ok(None) };
     let id = u64::from_str_radix(digits, 16).ok().filter(|id| format!("{id:x}") == digits);
     id.map(Some).ok_or_else(|| EntriesFault::Key(key.to_owned()))
 }
 
-/// Whether a key is the protocol's own.
+/// Whether a key belongs to the distribution protocol.
 pub fn is_reserved(key: &str) -> bool {
     key.starts_with(RESERVED)
 }
 
-/// Titles by their ids. Each entry must be exactly one title, so that no value can bring another section in.
+/// The text of titles, sorted by id. Each entry must be exactly one title, so that no value can insert another section.
 fn titles_text(titles: Vec<(&str, &str)>) -> Result<String, EntriesFault> {
     let count = titles.len();
     let mut by_id = Vec::with_capacity(count);
@@ -200,12 +202,12 @@
         text += &format!("[{TITLE}{id:x}]\n{value}");
     }
     match Catalogue::parse_canonical(&text) {
-        Some(read) if read.len() == count && read.text() == text => Ok(text),
+        Some(parsed) if parsed.len() == count && parsed.text() == text => Ok(text),
         _ => Err(EntriesFault::Titles(titles_fault(&text))),
     }
 }
 
-/// What is wrong with the text of titles: the sheet knows the line.
+/// The error in an invalid text of titles. Parses it again as a [`Sheet`], which knows the line.
 fn titles_fault(text: &str) -> String {
     match Sheet::parse("titles", text).and_then(|sheet| Catalogue::from_sheet(&sheet)) {
         Err(faults) => faults.to_string(),
@@ -218,38 +220,38 @@
         .map_err(|_| EntriesFault::Value { key: key.to_owned(), reason: "the value is not UTF-8" })
 }
 
-/// A setting's value, if neither it nor its key could be taken for another line of a text.
+/// The value of a setting, after checking that neither it nor its key can be read as another line of the text.
 fn checked_setting<'a>(
     key: &str, section: &str, name: &str, value: &'a [u8],
 ) -> Result<&'a str, EntriesFault> {
     let value = value_text(key, value)?;
-    let wrong = |reason| EntriesFault::Value { key: key.to_owned(), reason };
+    let value_fault = |reason| EntriesFault::Value { key: key.to_owned(), reason };
     if key.chars().chain(value.chars()).any(|c| c.is_control() && c != SEPARATOR) || name.contains(SEPARATOR)
     {
-        return Err(wrong("control characters are not allowed"));
+        return Err(value_fault("control characters are not allowed"));
     }
     if value.contains(SEPARATOR) || plain(value) != value {
-        return Err(wrong(
-            "the value is not in canonical form: a list has its values after a comma and a blank",
+        return Err(value_fault(
+            "the value is not in canonical form: list elements are separated by a comma and one blank",
         ));
     }
-    let words = section.split_whitespace().collect::<Vec<_>>().join(" ");
-    if !SHARED_SECTIONS.contains(&family(section)) || words != section || section.contains([']', '[']) {
-        return Err(wrong("there is no such section"));
+    let normalized = section.split_whitespace().collect::<Vec<_>>().join(" ");
+    if !SHARED_SECTIONS.contains(&family(section)) || normalized != section || section.contains([']', '[']) {
+        return Err(value_fault("there is no such section"));
     }
     if name.trim() != name || name.contains(['=', ':']) || name.starts_with([';', '#', '[']) {
-        return Err(wrong("no setting has such a name"));
+        return Err(value_fault("no setting has such a name"));
     }
     Ok(value)
 }
 
-fn place_of(key: &str, value: &str) -> Result<u32, EntriesFault> {
-    let reason = "the place of a section is a whole number without leading zeros";
-    let wrong = || EntriesFault::Value { key: key.to_owned(), reason };
-    let place: u32 = value.parse().map_err(|_| wrong())?;
-    if place.to_string() == value {
-        Ok(place)
+fn parse_position(key: &str, value: &str) -> Result<u32, EntriesFault> {
+    let reason = "the position of a section is a whole number without leading zeros";
+    let position_fault = || EntriesFault::Value { key: key.to_owned(), reason };
+    let position: u32 = value.parse().map_err(|_| position_fault())?;
+    if position.to_string() == value {
+        Ok(position)
     } else {
-        Err(wrong())
+        Err(position_fault())
     }
 }
--- a/crates/deployment/src/entries_tests.rs
+++ b/crates/deployment/src/entries_tests.rs
@@ -1,4 +1,4 @@
-//! A configuration goes into entries and back without loss; entries that are none are refused by name.
+//! A configuration converts into entries and back without loss; invalid entries are rejected with their key.
 
 use badgerledge_distribution::state::Entry;
 use quickcheck::{quickcheck, TestResult};
@@ -33,14 +33,14 @@
     text_of(entries.iter().map(|entry| (entry.key.as_str(), entry.value.as_slice())))
 }
 
-/// A text whose room types stand in the order of `types`, with as many titles as there are ids.
+/// A text with the room types in the order of `types`, and a title for each id.
 pub(crate) fn text(types: &[u8], ids: &[u64], rules: bool) -> String {
     let mut text = SETTINGS.to_owned() + &room_type("zoo", 1);
-    for (at, name) in types.iter().enumerate().filter(|(at, name)| !types[..*at].contains(name)) {
-        text += &room_type(&format!("{} {name}", at % 2), *name);
+    for (index, name) in types.iter().enumerate().filter(|(index, name)| !types[..*index].contains(name)) {
+        text += &room_type(&format!("{} {name}", index % 2), *name);
     }
     if rules {
-        // A section without keys is a section all the same.
+        // A section without keys must be preserved too.
         text += "[rules]\n[permissions]\njoins = 2\n";
     }
     let ids: std::collections::BTreeSet<u64> = ids.iter().copied().collect();
@@ -49,40 +49,42 @@
 }
 
 quickcheck! {
-    fn a_text_comes_back_as_it_was(types: Vec<u8>, ids: Vec<u64>, rules: bool, turn: usize) -> TestResult {
+    fn text_to_entries_and_back_is_lossless(
+        types: Vec<u8>, ids: Vec<u64>, rules: bool, rotation: usize
+    ) -> TestResult {
         let text = text(&types, &ids, rules);
-        if let Err(why) = Text::read(text.as_bytes()) {
-            return TestResult::error(why);
+        if let Err(reason) = Text::read(text.as_bytes()) {
+            return TestResult::error(reason);
         }
         let Ok(mut entries) = entries_of(&text) else { return TestResult::failed() };
-        // Their order says nothing, and the protocol's own are passed over.
-        let turn = turn % entries.len();
-        entries.rotate_left(turn);
+        // The order of entries has no meaning, and the protocol's own entries are ignored.
+        let rotation = rotation % entries.len();
+        entries.rotate_left(rotation);
         entries.push(Entry { key: "\0author 3".to_owned(), value: vec![0xff] });
         TestResult::from_bool(text_of_entries(&entries).as_deref() == Ok(text.as_str()))
     }
 }
 
 #[test]
-fn the_order_of_room_types_is_kept() {
+fn order_of_room_types_is_preserved() {
     let text = text(&[9, 3, 200, 1], &[5], true);
     let entries = entries_of(&text).unwrap();
-    let place = |key: &str| entries.iter().find(|entry| entry.key == key).map(|entry| entry.value.clone());
-    assert_eq!(place("room_type 0 9\t"), Some(b"1".to_vec()));
-    assert_eq!(place("room_type 0 200\t"), Some(b"3".to_vec()));
+    let position = |key: &str| entries.iter().find(|entry| entry.key == key).map(|entry| entry.value.clone());
+    assert_eq!(position("room_type 0 9\t"), Some(b"1".to_vec()));
+    assert_eq!(position("room_type 0 200\t"), Some(b"3".to_vec()));
     assert_eq!(text_of_entries(&entries).unwrap(), text);
-    // Two authors that each add a room type as the last one: both come, in the order of their names.
+    // Two authors each add a room type at the same position: both are kept, sorted by name.
     let added = [room_type("b", 1), room_type("a", 2)].map(|added| {
-        let whole = text.replacen("[rules]", &format!("{added}[rules]"), 1);
-        entries_of(&whole).unwrap().into_iter().filter(|entry| !entries.contains(entry)).collect::<Vec<_>>()
+        let changed = text.replacen("[rules]", &format!("{added}[rules]"), 1);
+        entries_of(&changed).unwrap().into_iter().filter(|entry| !entries.contains(entry)).collect::<Vec<_>>()
     });
     let both = text_of_entries(&[entries.clone(), added.concat()].concat()).unwrap();
-    let wanted = format!("{}{}[rules]", room_type("a", 2), room_type("b", 1));
-    assert_eq!(both, text.replacen("[rules]", &wanted, 1));
+    let expected = format!("{}{}[rules]", room_type("a", 2), room_type("b", 1));
+    assert_eq!(both, text.replacen("[rules]", &expected, 1));
 }
 
 #[test]
-fn one_setting_or_title_is_one_entry() {
+fn changing_one_setting_or_title_changes_one_entry() {
     let before = entries_of(&text(&[1, 2], &[7, 8], true)).unwrap();
     let changed = |text: &str| -> Vec<Entry> {
         entries_of(text).unwrap().into_iter().filter(|entry| !before.contains(entry)).collect()
@@ -95,15 +97,15 @@
 }
 
 #[test]
-fn entries_that_are_none_of_a_configuration_are_refused() {
-    let whole = entries_of(&text(&[1], &[7], false)).unwrap();
+fn invalid_entries_are_rejected() {
+    let valid = entries_of(&text(&[1], &[7], false)).unwrap();
     let with = |key: &str, value: &str| {
-        let mut entries = whole.clone();
+        let mut entries = valid.clone();
         entries.retain(|entry| entry.key != key);
         entries.push(Entry { key: key.to_owned(), value: value.as_bytes().to_vec() });
         text_of_entries(&entries).map_err(|fault| fault.to_string()).unwrap_err()
     };
-    assert!(with("stray", "1").contains("no key of a setting or a title"));
+    assert!(with("stray", "1").contains("not the key of a setting or a title"));
     assert!(with("controller\tnumber", "1").contains("no such section"));
     assert!(with("rules\tdrain_grace_ms", "1").contains("there is no entry for its section"));
     assert!(with("rules\t", "first").contains("whole number"));
@@ -113,16 +115,16 @@
     assert!(with("fleet\t;cells", "1").contains("no setting has such a name"));
     assert!(with("fleet\ta=b", "1").contains("no setting has such a name"));
     assert!(with("fleet]\n[rules\tx", "1").contains("control characters"));
-    assert!(with("title 07", &title(7, 0)).contains("no key"));
+    assert!(with("title 07", &title(7, 0)).contains("not the key"));
     assert!(with("title 7", "copies = 2\n").contains("this key is missing"));
-    // A value can't bring another title in.
+    // A value can not insert another title.
     let two = format!("copies = 2\nfirst_cell = 3\nroom_type = zoo\n{}", title(9, 1));
     assert!(with("title 7", &two).contains("and no others"));
     assert!(entries_of("[fleet]\ncells = 0\n").is_err());
 }
 
 #[test]
-fn one_title_is_changed_without_the_others() {
+fn titles_are_changed_one_by_one() {
     let text = Text::read(text(&[1], &[7, 8], false).as_bytes()).unwrap();
     let moved = "copies = 2\nfirst_cell = 3\nroom_type = zoo\n";
     let (id, title) = title_of("title 8", moved.as_bytes()).unwrap().unwrap();
@@ -130,6 +132,9 @@
     assert!(title_of("title 08", moved.as_bytes()).is_err() && title_of("title 8", b"copies = 2\n").is_err());
     let changed = text.with_titles(vec![(id, Some(title.clone())), (7, None)]).unwrap();
     assert_eq!(changed.titles().titles().collect::<Vec<_>>(), [(8, &title)]);
-    let stray = badgerledge_catalogue::Title { room_type: "none".to_owned(), ..title };
-    assert!(text.with_titles(vec![(9, Some(stray))]).unwrap_err().contains("[title 9] room_type = none"));
+    let without_type = badgerledge_catalogue::Title { room_type: "none".to_owned(), ..title };
+    assert!(text
+        .with_titles(vec![(9, Some(without_type))])
+        .unwrap_err()
+        .contains("[title 9] room_type = none"));
 }
--- a/crates/deployment/src/exclusive_tests.rs
+++ b/crates/deployment/src/exclusive_tests.rs
@@ -1,4 +1,4 @@
-//! Edits that must not be acted on in both ways at once, by the kinds of their keys.
+//! Which edits of a state are exclusive, by the kinds of their keys.
 
 use badgerledge_distribution::state::{Edit, State};
 
@@ -20,27 +20,27 @@
 }
 
 #[test]
-fn settings_are_judged_by_their_kind() {
+fn setting_is_exclusive_if_its_kind_is() {
     for (section, key, kind) in KINDS.iter().filter(|(section, ..)| *section != "title") {
-        let is = exclusive(&setting_key(section, key), Some("another"));
-        assert_eq!(is, *kind == Kind::Exclusive, "{section} {key}");
+        let is_exclusive = exclusive(&setting_key(section, key), Some("another"));
+        assert_eq!(is_exclusive, *kind == Kind::Exclusive, "{section} {key}");
     }
 }
 
 #[test]
-fn a_section_that_comes_goes_or_changes_places_is_exclusive() {
+fn adding_removing_or_reordering_a_section_is_exclusive() {
     let state = state();
     let mut sections = state.entries().filter(|(key, _)| key.ends_with('\t'));
-    let (section, place) = sections.next().unwrap();
+    let (section, position) = sections.next().unwrap();
     assert!(exclusive(section, None));
     assert!(exclusive(section, Some("7")));
-    assert!(!exclusive(section, std::str::from_utf8(place).ok()), "it stays where it is");
+    assert!(!exclusive(section, std::str::from_utf8(position).ok()), "the position is unchanged");
     assert!(exclusive(&setting_key("room_type quiz", ""), Some("9")));
 }
 
-/// One that goes could come back elsewhere, in a second change that is free as well: so its going is exclusive.
+/// Removing a title is exclusive, since a second change, which is free as well, could add it again on other cells.
 #[test]
-fn a_title_that_comes_is_free_and_one_that_moves_or_goes_is_not() {
+fn adding_a_title_is_free_but_moving_or_removing_it_is_exclusive() {
     let state = state();
     let (title, lines) = state.entries().find(|(key, _)| key.starts_with("title ")).unwrap();
     assert!(!exclusive("title ffff", Some("copies = 1\nfirst_cell = 0\nroom_type = clip\n")));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_can_not_be_told_is_exclusive_and_the_protocols_own_keys_are_not() {
+fn unknown_keys_are_exclusive_and_protocol_keys_are_not() {
     assert!(exclusive("nothing", Some("1")));
     assert!(exclusive("title zz", Some("1")));
     assert!(exclusive("unheard\tof", Some("1")));
--- a/crates/deployment/src/kinds.rs
+++ b/crates/deployment/src/kinds.rs
@@ -1,5 +1,5 @@
-//! What each key of the shared sections may be while controllers do not all act on the same revision, and the text
-//! that one acts on who has heard of a change that others may not have heard of.
+//! Classifies each key of the shared sections by what controllers may do while they do not all apply the same revision,
+//! and computes the text that is safe to apply while a change has reached only some of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,39 @@
 
 use crate::{Permissions, Rules, Shared, REVISED_SECTIONS, SHARED_SECTIONS};
 
-/// What two controllers may do with different values of a key.
+/// Whether two controllers may apply different values of a key at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// They may differ for good: it changes what is chosen, and breaks no rule.
+    /// The values may differ indefinitely: they change what is chosen, and break no rule.
     Free,
-    /// One value is safe beside the other: who is unsure keeps to the stricter one.
+    /// The stricter value is safe beside the other: a controller applies it until the change is confirmed.
     Stricter(Side),
-    /// Both at once must not be acted on.
+    /// The two values must never be applied at the same time.
     Exclusive,
 }
 
-/// Which value is the stricter one.
+/// Which of two values is the stricter one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
     Lower,
     Higher,
-    /// The lower one, where 0 is no bound at all.
+    /// The lower one, except that 0 means no limit.
     LowerBut0,
-    /// `false`: what is not permitted is not done.
+    /// `false`: the action is not permitted.
     False,
 }
 
 use Kind::{Exclusive, Free, Stricter};
 use Side::{False, Higher, Lower, LowerBut0};
 
-/// Each key of each shared section, in the order of the sections. A test holds it against the sections themselves.
+/// Section, key and kind of each key of the shared sections and titles, in the order of the sections. A test compares it
+/// with the types of the sections.
 pub const KINDS: [(&str, &str, Kind); 52] = [
-    // Names and places of all that is counted by number.
+    // Names whose position is the number by which controllers refer to them.
     ("fleet", "zones", Exclusive),
     ("fleet", "kinds", Exclusive),
     ("fleet", "kind_streams", Stricter(Lower)),
-    // Which streamers hold a title, and which share an uplink.
+    // Decide which streamers hold a title, and which share an uplink.
     ("fleet", "cells", Exclusive),
     ("fleet", "racks", Exclusive),
     ("fleet", "link_unit_kb", Stricter(Lower)),
@@ -51,7 +52,7 @@
     ("fleet", "told_late_ms", Free),
     ("fleet", "told_every_ms", Free),
     ("fleet", "discovery", Free),
-    // A rung's number says to a streamer which rate it sends.
+    // The number of a rung tells a streamer which rate to send.
     ("ladder", "rates_kb", Exclusive),
     ("ladder", "benefit", Free),
     ("ladder", "switch_cost_s", Free),
@@ -59,7 +60,7 @@
     ("room_type", "join_objective_ms", Free),
     ("room_type", "client_timeout_ms", Free),
     ("room_type", "benefit", Free),
-    // Whether a set-up may be sent again must be one rule for whoever takes its viewer.
+    // Any controller may take over a viewer, so all must agree on whether its SETUP may be sent again.
     ("room_type", "set_up_again", Exclusive),
     ("room_type", "group", Exclusive),
     ("room_type", "window_ms", Stricter(Lower)),
@@ -85,143 +86,159 @@
     ("prices", "moves", Free),
     ("prices", "probe", Free),
     ("prices", "crossing", Free),
-    // Shares of one budget: who counts with another one lends what it does not own.
+    // Controllers divide one budget: with different budgets, one would lend a share that it does not have.
     ("crossing", "rate_kb_s", Exclusive),
     ("crossing", "burst_kb", Exclusive),
     ("crossing", "per", Exclusive),
-    // Which streamers hold a title, and under which rules it plays. A title that comes or goes is free: one that is still
-    // served somewhere harms nobody elsewhere.
+    // Decide which streamers hold a title, and under which rules it plays. Adding or removing a title is free: one that
+    // some controllers still serve does no harm at the others.
     ("title", "room_type", Exclusive),
     ("title", "first_cell", Exclusive),
     ("title", "copies", Exclusive),
 ];
 
-/// The kind of a key; a section's own coming, going or place among its like has none here and is exclusive, but for a
-/// title's.
+/// The kind of a key. An empty key stands for the section itself: adding, removing or reordering it is exclusive, except
+/// for titles, where it is free.
 pub fn kind_of(section: &str, key: &str) -> Kind {
     let family = family(section);
     if family == "title" && key.is_empty() {
         return Free;
     }
-    let found = KINDS.iter().find(|(s, k, _)| (*s, *k) == (family, key));
+    let found =
+        KINDS.iter().find(|(known_family, known_key, _)| (*known_family, *known_key) == (family, key));
     found.map_or(Exclusive, |found| found.2)
 }
 
-/// One key that two texts have different values of; `None` where a text does not name it, and its default counts.
+/// A key with different values in two texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub section: String,
+    /// Empty for a change of the section itself.
     pub key: String,
+    /// The old value; `None` if the old text does not give the key, so that its default applies.
     pub from: Option<String>,
+    /// The new value; `None` if the new text does not give the key, so that its default applies.
     pub to: Option<String>,
     pub kind: Kind,
 }
 
+/// The kind of section without its name: `room_type` of `room_type NAME`.
 fn family(section: &str) -> &str {
     section.split(' ').next().unwrap_or(section)
 }
 
-/// What a revision is made of: the shared sections of a sheet and its titles, in one form for all who mean the same:
-/// sections in the order of [`REVISED_SECTIONS`], room types as they stand, titles by their ids, keys by name, values
-/// without stray blanks.
+/// The canonical text of a revision: the shared sections of a file and its titles, so that equal configurations have
+/// equal texts. Sections are in the order of [`REVISED_SECTIONS`], room types in the order of the file, titles sorted by
+/// id, keys sorted by name, and values without extra blanks.
 pub fn canonical(sheet: &Sheet) -> String {
     let mut text = String::new();
-    for family_of in SHARED_SECTIONS {
-        for section in sheet.sections().filter(|section| family(section) == family_of) {
+    for shared_family in SHARED_SECTIONS {
+        for section in sheet.sections().filter(|section| family(section) == shared_family) {
             text += &format!("[{}]\n", section.split_whitespace().collect::<Vec<_>>().join(" "));
             for (key, value) in sheet.keys(section) {
                 text += &format!("{key} = {}\n", plain(value));
             }
         }
     }
-    // Titles that are not in order have no form: whoever reads the text says what is wrong with them.
+    // Invalid titles have no canonical form: they are copied, and reported when the text is read.
     match Catalogue::from_sections(sheet) {
         Ok(titles) => text + &titles.text(),
         Err(_) => text + &sheet.copy(&["title"]),
     }
 }
 
-/// A value without stray blanks.
+/// A value in canonical form: list elements separated by a comma and one blank, without other blanks around them.
 pub fn plain(value: &str) -> String {
     value.split(',').map(str::trim).collect::<Vec<_>>().join(", ")
 }
 
+/// Values in canonical form, by section and key.
 type Values = BTreeMap<(String, String), String>;
 
+/// The values of all sections that are part of a revision.
 fn values(sheet: &Sheet) -> Values {
-    let of = |section: &str| -> Vec<((String, String), String)> {
+    let section_values = |section: &str| -> Vec<((String, String), String)> {
         let keys = sheet.keys(section).into_iter();
         keys.map(|(key, value)| ((section.to_owned(), key.to_owned()), plain(value))).collect()
     };
-    sheet.sections().filter(|section| is_revised(section)).flat_map(of).collect()
+    sheet.sections().filter(|section| is_revised(section)).flat_map(section_values).collect()
 }
 
+/// Whether a section is part of a revision.
 fn is_revised(section: &str) -> bool {
     REVISED_SECTIONS.contains(&family(section))
 }
 
-/// Each section with where it stands: that it is there, or its number among the room types.
-fn places(sheet: &Sheet) -> BTreeMap<&str, String> {
-    let mut room_types = 0..;
-    let place = |section| match family(section) {
-        "room_type" => format!("number {}", room_types.next().unwrap_or(0)),
+/// The position of each section: a room type's number, or `there` for sections whose order has no meaning.
+fn positions(sheet: &Sheet) -> BTreeMap<&str, String> {
+    let mut room_type_numbers = 0..;
+    let position = |section| match family(section) {
+        "room_type" => format!("number {}", room_type_numbers.next().unwrap_or(0)),
         _ => "there".to_owned(),
     };
     let sections: Vec<&str> = sheet.sections().filter(|section| is_revised(section)).collect();
-    let placed: Vec<String> = sections.iter().copied().map(place).collect();
-    sections.into_iter().zip(placed).collect()
+    let positions: Vec<String> = sections.iter().copied().map(position).collect();
+    sections.into_iter().zip(positions).collect()
 }
 
-/// All that differs, in the order of sections and keys. Sections that came, went or changed places stand first, with
-/// no key.
+/// All differences between two texts, sorted by section and key. Sections that were added, removed or reordered come
+/// first, with an empty key.
 pub fn changes(from: &Sheet, to: &Sheet) -> Vec<Change> {
-    let mut found = Vec::new();
-    let (old, new) = (places(from), places(to));
+    let mut changes = Vec::new();
+    let (old, new) = (positions(from), positions(to));
     let sections: BTreeSet<&str> = old.keys().chain(new.keys()).copied().collect();
     for section in &sections {
         let (from, to) = (old.get(section).cloned(), new.get(section).cloned());
         if from != to {
             let kind = kind_of(section, "");
-            found.push(Change { section: (*section).to_owned(), key: String::new(), from, to, kind });
+            changes.push(Change { section: (*section).to_owned(), key: String::new(), from, to, kind });
         }
     }
-    let stays = |section: &str| old.contains_key(section) && new.contains_key(section);
+    let in_both = |section: &str| old.contains_key(section) && new.contains_key(section);
     let (old, new) = (values(from), values(to));
-    let keys: BTreeSet<&(String, String)> = old.keys().chain(new.keys()).collect();
-    for at in keys {
-        let (from, to) = (old.get(at).cloned(), new.get(at).cloned());
+    let section_keys: BTreeSet<&(String, String)> = old.keys().chain(new.keys()).collect();
+    for section_key in section_keys {
+        let (from, to) = (old.get(section_key).cloned(), new.get(section_key).cloned());
         if from != to {
-            // What a title has that comes or goes is as free as its coming.
-            let whole = family(&at.0) == "title" && !stays(&at.0);
-            let kind = if whole { Free } else { kind_of(&at.0, &at.1) };
-            found.push(Change { section: at.0.clone(), key: at.1.clone(), from, to, kind });
+            // The keys of a title that is added or removed are as free as the title itself.
+            let whole_title = family(&section_key.0) == "title" && !in_both(&section_key.0);
+            let kind = if whole_title { Free } else { kind_of(&section_key.0, &section_key.1) };
+            changes.push(Change {
+                section: section_key.0.clone(),
+                key: section_key.1.clone(),
+                from,
+                to,
+                kind,
+            });
         }
     }
-    found
+    changes
 }
 
-/// What one acts on who has heard of a change while others may not act on it yet: free keys are new, of others the
-/// stricter value counts, and exclusive ones are old. Keys that a text does not name count as `default_of` says.
+/// The text that a controller applies while a change may not have reached all others: new values of free keys, the
+/// stricter value of others, and old values of exclusive keys. `default_of` gives the defaults of keys that a text does
+/// not give.
 pub fn between(from: &Sheet, to: &Sheet, default_of: &dyn Fn(&str, &str) -> Option<String>) -> String {
     let mut chosen = values(from);
     for change in changes(from, to).iter().filter(|change| !change.key.is_empty()) {
-        let at = (change.section.clone(), change.key.clone());
-        let value = |told: &Option<String>| told.clone().or_else(|| default_of(&change.section, &change.key));
-        let taken = match change.kind {
+        let section_key = (change.section.clone(), change.key.clone());
+        let value_or_default =
+            |value: &Option<String>| value.clone().or_else(|| default_of(&change.section, &change.key));
+        let value = match change.kind {
             Exclusive => continue,
             Free => change.to.clone(),
-            Stricter(side) => match (value(&change.from), value(&change.to)) {
+            Stricter(side) => match (value_or_default(&change.from), value_or_default(&change.to)) {
                 (Some(old), Some(new)) => Some(stricter(side, &old, &new)),
-                // Without a default there is no bound where nothing is said.
+                // A key without a default is unlimited if it is not given, so the given value is the stricter one.
                 (old, new) => old.or(new),
             },
         };
-        match taken {
-            // Only sections that are there already: one that comes is exclusive.
+        match value {
+            // Only sections that exist already: adding one is exclusive.
             Some(value) if from.has(&change.section) || family(&change.section) == "title" => {
-                drop(chosen.insert(at, value))
+                drop(chosen.insert(section_key, value))
             }
-            _ => drop(chosen.remove(&at)),
+            _ => drop(chosen.remove(&section_key)),
         }
     }
     let titles = to.sections().filter(|section| family(section) == "title");
@@ -237,51 +254,53 @@
     text
 }
 
-/// Whether something changes that must not be acted on in both ways at once.
+/// Whether a change contains an exclusive one.
 pub fn is_exclusive(from: &Sheet, to: &Sheet) -> bool {
     changes(from, to).iter().any(|change| change.kind == Exclusive)
 }
 
+/// The stricter of two values; of lists element by element, or the old one if their lengths differ.
 fn stricter(side: Side, old: &str, new: &str) -> String {
-    let (olds, news): (Vec<&str>, Vec<&str>) = (old.split(", ").collect(), new.split(", ").collect());
-    if olds.len() != news.len() {
+    let (old_elements, new_elements): (Vec<&str>, Vec<&str>) =
+        (old.split(", ").collect(), new.split(", ").collect());
+    if old_elements.len() != new_elements.len() {
         return old.to_owned();
     }
-    let one = |(old, new): (&&str, &&str)| strict_one(side, old, new).to_owned();
-    olds.iter().zip(&news).map(one).collect::<Vec<_>>().join(", ")
+    let stricter_of_pair = |(old, new): (&&str, &&str)| stricter_element(side, old, new).to_owned();
+    old_elements.iter().zip(&new_elements).map(stricter_of_pair).collect::<Vec<_>>().join(", ")
 }
 
-fn strict_one<'a>(side: Side, old: &'a str, new: &'a str) -> &'a str {
+fn stricter_element<'a>(side: Side, old: &'a str, new: &'a str) -> &'a str {
     let number = |text: &str| text.parse::<f64>().unwrap_or(f64::NAN);
-    let (a, b) = (number(old), number(new));
-    let keeps_old = match side {
-        Lower => a <= b,
-        Higher => a >= b,
-        LowerBut0 if a == 0.0 || b == 0.0 => b == 0.0,
-        LowerBut0 => a <= b,
+    let (old_number, new_number) = (number(old), number(new));
+    let old_is_stricter = match side {
+        Lower => old_number <= new_number,
+        Higher => old_number >= new_number,
+        LowerBut0 if old_number == 0.0 || new_number == 0.0 => new_number == 0.0,
+        LowerBut0 => old_number <= new_number,
         False => old == "false",
     };
-    if keeps_old {
+    if old_is_stricter {
         old
     } else {
         new
     }
 }
 
-/// The settings and titles of a revision's text.
+/// Validates the settings and titles of a revision's text.
 ///
 /// # Errors
-/// Names what is not in order, by itself or beside the rest.
+/// Returns what is invalid by itself, and a title whose room type is not in the settings.
 pub fn revised(sheet: &Sheet) -> Result<(Shared, Catalogue), Faults> {
     let (shared, titles) = Faults::both(Shared::of(sheet), Catalogue::from_sections(sheet))?;
-    let strays = titles.titles().filter(|(_, title)| shared.room_type(&title.room_type).is_none());
-    // One is enough to refuse it, and each costs a look through the whole text for its line.
-    let stray = strays.take(1).map(|(id, title)| {
+    let without_type = titles.titles().filter(|(_, title)| shared.room_type(&title.room_type).is_none());
+    // Only the first one is reported: finding the line of each takes a search through the whole text.
+    let fault = without_type.take(1).map(|(id, title)| {
         let section = sheet.named("title").find(|name| u64::from_str_radix(name, 16) == Ok(id));
         let section = format!("title {}", section.unwrap_or_default());
         sheet.fault(&section, "room_type", &title.room_type, "there is no room type of this name")
     });
-    let faults: Vec<_> = stray.collect();
+    let faults: Vec<_> = fault.collect();
     if faults.is_empty() {
         Ok((shared, titles))
     } else {
@@ -289,7 +308,7 @@
     }
 }
 
-/// Defaults of keys whose stricter value counts; nothing where no value is no bound.
+/// Defaults of the keys of kind [`Kind::Stricter`]; `None` for keys that are unlimited if not given.
 pub fn default_of(section: &str, key: &str) -> Option<String> {
     let (rules, permissions) = (Rules::default(), Permissions::default());
     let family = section.split(' ').next().unwrap_or(section);
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a controller is told in INI.
+//! Reads and validates a controller's INI settings.
 //!
-//! [`Deployment`] is a checked file: the controller's own place in the network, and what it is told of fleet, room
-//! types, rules and permissions. [`Deployment::module_settings`] makes the plain map of names to values that the module takes,
-//! under the names that the module knows.
+//! [`Deployment`] is one validated file: the controller's own sections (addresses, gossip, source of revisions) and the
+//! sections that all controllers share (fleet, room types, rules, permissions). [`Deployment::module_settings`] converts
+//! it into the map of names to values that the core module reads.
 
 mod distribution_place;
 pub mod entries;
@@ -17,7 +17,7 @@
 use std::path::Path;
 
 use badgerledge_settings::{Faults, Sheet};
-use sections::HALF_A_MINUTE;
+use sections::DEFAULT_LEAVE_WITHIN_S;
 
 pub use distribution_place::{DistributionPlace, RelayPlace};
 pub use exclusive::is_exclusive;
@@ -29,7 +29,7 @@
 pub use state_reader::StateReader;
 pub use text::{ActedOn, Text};
 
-/// All kinds of section that a controller's file may have.
+/// All kinds of sections that a controller's file may have.
 pub const SECTIONS: [&str; 11] = [
     "controller",
     "gossip",
@@ -43,34 +43,36 @@
     "prices",
     "crossing",
 ];
-/// Those that say nothing of one controller: a day hands them to all of its controllers as they are.
+/// The sections that do not depend on the controller: a scenario passes them to all of its controllers unchanged.
 pub const SHARED_SECTIONS: [&str; 7] =
     ["fleet", "ladder", "room_type", "rules", "permissions", "prices", "crossing"];
 
-/// Those of a revision's text: what all are told, and the titles.
+/// The sections of a revision's text: the shared sections and the titles.
 pub const REVISED_SECTIONS: [&str; 8] =
     ["fleet", "ladder", "room_type", "rules", "permissions", "prices", "crossing", "title"];
 
-/// A controller's file, checked.
+/// A controller's validated settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub place: ControllerPlace,
-    /// Without it controllers know each other by `peers` alone, and sign nothing.
+    /// If `None`, controllers know each other by `peers` alone, and sign nothing.
     pub gossip: Option<GossipPlace>,
-    /// Without it the shared sections are what the file says, for good.
+    /// If `None`, and without `distribution`, the shared sections of the file apply for as long as the process runs.
     pub revisions: Option<RevisionsPlace>,
-    /// The same, where control machines hand the shared sections down; never beside `revisions`.
+    /// As `revisions`, but control machines distribute the shared sections; never together with `revisions`.
     pub distribution: Option<DistributionPlace>,
     pub shared: Shared,
-    /// The sections that it was read from, in the one form that all have for them.
+    /// The text of the shared sections and titles, in canonical form.
     pub shared_text: String,
 }
 
 impl Deployment {
+    /// Reads and validates a controller's settings file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         Self::of(&Sheet::read(path)?)
     }
 
+    /// Validates a parsed settings file, also across sections.
     pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
         sheet.only(&SECTIONS)?;
         let (place, shared) =
@@ -78,16 +80,16 @@
         let gossip: Option<GossipPlace> = sheet.optional_section("gossip")?;
         let revisions: Option<RevisionsPlace> = sheet.optional_section("revisions")?;
         if revisions.is_some() && (gossip.is_none() || place.state.is_none()) {
-            let why = "is taken only beside [gossip] and [controller] state";
+            let why = "requires [gossip] and [controller] state";
             return Err(sheet.fault("revisions", "", "", why).into());
         }
         let distribution: Option<DistributionPlace> = sheet.optional_section("distribution")?;
         if distribution.is_some() && revisions.is_some() {
-            let why = "is not taken beside [revisions]: both would say what is acted on";
+            let why = "must not be combined with [revisions]: both would set the configuration in force";
             return Err(sheet.fault("distribution", "", "", why).into());
         }
         if distribution.is_some() && place.state.is_none() {
-            let why = "is taken only beside [controller] state";
+            let why = "requires [controller] state";
             return Err(sheet.fault("distribution", "", "", why).into());
         }
         check_place(sheet, &place, &shared)?;
@@ -97,34 +99,35 @@
 }
 
 impl Deployment {
-    /// Whether the titles change with the shared sections, and the catalogue's file is not read again.
+    /// Whether the titles are part of the revised configuration, so that the catalogue's file is not read again.
     pub fn titles_go_with_configuration(&self) -> bool {
         self.revisions.as_ref().is_some_and(|section| section.catalogue)
             || self.distribution.as_ref().is_some_and(|section| section.titles)
     }
 
-    /// Who plays where its title lies no more is moved within this, in seconds.
+    /// Time in seconds within which subscriptions are moved off streamers that no longer hold their title.
     pub fn leave_within_s(&self) -> u64 {
         let revisions = self.revisions.as_ref().map(|section| section.leave_within_s);
         let distribution = self.distribution.as_ref().map(|section| section.leave_within_s);
-        revisions.or(distribution).unwrap_or(HALF_A_MINUTE)
+        revisions.or(distribution).unwrap_or(DEFAULT_LEAVE_WITHIN_S)
     }
 }
 
-/// Refuses a controller's place that the shared sections, or its peers, do not have.
+/// Checks a controller's number, zone and peers against the number of controllers and the zones of the fleet.
 fn check_place(sheet: &Sheet, place: &ControllerPlace, shared: &Shared) -> Result<(), Faults> {
     let refuse =
         |key: &str, value: &str, why: String| Err(sheet.fault("controller", key, value, &why).into());
     if place.number >= place.controllers {
-        let why = format!("0 to {} is taken, for there are {}", place.controllers - 1, place.controllers);
+        let why =
+            format!("must be between 0 and {} with {} controllers", place.controllers - 1, place.controllers);
         return refuse("number", &place.number.to_string(), why);
     }
     if !shared.fleet.zones.contains(&place.zone) {
-        let why = format!("one of {} is taken", shared.fleet.zones.join(", "));
+        let why = format!("must be one of {}", shared.fleet.zones.join(", "));
         return refuse("zone", &place.zone, why);
     }
     if !place.peers.is_empty() && place.peers.len() != place.controllers as usize {
-        let why = format!("{} addresses are taken, one for each controller", place.controllers);
+        let why = format!("must have {} addresses, one for each controller", place.controllers);
         return refuse("peers", "", why);
     }
     Ok(())
--- a/crates/deployment/src/module_settings.rs
+++ b/crates/deployment/src/module_settings.rs
@@ -1,11 +1,11 @@
-//! The map that the module takes, under the names that it knows.
+//! Converts a deployment into the map of settings that the core module reads, under that module's names.
 
 use serde_json::{json, Map, Value};
 
 use crate::{Deployment, Fleet, Permissions, RoomType, Rules, Shared};
 
 impl Deployment {
-    /// Names to values, plainly; spans in microseconds.
+    /// The settings of the core module by name; durations are in microseconds.
     pub fn module_settings(&self) -> Map<String, Value> {
         let Self { place, shared, .. } = self;
         let Shared { fleet, rules, permissions, prices, .. } = shared;
@@ -33,9 +33,10 @@
 }
 
 fn profiles(shared: &Shared) -> Vec<Value> {
-    let profile = |(name, t): &(String, RoomType)| {
-        json!({"name": name, "aimUs": us(t.join_objective_ms), "deadlineUs": us(t.client_timeout_ms),
-            "effect": t.set_up_again, "group": t.group, "windowUs": us(t.window_ms), "worth": t.benefit})
+    let profile = |(name, room_type): &(String, RoomType)| {
+        json!({"name": name, "aimUs": us(room_type.join_objective_ms),
+            "deadlineUs": us(room_type.client_timeout_ms), "effect": room_type.set_up_again,
+            "group": room_type.group, "windowUs": us(room_type.window_ms), "worth": room_type.benefit})
     };
     shared.room_types.iter().map(profile).collect()
 }
@@ -50,19 +51,21 @@
 
 fn family_info(shared: &Shared) -> Value {
     let Shared { fleet, ladder, .. } = shared;
-    let of_types = |field: fn(&RoomType) -> Value| -> Vec<Value> {
+    let per_room_type = |field: fn(&RoomType) -> Value| -> Vec<Value> {
         shared.room_types.iter().map(|(_, room_type)| field(room_type)).collect()
     };
-    let highest = ladder.rates_kb.len() - 1;
-    let tops = shared.room_types.iter().map(|(_, t)| t.top.map_or(highest, usize::from));
+    let top_rung = ladder.rates_kb.len() - 1;
+    let tops = shared.room_types.iter().map(|(_, room_type)| room_type.top.map_or(top_rung, usize::from));
     json!({
         "positions": fleet.cells, "groups": fleet.racks, "kindStreams": fleet.kind_streams,
         "linkUnitKb": fleet.link_unit_kb, "linksKb": fleet.links_kb, "uplinkKb": fleet.uplink_kb,
         "levelKb": ladder.rates_kb, "ladderWorth": ladder.benefit, "switchCostS": ladder.switch_cost_s,
         "stall": ladder.stall, "toldLateUs": us(fleet.told_late_ms), "toldEveryUs": us(fleet.told_every()),
-        "classScale": of_types(|t| json!(t.scale)), "floorByClass": of_types(|t| json!(t.floor)),
-        "classTop": tops.collect::<Vec<_>>(), "licenceCap": of_types(|t| json!(t.seats)),
-        "classLive": of_types(|t| json!(t.live))})
+        "classScale": per_room_type(|room_type| json!(room_type.scale)),
+        "floorByClass": per_room_type(|room_type| json!(room_type.floor)),
+        "classTop": tops.collect::<Vec<_>>(),
+        "licenceCap": per_room_type(|room_type| json!(room_type.seats)),
+        "classLive": per_room_type(|room_type| json!(room_type.live))})
 }
 
 fn obligations(rules: &Rules) -> Value {
@@ -87,6 +90,7 @@
         "connectTimeoutUs": us(permissions.connect_timeout_ms)})
 }
 
+/// Milliseconds to microseconds.
 fn us(ms: u64) -> u64 {
     ms * 1000
 }
--- a/crates/deployment/src/sections.rs
+++ b/crates/deployment/src/sections.rs
@@ -1,8 +1,8 @@
-//! The sections of a controller's file. Keys not given have the value that the field's default names.
+//! The sections of a controller's file as types. A key that is not given has the default of its field.
 
 mod place;
 mod shared;
 
-pub(crate) use place::half_a_minute;
-pub use place::{ControllerPlace, GossipPlace, RevisionsPlace, HALF_A_MINUTE};
+pub(crate) use place::default_leave_within_s;
+pub use place::{ControllerPlace, GossipPlace, RevisionsPlace, DEFAULT_LEAVE_WITHIN_S};
 pub use shared::{Crossing, Fleet, Ladder, Permissions, Prices, RoomType, Rules};
--- a/crates/deployment/src/sections/place.rs
+++ b/crates/deployment/src/sections/place.rs
@@ -1,4 +1,4 @@
-//! Sections of one controller: its place in the network, and where its settings come from.
+//! The sections that belong to one controller: its addresses and files, its gossip, and the source of revisions.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use garde::Validate;
 use serde::Deserialize;
 
-/// `[controller]`: this controller among the others.
+/// `[controller]`: identity, addresses, files and limits of this controller.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerPlace {
@@ -15,122 +15,127 @@
     #[garde(skip)]
     #[serde(default)]
     pub number: u32,
+    /// Number of controllers in the deployment.
     #[garde(custom(within(1, 100_000)))]
     pub controllers: u32,
-    /// The building that it stands in, one of `zones`.
+    /// The zone that it runs in, one of `zones` in `[fleet]`.
     #[garde(skip)]
     pub zone: String,
-    /// Where viewers connect.
+    /// The address that viewers connect to.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// The list service; without one only the stored list is known.
+    /// The address of the list service; without one only the stored list of streamers is used.
     #[garde(skip)]
     pub list: Option<SocketAddr>,
-    /// Where all controllers take each other's datagrams, by number; this one's own among them.
+    /// The addresses on which controllers receive each other's datagrams, by number, including this controller's own.
     #[garde(skip)]
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Where metrics are read, by HTTP GET.
+    /// The address at which metrics are served over HTTP GET.
     #[garde(skip)]
     pub metrics: Option<SocketAddr>,
+    /// The file of the catalogue of titles.
     #[garde(skip)]
     pub catalogue: PathBuf,
-    /// The folder of what outlives the process.
+    /// The folder for state that persists across restarts.
     #[garde(skip)]
     pub state: Option<PathBuf>,
-    /// Chance starts here; by default from the time of day.
+    /// Seed of the random numbers; by default taken from the time of day.
     #[garde(skip)]
     pub seed: Option<u64>,
-    /// Subscriptions held at most; fewer where the process may not open so many files.
+    /// Maximum number of subscriptions held; lower if the process may not open enough file descriptors.
     #[garde(custom(within(1, 1_000_000)))]
     #[serde(default = "default_subscriptions")]
     pub subscriptions: usize,
-    /// A viewer that says nothing for so long is given up (RFC 2326 section 12.37).
+    /// A viewer that sends nothing for this long is disconnected (RFC 2326 section 12.37).
     #[garde(custom(within(1, 3600)))]
-    #[serde(default = "default_session_timeout")]
+    #[serde(default = "default_session_timeout_s")]
     pub session_timeout_s: u64,
-    /// A round is made no more often.
+    /// Shortest time between two decision rounds.
     #[garde(custom(within(1, 1000)))]
-    #[serde(default = "default_tick")]
+    #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
 }
 
-/// As many as a process with 20,000 descriptors can hold with room to spare, at two connections each.
+/// As many as a process with 20,000 file descriptors can hold with room to spare, at two connections each.
 fn default_subscriptions() -> usize {
     8000
 }
 
-/// The standard's own default.
-fn default_session_timeout() -> u64 {
+/// The default of RFC 2326.
+fn default_session_timeout_s() -> u64 {
     60
 }
 
-/// What the module was tuned at.
-fn default_tick() -> u64 {
+/// The tick that the core module is designed for.
+fn default_tick_ms() -> u64 {
     10
 }
 
-/// `[gossip]`: this controller among the members.
+/// `[gossip]`: this controller as a member of the gossip group.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct GossipPlace {
-    /// Where its datagrams come in.
+    /// The address on which it receives datagrams.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// Where the others reach it, if that is another address: IPv4.
+    /// The IPv4 address under which other members reach it, if it differs from `listen`.
     #[garde(skip)]
     pub advertise: Option<SocketAddr>,
-    /// Addresses of some members, of which one at least should be there when this one starts for the first time.
+    /// Addresses of some members; at least one of them should be up when this member starts for the first time.
     #[garde(skip)]
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The file of all members' public keys, the same everywhere.
+    /// The file of all members' public keys; the same at all members.
     #[garde(skip)]
     pub ring: PathBuf,
-    /// The file of this member's private key, which nobody else may read.
+    /// The file of this member's private key, readable by its owner only.
     #[garde(skip)]
     pub key: PathBuf,
-    /// Whether strain of streamers is told and listened to, beside lost joins.
+    /// Whether members also exchange reports of overloaded streamers, besides lost joins.
     #[garde(skip)]
     #[serde(default)]
     pub strain: bool,
 }
 
-/// `[revisions]`: the shared sections are agreed on among the members, and changed while they run.
+/// `[revisions]`: the members agree on revisions of the shared sections, which change while they run.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct RevisionsPlace {
-    /// What a controller does that hears no keepers. `wait`: it goes on, and a change waits for it. `hold`: it holds new
-    /// joins back after a lease, and a change waits a lease at most. To be the same at all.
+    /// What a controller does that cannot reach the acceptors. `wait`: it continues, and a change waits for it. `hold`:
+    /// it stops admitting new joins when its lease expires, and a change waits at most one lease. Must be the same at all
+    /// members.
     #[garde(custom(one_of(&["wait", "hold"])))]
-    #[serde(default = "wait")]
+    #[serde(default = "default_regime")]
     pub regime: String,
-    /// Whether positions of lists, and what went off by them, are told to other members.
+    /// Whether members exchange their positions in the list of streamers, and the streamers that were removed by it.
     #[garde(skip)]
-    #[serde(default = "yes")]
+    #[serde(default = "enabled")]
     pub lists: bool,
-    /// Whether the titles go with the settings: then the catalogue's file counts only until the first revision, and is not
-    /// read again. To be the same at all.
+    /// Whether the titles are revised with the settings: then the catalogue's file applies only until the first revision,
+    /// and is not read again. Must be the same at all members.
     #[garde(skip)]
     #[serde(default)]
     pub catalogue: bool,
-    /// Who plays where its title lies no more is moved within this.
+    /// Time in seconds within which subscriptions are moved off streamers that no longer hold their title.
     #[garde(custom(within(0, 3600)))]
-    #[serde(default = "half_a_minute")]
+    #[serde(default = "default_leave_within_s")]
     pub leave_within_s: u64,
 }
 
-/// A few hundred that play leave at some ten a second: what a holder of a title takes in beside its usual joins.
-pub const HALF_A_MINUTE: u64 = 30;
+/// In this time a few hundred playing subscriptions move at some ten a second, which a holder of the title can admit
+/// beside its usual joins.
+pub const DEFAULT_LEAVE_WITHIN_S: u64 = 30;
 
-pub fn half_a_minute() -> u64 {
-    HALF_A_MINUTE
+/// Serde's default of the keys `leave_within_s`.
+pub fn default_leave_within_s() -> u64 {
+    DEFAULT_LEAVE_WITHIN_S
 }
 
-fn yes() -> bool {
+fn enabled() -> bool {
     true
 }
 
-fn wait() -> String {
+fn default_regime() -> String {
     "wait".to_owned()
 }
--- a/crates/deployment/src/sections/shared.rs
+++ b/crates/deployment/src/sections/shared.rs
@@ -1,62 +1,67 @@
-//! Sections that all controllers of a deployment share.
+//! The sections that all controllers of a deployment share: fleet, ladder, room types, rules, permissions, prices and
+//! the crossing budget.
 
 use badgerledge_settings::{each_within, one_of, within};
 use garde::Validate;
 use serde::Deserialize;
 
-/// `[fleet]`: what is told of the streamers.
+/// `[fleet]`: zones, kinds, capacity and load reports of the streamers.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Buildings, by name.
+    /// Names of the zones (buildings).
     #[garde(length(min = 1))]
     pub zones: Vec<String>,
-    /// Kinds of streamers, by name, and streams that each runs at most.
+    /// Names of the kinds of streamers.
     #[garde(length(min = 1))]
     pub kinds: Vec<String>,
+    /// Maximum number of streams that a streamer of each kind runs, in the order of `kinds`.
     #[garde(custom(each_within(1.0, 1e6)))]
     pub kind_streams: Vec<f64>,
-    /// Cells in all; a title lies on some in a row.
+    /// Total number of cells; a title is stored on some consecutive cells.
     #[garde(custom(within(1, 65_535)))]
     pub cells: u32,
+    /// Total number of racks.
     #[garde(custom(within(1, 65_535)))]
     pub racks: u32,
-    /// The link of a streamer for each unit of its weight, kB a second; of the usual one where weights say nothing.
+    /// Capacity of a streamer's link per unit of its weight, in kB/s; of a typical streamer if weights carry no meaning.
     #[garde(custom(within(1.0, 1e9)))]
     pub link_unit_kb: f64,
-    /// All links together at the start, kB a second. Told on, but no decision rests on it.
+    /// Capacity of all links together at the start, in kB/s. Passed on to the core module; no decision depends on it.
     #[garde(custom(within(1.0, 1e12)))]
     pub links_kb: f64,
-    /// The mean uplink of a rack, kB a second.
+    /// Mean capacity of a rack's uplink, in kB/s.
     #[garde(custom(within(1.0, 1e12)))]
     pub uplink_kb: f64,
-    /// What the list's weights mean.
+    /// The meaning of the weights in the list of streamers.
     #[garde(custom(one_of(&["none", "nominal", "rough", "live"])))]
-    #[serde(default = "nominal")]
+    #[serde(default = "default_weights")]
     pub weights: String,
-    /// The values of a load report, in order; none where streamers report nothing.
+    /// The values of a load report, in order; empty if streamers report nothing.
     #[garde(inner(custom(one_of(&["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1"]))))]
     #[serde(default)]
     pub report: Vec<String>,
-    /// Where reports come: in `answers` and probes' results, with notes of how full links are; or by `probe` alone.
+    /// How load reports arrive. `answers`: in answers to joins and in probe results, with periodic reports of link use.
+    /// `probe`: in probe results only.
     #[garde(custom(one_of(&["answers", "probe"])))]
-    #[serde(default = "answers")]
+    #[serde(default = "default_report_how")]
     pub report_how: String,
-    /// How late notes are, and the time between notes of how full a link is, 0 for none.
+    /// Delay of progress reports.
     #[garde(custom(within(0, 60_000)))]
-    #[serde(default = "one_second")]
+    #[serde(default = "default_told_late_ms")]
     pub told_late_ms: u64,
+    /// Interval between reports of link use; 0 if there are none.
     #[garde(custom(within(0, 600_000)))]
-    #[serde(default = "three_seconds")]
+    #[serde(default = "default_told_every_ms")]
     pub told_every_ms: u64,
-    /// `automatic`: the list service tells changes by itself. `subscribe`: only when asked.
+    /// `automatic`: the list service sends changes unrequested. `subscribe`: only on request.
     #[garde(custom(one_of(&["automatic", "subscribe"])))]
-    #[serde(default = "automatic")]
+    #[serde(default = "default_discovery")]
     pub discovery: String,
 }
 
 impl Fleet {
-    /// The time between notes of how full a link is: none come where streamers report to probes alone.
+    /// Interval in milliseconds between reports of link use; 0 if load is reported in probe results only.
     pub fn told_every(&self) -> u64 {
         if self.by_probe() {
             0
@@ -65,133 +70,145 @@
         }
     }
 
+    /// Whether load reports arrive in probe results only.
     pub fn by_probe(&self) -> bool {
         self.report_how == "probe"
     }
 }
 
-fn nominal() -> String {
+fn default_weights() -> String {
     "nominal".to_owned()
 }
 
-fn answers() -> String {
+fn default_report_how() -> String {
     "answers".to_owned()
 }
 
-fn automatic() -> String {
+fn default_discovery() -> String {
     "automatic".to_owned()
 }
 
-fn one_second() -> u64 {
+fn default_told_late_ms() -> u64 {
     1000
 }
 
-fn three_seconds() -> u64 {
+fn default_told_every_ms() -> u64 {
     3000
 }
 
-/// `[ladder]`: the rungs.
+/// `[ladder]`: the rungs and what they earn.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Ladder {
-    /// The rate of each rung, kB a second, rising.
+    /// The rate of each rung in kB/s, ascending.
     #[garde(custom(each_within(0.1, 1e7)), length(max = 32))]
     pub rates_kb: Vec<f64>,
-    /// What a second at each rung earns, of the room type's benefit.
+    /// The fraction of the room type's benefit that a second at each rung earns.
     #[garde(custom(each_within(0.0, 1.0)))]
     pub benefit: Vec<f64>,
-    /// A change of rung while playing costs so many seconds of benefit.
+    /// Cost of a change of rung while playing, in seconds of benefit.
     #[garde(custom(within(0.0, 60.0)))]
     #[serde(default)]
     pub switch_cost_s: f64,
-    /// Points of benefit lost for each point of the rate that is missing under 98 in 100.
+    /// Percentage points of benefit lost for each percentage point by which the delivered rate is below 98 %.
     #[garde(custom(within(0.0, 100.0)))]
-    #[serde(default = "five")]
+    #[serde(default = "default_stall")]
     pub stall: f64,
 }
 
-fn five() -> f64 {
+fn default_stall() -> f64 {
     5.0
 }
 
-/// `[room_type NAME]`.
+/// `[room_type NAME]`: deadlines, benefit, rungs and limits of the subscriptions of one room type.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct RoomType {
+    /// Time within which a join should be answered.
     #[garde(custom(within(1, 60_000)))]
     pub join_objective_ms: u64,
-    /// Taken for viewers that name no wait of their own.
+    /// Client timeout of viewers that do not send their own.
     #[garde(custom(within(1, 60_000)))]
     pub client_timeout_ms: u64,
+    /// Benefit of a subscription of this type.
     #[garde(custom(within(0.0, 1e6)))]
     pub benefit: f64,
-    /// Whether a set-up may be sent again: `free`, `guarded` (within a group and a window) or `single_shot`.
+    /// Whether a SETUP may be sent again: `free`, `guarded` (only within `group` and `window_ms`) or `single_shot`.
     #[garde(custom(one_of(&["free", "guarded", "single_shot"])))]
-    #[serde(default = "free")]
+    #[serde(default = "default_set_up_again")]
     pub set_up_again: String,
+    /// The streamers to which a `guarded` SETUP may be sent again: all, or those of the same zone or cell.
     #[garde(custom(one_of(&["all", "zone", "cell"])))]
     #[serde(default = "all")]
     pub group: String,
+    /// Time within which a `guarded` SETUP may be sent again.
     #[garde(custom(within(0, 600_000)))]
-    #[serde(default = "five_seconds")]
+    #[serde(default = "default_window_ms")]
     pub window_ms: u64,
-    /// Its rates over those of the ladder.
+    /// Factor by which its rates exceed those of the ladder.
     #[garde(custom(within(0.01, 100.0)))]
-    #[serde(default = "one")]
+    #[serde(default = "default_scale")]
     pub scale: f64,
+    /// The lowest rung.
     #[garde(skip)]
     #[serde(default)]
     pub floor: u8,
-    /// The highest rung; the ladder's where not given.
+    /// The highest rung; that of the ladder if not given.
     #[garde(skip)]
     pub top: Option<u8>,
-    /// Subscriptions of one title that a controller may hold; 0 is no bound.
+    /// Maximum number of subscriptions of one title that a controller may hold; 0 for no limit.
     #[garde(custom(within(0, 1_000_000)))]
     #[serde(default)]
     pub seats: u32,
+    /// Whether its titles are live.
     #[garde(skip)]
     #[serde(default)]
     pub live: bool,
 }
 
-fn free() -> String {
+fn default_set_up_again() -> String {
     "free".to_owned()
 }
 
+/// The default of `group` in `[room_type NAME]` and of `per` in `[crossing]`.
 fn all() -> String {
     "all".to_owned()
 }
 
-fn five_seconds() -> u64 {
+fn default_window_ms() -> u64 {
     5000
 }
 
-fn one() -> f64 {
+fn default_scale() -> f64 {
     1.0
 }
 
-/// `[rules]`: the figures of the six rules.
+/// `[rules]`: the limits of the six rules.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nothing new goes to a draining or gone streamer this long after it was told.
+    /// From this time after the report that a streamer is draining or removed, no new subscription is sent to it.
     #[garde(custom(within(0, 60_000)))]
     pub drain_grace_ms: u64,
-    /// A started streamer is warm after this, from this share of its capacity up; 0 is no such rule.
+    /// Time after which a started streamer is warm; 0 disables the rule.
     #[garde(custom(within(0, 3_600_000)))]
     pub warm_up_ms: u64,
+    /// Fraction of its capacity that a streamer has when it starts.
     #[garde(custom(within(0.01, 1.0)))]
     pub cold_from: f64,
-    /// It falls over when sent more than this multiple of its pace for this long.
+    /// A streamer fails from overload if it receives more than this multiple of its pace for `tip_after_ms`.
     #[garde(custom(within(1.0, 100.0)))]
     pub tip_multiple: f64,
+    /// Time that a streamer withstands the overload of `tip_multiple`.
     #[garde(custom(within(0, 600_000)))]
     pub tip_after_ms: u64,
-    /// The join budget: so many further joins, and such a share of those taken, in each window; 0 is no budget.
+    /// Window of the budget for further joins; 0 disables the budget.
     #[garde(custom(within(0, 3_600_000)))]
     pub budget_window_ms: u64,
+    /// Number of further joins that are always permitted in a window.
     #[garde(custom(within(0, 1_000_000)))]
     pub budget_few: u32,
+    /// Further joins permitted in a window beyond `budget_few`, as a fraction of the subscriptions admitted in it.
     #[garde(custom(within(0.0, 100.0)))]
     pub budget_share: f64,
 }
@@ -211,21 +228,26 @@
     }
 }
 
-/// `[permissions]`.
+/// `[permissions]`: what controllers may do, and the limits of it.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Permissions {
+    /// Whether controllers may probe streamers.
     #[garde(skip)]
     pub probes: bool,
+    /// Whether controllers may send messages to each other.
     #[garde(skip)]
     pub peers: bool,
+    /// Whether a throttled viewer may be sent a time after which to retry.
     #[garde(skip)]
     pub retry_after: bool,
-    /// The longest time to stay away that is named to a viewer.
+    /// Longest retry time that is sent to a viewer.
     #[garde(custom(within(0, 600_000)))]
     pub max_retry_after_ms: u64,
+    /// Maximum number of joins of one subscription.
     #[garde(custom(within(1, 100)))]
     pub joins: u32,
+    /// Timeout of connecting to a streamer.
     #[garde(custom(within(1, 60_000)))]
     pub connect_timeout_ms: u64,
 }
@@ -243,32 +265,32 @@
     }
 }
 
-/// `[prices]`: points of service, as the module weighs them.
+/// `[prices]`: costs of actions in points of service, which the core module weighs against benefit.
 #[derive(Clone, Debug, Default, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Of a subscription moved.
+    /// Cost of moving a subscription.
     #[garde(custom(within(0.0, 10.0)))]
     pub moves: f64,
-    /// Of a probe, for each subscription; own streamers are looked at where that pays.
+    /// Cost of a probe per subscription; own streamers are probed if the expected gain exceeds it.
     #[garde(custom(within(0.0, 10.0)))]
     pub probe: f64,
-    /// Of a join to another building.
+    /// Cost of a join to another zone.
     #[garde(custom(within(0.0, 10.0)))]
     pub crossing: f64,
 }
 
-/// `[crossing]`: a budget for what crosses between buildings, for all controllers together.
+/// `[crossing]`: a budget for traffic between zones, for all controllers together.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Crossing {
-    /// kB a second, over any time.
+    /// Sustained rate in kB/s.
     #[garde(custom(within(0.001, 1e12)))]
     pub rate_kb_s: f64,
-    /// kB over that, in any window.
+    /// Traffic in kB permitted beyond the sustained rate in any window.
     #[garde(custom(within(0.0, 1e12)))]
     pub burst_kb: f64,
-    /// `all`: for what crosses in all. `pair`: for each pair of buildings and direction by itself.
+    /// `all`: one budget for all traffic between zones. `pair`: one for each ordered pair of zones.
     #[garde(custom(one_of(&["all", "pair"])))]
     #[serde(default = "all")]
     pub per: String,
--- a/crates/deployment/src/state_reader.rs
+++ b/crates/deployment/src/state_reader.rs
@@ -1,5 +1,6 @@
-//! Reads the states of revisions as configurations. Two revisions in a row differ in few keys, so a state is read from the
-//! one before it: only buckets whose digests differ are looked at, and titles that did not change are not read again.
+//! Reads the states of revisions as configurations. Consecutive revisions differ in few keys, so a state is read as a
+//! difference to the one before it: only buckets whose digests differ are compared, and unchanged titles are not parsed
+//! again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,71 +11,73 @@
 use crate::entries::{is_reserved, text_of, title_id, title_of};
 use crate::Text;
 
-/// States that are kept with what was read of them: the one that is acted on, the prepared one, and the next.
-const KEPT: usize = 3;
+/// Number of cached states: the active one, the prepared one, and the next.
+const CACHED_STATES: usize = 3;
 
 /// The keys in which two states differ, with the values of the second one.
 type Differences = BTreeMap<String, Option<Vec<u8>>>;
 
-/// Reads states, and remembers the last ones.
+/// Reads states, and caches the most recent ones.
 #[derive(Debug, Default)]
 pub struct StateReader {
-    /// The latest one last.
-    kept: Vec<(State, Arc<Text>)>,
+    /// States with their texts, the most recently read one last.
+    cache: Vec<(State, Arc<Text>)>,
 }
 
 impl StateReader {
-    /// The configuration that a state holds.
+    /// The configuration of a state.
     ///
     /// # Errors
-    /// Says what is not in order.
+    /// Says what is invalid.
     pub fn read(&mut self, state: &State) -> Result<Arc<Text>, String> {
         let root = state.root();
-        if let Some(at) = self.kept.iter().position(|(kept, _)| kept.root() == root) {
-            let found = self.kept.remove(at);
+        if let Some(index) = self.cache.iter().position(|(cached, _)| cached.root() == root) {
+            let found = self.cache.remove(index);
             let text = found.1.clone();
-            self.kept.push(found);
+            self.cache.push(found);
             return Ok(text);
         }
-        let text = match self.kept.last() {
-            Some((before, text)) => next_text(before, text, state)?,
-            None => Arc::new(whole_text(state)?),
+        let text = match self.cache.last() {
+            Some((before, text)) => text_from_earlier(before, text, state)?,
+            None => Arc::new(text_from_state(state)?),
         };
-        if self.kept.len() >= KEPT {
-            self.kept.remove(0);
+        if self.cache.len() >= CACHED_STATES {
+            self.cache.remove(0);
         }
-        self.kept.push((state.clone(), text.clone()));
+        self.cache.push((state.clone(), text.clone()));
         Ok(text)
     }
 }
 
-fn whole_text(state: &State) -> Result<Text, String> {
+/// Reads the text of a state without an earlier one.
+fn text_from_state(state: &State) -> Result<Text, String> {
     let text = text_of(state.entries()).map_err(|fault| fault.to_string())?;
     Text::read(text.as_bytes())
 }
 
-/// The text of a state, of which that of an earlier one was read.
-fn next_text(before: &State, read: &Arc<Text>, state: &State) -> Result<Arc<Text>, String> {
+/// Reads the text of a state from that of an earlier state: only changed titles are parsed.
+fn text_from_earlier(before: &State, before_text: &Arc<Text>, state: &State) -> Result<Arc<Text>, String> {
     let mut titles = Vec::new();
     for (key, value) in differences(before, state).iter().filter(|(key, _)| !is_reserved(key)) {
         match title_id(key).map_err(|fault| fault.to_string())? {
             Some(id) => {
-                let read = value.as_ref().map(|value| title_of(key, value)).transpose();
-                let title = read.map_err(|fault| fault.to_string())?.flatten().map(|(_, title)| title);
+                let parsed = value.as_ref().map(|value| title_of(key, value)).transpose();
+                let title = parsed.map_err(|fault| fault.to_string())?.flatten().map(|(_, title)| title);
                 titles.push((id, title));
             }
-            // A setting: a room type may have gone that titles have, so all is read.
-            None => return Ok(Arc::new(whole_text(state)?)),
+            // A setting changed: it may have removed the room type of unchanged titles, so the whole state is read.
+            None => return Ok(Arc::new(text_from_state(state)?)),
         }
     }
     if titles.is_empty() {
-        return Ok(read.clone());
+        return Ok(before_text.clone());
     }
-    Ok(Arc::new(read.with_titles(titles)?))
+    Ok(Arc::new(before_text.with_titles(titles)?))
 }
 
+/// The keys in which two states differ; unchanged groups and buckets are skipped by their digests.
 fn differences(before: &State, after: &State) -> Differences {
-    let mut found = Differences::new();
+    let mut differences = Differences::new();
     for (group, (old, new)) in before.group_digests().iter().zip(after.group_digests()).enumerate() {
         if *old == new {
             continue;
@@ -83,22 +86,22 @@
         let (old, new): (BTreeMap<u16, Digest>, BTreeMap<u16, Digest>) =
             (before.group(group).into_iter().collect(), after.group(group).into_iter().collect());
         for bucket in old.keys().chain(new.keys()).filter(|bucket| old.get(bucket) != new.get(bucket)) {
-            bucket_differences(before, after, *bucket, &mut found);
+            bucket_differences(before, after, *bucket, &mut differences);
         }
     }
-    found
+    differences
 }
 
-fn bucket_differences(before: &State, after: &State, bucket: u16, found: &mut Differences) {
+fn bucket_differences(before: &State, after: &State, bucket: u16, differences: &mut Differences) {
     let old: BTreeMap<String, Vec<u8>> =
         before.bucket(bucket).into_iter().map(|entry| (entry.key, entry.value)).collect();
     let mut new: BTreeMap<String, Vec<u8>> =
         after.bucket(bucket).into_iter().map(|entry| (entry.key, entry.value)).collect();
     for (key, value) in old {
         match new.remove(&key) {
-            Some(now) if now == value => {}
-            now => drop(found.insert(key, now)),
+            Some(new_value) if new_value == value => {}
+            new_value => drop(differences.insert(key, new_value)),
         }
     }
-    found.extend(new.into_iter().map(|(key, value)| (key, Some(value))));
+    differences.extend(new.into_iter().map(|(key, value)| (key, Some(value))));
 }
--- a/crates/deployment/src/state_reader_tests.rs
+++ b/crates/deployment/src/state_reader_tests.rs
@@ -1,4 +1,4 @@
-//! A state that is read from the one before it is read as by itself.
+//! Reading a state as a difference to an earlier one gives the same text as reading it alone.
 
 use badgerledge_distribution::state::{Edit, State};
 use quickcheck::{quickcheck, TestResult};
@@ -19,9 +19,9 @@
     one.titles() == other.titles() && format!("{:?}", one.shared()) == format!("{:?}", other.shared())
 }
 
-/// An edit of a title, of a setting, of the protocol's own, or one that leads to no configuration.
-fn edit((what, title, cell): (u8, u8, u8)) -> Edit {
-    let (key, value) = match what % 12 {
+/// An edit of a title, of a setting or of a protocol key, or one that makes the configuration invalid.
+fn edit((choice, title, cell): (u8, u8, u8)) -> Edit {
+    let (key, value) = match choice % 12 {
         0 => ("permissions\tjoins".to_owned(), Some(format!("{}", 1 + cell % 3))),
         1 => ("\0author/1".to_owned(), Some(cell.to_string())),
         2 => ("room_type 0 1\t".to_owned(), None),
@@ -35,7 +35,7 @@
 }
 
 quickcheck! {
-    fn a_state_is_read_the_same_from_the_one_before_it(batches: Vec<Vec<(u8, u8, u8)>>) -> TestResult {
+    fn incremental_read_equals_full_read(batches: Vec<Vec<(u8, u8, u8)>>) -> TestResult {
         let (mut state, mut reader) = (state(), StateReader::default());
         for batch in batches {
             let mut next = state.clone();
@@ -44,9 +44,9 @@
                 continue;
             }
             match (reader.read(&next), read_alone(&next)) {
-                (Ok(read), Ok(alone)) if same(&read, &alone) => state = next,
+                (Ok(incremental), Ok(full)) if same(&incremental, &full) => state = next,
                 (Err(_), Err(_)) => {}
-                (read, alone) => return TestResult::error(format!("{read:?} {alone:?}")),
+                (incremental, full) => return TestResult::error(format!("{incremental:?} {full:?}")),
             }
         }
         TestResult::passed()
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn titles_that_did_not_change_are_not_read_again() {
+fn unchanged_titles_are_not_parsed_again() {
     let (first, mut reader) = (state(), StateReader::default());
     let before = reader.read(&first).unwrap();
     let mut next = first.clone();
--- a/crates/relay/src/tests/settings.rs
+++ b/crates/relay/src/tests/settings.rs
@@ -39,17 +39,17 @@
     let fault = |from: &str, to: &str| read(&WHOLE.replace(from, to)).unwrap_err();
     assert_eq!(
         fault("number = 1", "number = one"),
-        "relay.ini:2: [relay] number = one: a whole number of 0 to 65535 is taken"
+        "relay.ini:2: [relay] number = one: must be a whole number between 0 and 65535"
     );
     assert_eq!(
         fault("ring =", "rings ="),
-        "relay.ini:6: [relay] rings: no such key; there are number, listen, peer_listen, state, ring, key, genesis, \
+        "relay.ini:6: [relay] rings: no such key; known keys are number, listen, peer_listen, state, ring, key, genesis, \
          metrics, watchers, watcher_bytes, all_watchers_bytes, peer_bytes, apart_s"
     );
     assert_eq!(fault("genesis = genesis.ini\n", ""), "relay.ini:1: [relay] genesis: this key is missing");
     assert_eq!(
         fault("genesis = genesis.ini", "genesis = genesis.ini\nwatchers = 0"),
-        "relay.ini:9: [relay] watchers = 0: 1 to 16384 is taken"
+        "relay.ini:9: [relay] watchers = 0: must be between 1 and 16384"
     );
     for wrong in ["9", "14401"] {
         assert_eq!(
@@ -69,5 +69,5 @@
         fault("1 = 127.0.0.1:7101", "2 = 127.0.0.1:7101"),
         "relay.ini:9: [peers] 1: the address of each control machine is wanted, this one's too"
     );
-    assert_eq!(fault("[peers]", "[peer]"), "relay.ini:9: [peer]: no such section; there are relay, peers");
+    assert_eq!(fault("[peers]", "[peer]"), "relay.ini:9: [peer]: no such section; known sections are relay, peers");
 }
--- a/crates/rollout/src/tests/texts.rs
+++ b/crates/rollout/src/tests/texts.rs
@@ -55,7 +55,7 @@
     );
     assert_eq!(
         with("60, 60, 30", "60, 0, 30"),
-        "plan.ini:8: [rollout] at_least_s = 60, 0, 30: 1 to 86400 is taken"
+        "plan.ini:8: [rollout] at_least_s = 60, 0, 30: must be between 1 and 86400"
     );
     assert_eq!(
         with("60, 60, 30", "60, 60"),
@@ -76,7 +76,7 @@
     assert!(with("south 10-19", "south 0-65535").ends_with("south 0-65535: a member is named twice"));
     assert!(with("0.1, 0.5, 1", "0.01, 0.5, 1").ends_with("stage 1 has no members"));
     assert!(with("0.1, 0.5, 1", "0.1, 0.5, 0.9").ends_with("it must end at 1"));
-    assert!(with("0.1, 0.5, 1", "0.1, 0.5, 1.5").ends_with("0 to 1 is taken"));
+    assert!(with("0.1, 0.5, 1", "0.1, 0.5, 1.5").ends_with("must be between 0 and 1"));
     assert!(with("joins_lost 0.05", "joins 0.05").contains("one of joins_lost throttled"));
     assert!(with("joins_lost 0.05", "joins_lost 0").contains("a share over 0"));
     assert!(
--- a/crates/rollout_tool/tests/verbs.rs
+++ b/crates/rollout_tool/tests/verbs.rs
@@ -143,7 +143,7 @@
         "0.1, 0.9\n",
         "7: [rollout] shares = 0.1, 0.9: the last stage ends at 0.9 of the fleet; it must end at 1",
     );
-    refused("60, 30", "60, 0", "8: [rollout] at_least_s = 60, 0: 1 to 86400 is taken");
+    refused("60, 30", "60, 0", "8: [rollout] at_least_s = 60, 0: must be between 1 and 86400");
     refused(
         "south 10-19",
         "west 10-19",
@@ -153,7 +153,7 @@
     refused(
         "[rollout]",
         "[roll]",
-        "1: [roll]: no such section; there are controller, gossip, revisions, distribution, \
+        "1: [roll]: no such section; known sections are controller, gossip, revisions, distribution, \
              fleet, ladder, room_type, rules, permissions, prices, crossing, rollout, title",
     );
 }
--- a/crates/scale/src/tests/scenarios.rs
+++ b/crates/scale/src/tests/scenarios.rs
@@ -43,7 +43,7 @@
     assert!(refused(&text.replace("[load]\n", "[load]\nspeed = 3\n")).contains("[load] speed: no such key"));
     assert!(refused(&format!("{text}\n[lod]\n")).contains("[lod]: no such section"));
     assert!(refused(&text.replace("controllers = 7400", "controllers = 0"))
-        .contains("[fleet] controllers = 0: 1 to 20000 is taken"));
+        .contains("[fleet] controllers = 0: must be between 1 and 20000"));
     assert!(refused(&text.replace("acceptors = 5", "acceptors = 4")).contains("an odd number is taken"));
     assert!(
         refused(&text.replace("control_machines = 25", "control_machines = 3")).contains("fewer of those")
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,16 +1,21 @@
-//! What is wrong with a file, and where.
+//! Errors in a settings file, each with its place in the file.
 
 use std::fmt;
 
-/// One thing that is wrong.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// Path or name of the file.
     pub file: String,
-    /// From 1; 0 where the fault is a thing that is not there.
+    /// Line number from 1; 0 if the error concerns something that is missing from the file.
     pub line: usize,
+    /// Name of the section, or empty.
     pub section: String,
+    /// Name of the key, or empty if the error concerns the whole section or file.
     pub key: String,
+    /// Value of the key as written in the file, or empty.
     pub value: String,
+    /// What is wrong, and which values are accepted.
     pub why: String,
 }
 
@@ -31,14 +36,14 @@
     }
 }
 
-/// All that is wrong, a line each; never empty.
+/// All errors found in a file, displayed one per line; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
-            let end = if i + 1 == self.0.len() { "" } else { "\n" };
+        for (index, fault) in self.0.iter().enumerate() {
+            let end = if index + 1 == self.0.len() { "" } else { "\n" };
             write!(f, "{fault}{end}")?;
         }
         Ok(())
@@ -52,7 +57,7 @@
 }
 
 impl Faults {
-    /// Both results, or all that is wrong with either.
+    /// Returns both values, or the errors of both results together.
     pub fn both<A, B>(first: Result<A, Faults>, second: Result<B, Faults>) -> Result<(A, B), Faults> {
         match (first, second) {
             (Ok(a), Ok(b)) => Ok((a, b)),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,46 +1,46 @@
-//! Reads INI files into checked structures.
+//! Reads INI files into validated structures.
 //!
-//! A [`Sheet`] is one file. [`Sheet::section`] makes a section into a type that derives `serde::Deserialize` (with
-//! `deny_unknown_fields`) and `garde::Validate`; each [`Fault`] names the file, the line, the section, the key, the
-//! value and what would be taken instead. Lists are written with commas.
+//! A [`Sheet`] is one file. [`Sheet::section`] deserializes a section into a type that derives `serde::Deserialize`
+//! (with `deny_unknown_fields`) and `garde::Validate`; each [`Fault`] names the file, the line, the section, the key,
+//! the value and the accepted values. Lists are separated by commas.
 
 mod fault;
 mod sheet;
-mod words;
+mod value;
 
 pub use fault::{Fault, Faults};
 pub use sheet::Sheet;
 
 use std::fmt::Display;
 
-/// A check that a number lies within a range, ends included; its message names the range.
-pub fn within<T: PartialOrd + Display + Copy>(least: T, most: T) -> impl FnOnce(&T, &()) -> garde::Result {
-    move |value, ()| one_within(value, least, most)
+/// Returns a validator that accepts numbers from `min` to `max`, both included; its error names the range.
+pub fn within<T: PartialOrd + Display + Copy>(min: T, max: T) -> impl FnOnce(&T, &()) -> garde::Result {
+    move |value, ()| check_range(value, min, max)
 }
 
-/// The same for each number of a list, which must not be empty.
+/// Returns a validator that accepts non-empty lists of numbers from `min` to `max`, both included.
 pub fn each_within<T: PartialOrd + Display + Copy>(
-    least: T, most: T,
+    min: T, max: T,
 ) -> impl FnOnce(&Vec<T>, &()) -> garde::Result {
     move |values, ()| {
         if values.is_empty() {
-            return Err(garde::Error::new("at least one number is wanted"));
+            return Err(garde::Error::new("at least one number is required"));
         }
-        values.iter().try_for_each(|value| one_within(value, least, most))
+        values.iter().try_for_each(|value| check_range(value, min, max))
     }
 }
 
-fn one_within<T: PartialOrd + Display>(value: &T, least: T, most: T) -> garde::Result {
-    if *value >= least && *value <= most {
+fn check_range<T: PartialOrd + Display>(value: &T, min: T, max: T) -> garde::Result {
+    if *value >= min && *value <= max {
         return Ok(());
     }
-    Err(garde::Error::new(format!("{least} to {most} is taken")))
+    Err(garde::Error::new(format!("must be between {min} and {max}")))
 }
 
-/// A check that a word is one of these.
-pub fn one_of(words: &'static [&'static str]) -> impl FnOnce(&String, &()) -> garde::Result {
-    move |value, ()| match words.contains(&value.as_str()) {
+/// Returns a validator that accepts only the listed values.
+pub fn one_of(accepted: &'static [&'static str]) -> impl FnOnce(&String, &()) -> garde::Result {
+    move |value, ()| match accepted.contains(&value.as_str()) {
         true => Ok(()),
-        false => Err(garde::Error::new(format!("one of {} is taken", words.join(", ")))),
+        false => Err(garde::Error::new(format!("must be one of {}", accepted.join(", ")))),
     }
 }
--- a/crates/settings/src/sheet.rs
+++ b/crates/settings/src/sheet.rs
@@ -1,4 +1,4 @@
-//! One INI file.
+//! One INI file: its sections and keys, deserialized into validated types, with the place of each error.
 
 use std::path::Path;
 
@@ -7,9 +7,9 @@
 use serde::de::DeserializeOwned;
 
 use crate::fault::{Fault, Faults};
-use crate::words::{typed, Misfit};
+use crate::value::{deserialize_section, ValueError};
 
-/// A file that was read, with its text for the sake of faults.
+/// A parsed INI file; the text is kept to find the line of an error.
 #[derive(Debug)]
 pub struct Sheet {
     file: String,
@@ -17,13 +17,14 @@
     ini: Ini,
 }
 
-/// Bytes of a file at most: a catalogue of 100,000 titles has some 10 MB.
-const LONGEST: u64 = 64 * 1024 * 1024;
+/// Largest accepted file: a catalogue of 100,000 titles has some 10 MB.
+const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 impl Sheet {
+    /// Reads and parses a file of at most [`MAX_FILE_BYTES`].
     pub fn read(path: &Path) -> Result<Self, Faults> {
         let file = path.display().to_string();
-        let plain = |why: String| Fault {
+        let file_fault = |why: String| Fault {
             file: file.clone(),
             line: 0,
             section: String::new(),
@@ -31,50 +32,53 @@
             value: String::new(),
             why,
         };
-        let size = std::fs::metadata(path).map_err(|e| plain(e.to_string()))?.len();
-        if size > LONGEST {
-            return Err(plain(format!("the file has {size} bytes; {LONGEST} at most are taken")).into());
+        let size = std::fs::metadata(path).map_err(|error| file_fault(error.to_string()))?.len();
+        if size > MAX_FILE_BYTES {
+            return Err(
+                file_fault(format!("the file has {size} bytes; the limit is {MAX_FILE_BYTES}")).into()
+            );
         }
-        let text = std::fs::read_to_string(path).map_err(|e| plain(e.to_string()))?;
+        let text = std::fs::read_to_string(path).map_err(|error| file_fault(error.to_string()))?;
         Self::parse(&file, &text)
     }
 
-    /// `file` is only named in faults.
+    /// Parses a text; `file` is only the name given in errors. A section or key that is given twice is an error.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
-        let ini = Ini::load_from_str_opt(text, options).map_err(|e| Fault {
+        let ini = Ini::load_from_str_opt(text, options).map_err(|error| Fault {
             file: file.to_owned(),
-            line: e.line,
+            line: error.line,
             section: String::new(),
             key: String::new(),
             value: String::new(),
-            why: e.msg.to_string(),
+            why: error.msg.to_string(),
         })?;
         let sheet = Self { file: file.to_owned(), text: text.to_owned(), ini };
-        sheet.check_doubles()?;
+        sheet.reject_duplicates()?;
         Ok(sheet)
     }
 
+    /// The name of the file as given in errors.
     pub fn file(&self) -> &str {
         &self.file
     }
 
-    /// The sections in their order.
+    /// The names of all sections, in the order of the file.
     pub fn sections(&self) -> impl Iterator<Item = &str> {
         self.ini.sections().flatten()
     }
 
-    /// The names behind a kind of section: `[room_type NAME]`.
+    /// The names of the sections of one kind: `NAME` of each `[kind NAME]`, in the order of the file.
     pub fn named<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a str> {
         self.sections().filter_map(move |section| Some(section.strip_prefix(kind)?.strip_prefix(' ')?.trim()))
     }
 
-    /// A key's value as it stands.
+    /// The value of a key as written in the file.
     pub fn value(&self, section: &str, key: &str) -> Option<&str> {
         self.ini.section(Some(section))?.get(key)
     }
 
-    /// A section's keys by name, with their values as they stand.
+    /// The keys of a section, sorted by name, with their values as written in the file.
     pub fn keys(&self, section: &str) -> Vec<(&str, &str)> {
         let mut keys: Vec<_> =
             self.ini.section(Some(section)).into_iter().flat_map(|keys| keys.iter()).collect();
@@ -82,11 +86,12 @@
         keys
     }
 
+    /// Whether the file has this section.
     pub fn has(&self, section: &str) -> bool {
         self.ini.section(Some(section)).is_some()
     }
 
-    /// The sections of these kinds, as text that [`Sheet::parse`] reads again.
+    /// The sections of these kinds as INI text, which [`Sheet::parse`] accepts.
     pub fn copy(&self, kinds: &[&str]) -> String {
         let mut text = String::new();
         for section in self.sections().filter(|section| of_kind(section, kinds)) {
@@ -98,7 +103,7 @@
         text
     }
 
-    /// Makes a section into a type, and checks it.
+    /// Deserializes a section and validates the result; a missing section is an error.
     pub fn section<T>(&self, section: &str) -> Result<T, Faults>
     where
         T: DeserializeOwned + Validate<Context = ()>,
@@ -106,9 +111,10 @@
         let Some(keys) = self.ini.section(Some(section)) else {
             return Err(self.fault(section, "", "", "this section is missing").into());
         };
-        let made: T = typed(keys.iter())
-            .map_err(|Misfit { key, value, why }| Faults::from(self.fault(section, &key, &value, &why)))?;
-        let Err(report) = made.validate() else { return Ok(made) };
+        let parsed: T = deserialize_section(keys.iter()).map_err(|ValueError { key, value, reason }| {
+            Faults::from(self.fault(section, &key, &value, &reason))
+        })?;
+        let Err(report) = parsed.validate() else { return Ok(parsed) };
         let faults = report.iter().map(|(path, error)| {
             let path = path.to_string();
             let key = path.split('[').next().unwrap_or("");
@@ -117,7 +123,7 @@
         Err(Faults(faults.collect()))
     }
 
-    /// The same, or nothing where the section is not there.
+    /// As [`Sheet::section`], but `None` if the section is missing.
     pub fn optional_section<T>(&self, section: &str) -> Result<Option<T>, Faults>
     where
         T: DeserializeOwned + Validate<Context = ()>,
@@ -125,7 +131,7 @@
         self.has(section).then(|| self.section(section)).transpose()
     }
 
-    /// The same, or its default where the section is not there.
+    /// As [`Sheet::section`], but the default if the section is missing.
     pub fn section_or_default<T>(&self, section: &str) -> Result<T, Faults>
     where
         T: DeserializeOwned + Validate<Context = ()> + Default,
@@ -133,10 +139,10 @@
         Ok(self.optional_section(section)?.unwrap_or_default())
     }
 
-    /// Whether all sections are of kinds that a program knows; a misspelt one would else be passed over.
+    /// Fails if a section is of a kind that is not in `kinds`: a misspelt section would otherwise be ignored.
     pub fn only(&self, kinds: &[&str]) -> Result<(), Faults> {
         let unknown = self.sections().filter(|section| !of_kind(section, kinds));
-        let why = format!("no such section; there are {}", kinds.join(", "));
+        let why = format!("no such section; known sections are {}", kinds.join(", "));
         let faults: Vec<Fault> = unknown.map(|section| self.fault(section, "", "", &why)).collect();
         if faults.is_empty() {
             Ok(())
@@ -145,7 +151,7 @@
         }
     }
 
-    /// A fault at a key of a section, with its line.
+    /// An error at a key of a section, with the line of the key.
     pub fn fault(&self, section: &str, key: &str, value: &str, why: &str) -> Fault {
         Fault {
             file: self.file.clone(),
@@ -157,30 +163,30 @@
         }
     }
 
-    /// The line of a key, or of its section where the key is not there; 0 where neither is.
+    /// The line number of a key, or of its section if the key is missing; 0 if both are missing.
     fn line(&self, section: &str, key: &str) -> usize {
-        let (mut within, mut found) = (false, 0);
-        for (at, line) in self.text.lines().enumerate() {
+        let (mut in_section, mut section_line) = (false, 0);
+        for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
-                within = name.trim() == section;
-                found = if within && found == 0 { at + 1 } else { found };
-            } else if within && !key.is_empty() && key_of(line) == Some(key) {
-                return at + 1;
+                in_section = name.trim() == section;
+                section_line = if in_section && section_line == 0 { index + 1 } else { section_line };
+            } else if in_section && !key.is_empty() && key_of(line) == Some(key) {
+                return index + 1;
             }
         }
-        found
+        section_line
     }
 
-    /// A section or key that is given twice: which one holds would be a guess.
-    fn check_doubles(&self) -> Result<(), Faults> {
+    /// Fails if a section or key is given twice: it would be unclear which one applies.
+    fn reject_duplicates(&self) -> Result<(), Faults> {
         let mut faults = Vec::new();
         let mut headings = std::collections::BTreeSet::new();
         let mut keys = std::collections::BTreeSet::new();
         let mut section = String::new();
-        for (at, line) in self.text.lines().enumerate() {
+        for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
-            let (key, first) = match line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
+            let (key, is_first) = match line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
                 Some(name) => {
                     section = name.trim().to_owned();
                     ("", headings.insert(section.clone()))
@@ -190,9 +196,9 @@
                     None => continue,
                 },
             };
-            if !first {
+            if !is_first {
                 let fault = self.fault(&section, key, "", "this is given twice");
-                faults.push(Fault { line: at + 1, ..fault });
+                faults.push(Fault { line: index + 1, ..fault });
             }
         }
         if faults.is_empty() {
@@ -203,6 +209,7 @@
     }
 }
 
+/// The key of a line `key = value`; `None` for comments and other lines.
 fn key_of(line: &str) -> Option<&str> {
     if line.starts_with([';', '#']) {
         return None;
@@ -210,6 +217,7 @@
     Some(line.split_once('=')?.0.trim())
 }
 
+/// Whether a section is `[KIND]` or `[KIND NAME]` of one of these kinds.
 fn of_kind(section: &str, kinds: &[&str]) -> bool {
     kinds
         .iter()
@@ -241,32 +249,32 @@
     }
 
     #[test]
-    fn a_section_becomes_a_checked_structure() {
-        let read = rates("; rates\n[rates]\nrates = 1, 2.5\ntop = 2\nname = 7\nweights = none\n");
+    fn section_is_deserialized_and_validated() {
+        let parsed = rates("; rates\n[rates]\nrates = 1, 2.5\ntop = 2\nname = 7\nweights = none\n");
         let name = Some("7".to_owned());
-        assert_eq!(read, Ok(Rates { rates: vec![1.0, 2.5], top: 2, name, weights: "none".to_owned() }));
+        assert_eq!(parsed, Ok(Rates { rates: vec![1.0, 2.5], top: 2, name, weights: "none".to_owned() }));
     }
 
     #[test]
-    fn a_fault_names_file_line_key_value_and_range() {
+    fn error_names_file_line_key_value_and_range() {
         let fault = |text: &str| rates(text).unwrap_err();
         assert_eq!(
             fault("[rates]\nrates = 1, 99\ntop = 2\nweights = none"),
-            "a.ini:2: [rates] rates = 1, 99: 1 to 10 is taken"
+            "a.ini:2: [rates] rates = 1, 99: must be between 1 and 10"
         );
         assert_eq!(
             fault("[rates]\nrates = 1\ntop = many\nweights = none"),
-            "a.ini:3: [rates] top = many: a whole number of 0 to 255 is taken"
+            "a.ini:3: [rates] top = many: must be a whole number between 0 and 255"
         );
         assert_eq!(
             fault("[rates]\nrates = 1\nrung = 1\nweights = none"),
-            "a.ini:3: [rates] rung: no such key; there are rates, top, name, weights"
+            "a.ini:3: [rates] rung: no such key; known keys are rates, top, name, weights"
         );
         assert_eq!(fault("[rates]\ntop = 1\nweights = none"), "a.ini:1: [rates] rates: this key is missing");
         assert_eq!(
             fault("[rates]\nrates = 1\ntop = 9\nweights = all"),
-            "a.ini:3: [rates] top = 9: 1 to 8 is taken\n\
-             a.ini:4: [rates] weights = all: one of none, nominal is taken"
+            "a.ini:3: [rates] top = 9: must be between 1 and 8\n\
+             a.ini:4: [rates] weights = all: must be one of none, nominal"
         );
         assert_eq!(fault("[rate]\n"), "a.ini: [rates]: this section is missing");
         assert_eq!(
@@ -277,12 +285,12 @@
     }
 
     #[test]
-    fn unknown_sections_are_told_and_known_ones_copied() {
+    fn unknown_sections_are_rejected_and_known_ones_are_copied() {
         let sheet =
             Sheet::parse("a.ini", "[fleet]\ncells = 3\n[room_type a b]\nbenefit = 1\n[typo]\n").unwrap();
         assert_eq!(sheet.named("room_type").collect::<Vec<_>>(), ["a b"]);
         let faults = sheet.only(&["fleet", "room_type"]).unwrap_err().to_string();
-        assert_eq!(faults, "a.ini:5: [typo]: no such section; there are fleet, room_type");
+        assert_eq!(faults, "a.ini:5: [typo]: no such section; known sections are fleet, room_type");
         assert_eq!(sheet.copy(&["room_type"]), "[room_type a b]\nbenefit = 1\n");
     }
 }
