--- a/crates/rtsp/src/client.rs
+++ b/crates/rtsp/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's end of a connection: numbers requests, matches answers.
+//! The client side of a connection: numbers requests and matches responses to them.
 
 use std::collections::VecDeque;
 
@@ -7,30 +7,34 @@
 
 use crate::{Request, Response};
 
-/// Requests that may be out on one connection; another is not made until one is answered. An ordinary stream
-/// has two out at most.
-const OUT: usize = 16;
+/// Maximum number of unanswered requests on one connection; an ordinary stream has at most two.
+const MAX_PENDING_REQUESTS: usize = 16;
 
-/// One connection's client end.
+/// The client side of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
+    /// CSeq of the latest request.
     cseq: u32,
-    out: VecDeque<(u32, Method)>,
+    /// CSeq and method of each unanswered request, the oldest first.
+    pending: VecDeque<(u32, Method)>,
+    /// Session id that the server assigned in its response to SETUP.
     session: Option<String>,
 }
 
 impl Client {
+    /// The session id that the server assigned, once SETUP has succeeded.
     pub fn session(&self) -> Option<&str> {
         self.session.as_deref()
     }
 
-    /// A request, with the headers that every one carries; nothing while too many are out.
-    pub fn request(&mut self, method: Method, uri: Url, with: &[(HeaderName, String)]) -> Option<Request> {
-        if self.out.len() >= OUT {
+    /// Builds a request with its CSeq, the session if there is one, and further headers; `None` while too many requests
+    /// are unanswered.
+    pub fn request(&mut self, method: Method, uri: Url, extra: &[(HeaderName, String)]) -> Option<Request> {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             return None;
         }
         self.cseq += 1;
-        self.out.push_back((self.cseq, method.clone()));
+        self.pending.push_back((self.cseq, method.clone()));
         let mut request =
             rtsp_types::Request::builder(method, Version::V1_0).request_uri(uri).build(Vec::new());
         request.remove_header(&headers::CONTENT_LENGTH);
@@ -38,15 +42,16 @@
         if let Some(session) = &self.session {
             request.insert_header(headers::SESSION, session.as_str());
         }
-        with.iter().for_each(|(name, value)| request.insert_header(name.clone(), value.as_str()));
+        extra.iter().for_each(|(name, value)| request.insert_header(name.clone(), value.as_str()));
         Some(request)
     }
 
-    /// The method that an answer is to; nothing for one that nobody waits for, or that has no number.
+    /// Matches a response to its request and returns the request's method; `None` if there is no such pending request, or
+    /// the response has no CSeq.
     pub fn answered(&mut self, response: &Response) -> Option<Method> {
         let cseq: u32 = response.header(&headers::CSEQ)?.as_str().trim().parse().ok()?;
-        let at = self.out.iter().position(|(out, _)| *out == cseq)?;
-        let (_, method) = self.out.remove(at)?;
+        let index = self.pending.iter().position(|(pending, _)| *pending == cseq)?;
+        let (_, method) = self.pending.remove(index)?;
         if method == Method::Setup && response.status().is_success() {
             let session = response.header(&headers::SESSION);
             self.session = session.map(|id| id.as_str().split(';').next().unwrap_or("").trim().to_owned());
@@ -54,8 +59,8 @@
         Some(method)
     }
 
-    /// The last answer out to that method will not come, or is not waited for any more.
+    /// Forgets all pending requests: their responses will not come, or are no longer expected.
     pub fn forget(&mut self) {
-        self.out.clear();
+        self.pending.clear();
     }
 }
--- a/crates/rtsp/src/describe.rs
+++ b/crates/rtsp/src/describe.rs
@@ -1,18 +1,19 @@
-//! The description of a title (RFC 4566), as DESCRIBE answers it.
+//! The SDP description of a title (RFC 4566), the body of the response to DESCRIBE.
 
 use std::net::IpAddr;
 
 use sdp_types::{Attribute, Connection, Media, Origin, Session, Time};
 
-/// The payload type of the one stream, dynamic (RFC 3551 section 3).
+/// RTP payload type of the stream, from the dynamic range (RFC 3551 section 3).
 pub const PAYLOAD_TYPE: u8 = 96;
-/// Ticks a second of its RTP timestamps, the rate of video (RFC 3551 section 5).
+/// Clock rate of its RTP timestamps in Hz, that of video (RFC 3551 section 5).
 pub const CLOCK_RATE: u32 = 90_000;
 
-/// One video stream of H.264 (RFC 6184), whose control address is relative to the title's.
-pub fn describe(title: u64, at: IpAddr) -> Vec<u8> {
+/// Describes a title at a server's address: one H.264 video stream (RFC 6184), whose control URI is relative to the
+/// title's.
+pub fn describe(title: u64, server: IpAddr) -> Vec<u8> {
     let attribute = |name: &str, value: String| Attribute { attribute: name.to_owned(), value: Some(value) };
-    let (nettype, addrtype) = ("IN".to_owned(), if at.is_ipv4() { "IP4" } else { "IP6" }.to_owned());
+    let (nettype, addrtype) = ("IN".to_owned(), if server.is_ipv4() { "IP4" } else { "IP6" }.to_owned());
     let media = Media {
         media: "video".to_owned(),
         port: 0,
@@ -25,7 +26,7 @@
         key: None,
         attributes: vec![
             attribute("rtpmap", format!("{PAYLOAD_TYPE} H264/{CLOCK_RATE}")),
-            // A baseline picture of 320 by 240, for players that want parameter sets before the first frame.
+            // Some players need parameter sets before the first frame: baseline profile, 320 by 240.
             attribute(
                 "fmtp",
                 format!("{PAYLOAD_TYPE} packetization-mode=1;profile-level-id=42c00d;{PARAMETER_SETS}"),
@@ -40,7 +41,7 @@
             sess_version: 1,
             nettype: nettype.clone(),
             addrtype: addrtype.clone(),
-            unicast_address: at.to_string(),
+            unicast_address: server.to_string(),
         },
         session_name: format!("{title:016x}"),
         session_description: None,
@@ -56,8 +57,9 @@
         medias: vec![media],
     };
     let mut text = Vec::new();
-    session.write(&mut text).expect("writing to memory does not end early");
+    session.write(&mut text).expect("writing to memory does not fail");
     text
 }
 
+/// H.264 parameter sets (SPS and PPS) in base64.
 const PARAMETER_SETS: &str = "sprop-parameter-sets=Z0LADdoFB+hAAAADAEAAAA8DxQqo,aM48gA==";
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,10 +1,10 @@
-//! RTSP 1.0 (RFC 2326) with interleaved RTP and RTCP, as both ends of a connection need it, without I/O.
+//! RTSP 1.0 (RFC 2326) with interleaved RTP and RTCP, for clients and servers, without I/O.
 //!
-//! [`Framer`] cuts the bytes of a connection into messages and interleaved frames within stated bounds;
-//! [`Server`] says what a request may do in the state that a connection is in, with the status where it may
-//! not; [`Client`] numbers requests and matches answers. The messages themselves are those of `rtsp-types`;
-//! [`words`] holds the project's own headers, [`notes`] what a streamer tells in band, and [`describe`] the
-//! description of a title.
+//! [`Framer`] splits the bytes of a connection into messages and interleaved frames, within limits;
+//! [`Server`] decides whether a request is permitted in the state of the connection, and with which status it is
+//! rejected otherwise; [`Client`] numbers requests and matches responses. Messages are those of `rtsp-types`;
+//! [`words`] has the project's own headers, [`notes`] the progress reports that streamers send in band, and
+//! [`describe`] the description of a title.
 
 mod client;
 pub mod describe;
@@ -20,6 +20,7 @@
 pub use frame::{frame_header, Bounds, Fault, Framer, Unit};
 pub use server::{interleaved, Server, State};
 
-/// A request or an answer as it comes and goes here.
+/// A request with its body.
 pub type Request = rtsp_types::Request<Vec<u8>>;
+/// A response with its body.
 pub type Response = rtsp_types::Response<Vec<u8>>;
--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -1,11 +1,11 @@
-//! The server's end of a connection: which request is permitted when (RFC 2326 appendix A.2).
+//! The server side of a connection: which request is permitted in which state (RFC 2326 appendix A.2).
 
 use rtsp_types::headers;
 use rtsp_types::{Empty, Method, StatusCode, Version};
 
 use crate::{Request, Response};
 
-/// Where the one stream of a connection stands.
+/// State of the stream of a connection (RFC 2326 appendix A).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     #[default]
@@ -14,74 +14,83 @@
     Playing,
 }
 
-/// One connection's server end. Each connection carries one stream, set up on it and played on it.
+/// The server side of one connection. Each connection carries one stream.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     state: State,
-    /// The id that the Session header carries (RFC 2326 section 3.4), and its time-out in seconds.
+    /// The id in the Session header (RFC 2326 section 3.4), and its timeout in seconds.
     session: Option<(String, u64)>,
+    /// The interleaved channels of RTP and RTCP.
     channels: (u8, u8),
 }
 
+/// The methods that are implemented, as in the headers Public and Allow.
 const METHODS: &str = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER, SET_PARAMETER";
 
 impl Server {
+    /// State of the stream.
     pub fn state(&self) -> State {
         self.state
     }
 
+    /// The session id, once the stream is set up.
     pub fn session(&self) -> Option<&str> {
         self.session.as_ref().map(|(id, _)| id.as_str())
     }
 
-    /// The channels of RTP and RTCP, as the client chose them.
+    /// The interleaved channels of RTP and RTCP, as the client chose them.
     pub fn channels(&self) -> (u8, u8) {
         self.channels
     }
 
-    /// Whether a request may be carried out now; else the answer that says why not.
+    /// Checks whether a request is permitted in the current state.
+    ///
+    /// # Errors
+    /// Returns the response that rejects the request.
     pub fn permits(&self, request: &Request) -> Result<(), Response> {
-        let turned_down = |status| Err(self.answer(request, status));
+        let rejected = |status| Err(self.answer(request, status));
         if request.version() != Version::V1_0 {
-            return turned_down(StatusCode::RTSPVersionNotSupported);
+            return rejected(StatusCode::RTSPVersionNotSupported);
         }
         if cseq(request).is_none() {
-            return turned_down(StatusCode::BadRequest);
+            return rejected(StatusCode::BadRequest);
         }
-        if let Some(wanted) = request.header(&headers::REQUIRE) {
-            // No option of the standard is held here (RFC 2326 section 12.32).
+        if let Some(required) = request.header(&headers::REQUIRE) {
+            // No option is supported (RFC 2326 section 12.32).
             let mut answer = self.answer(request, StatusCode::OptionNotSupported);
-            answer.insert_header(headers::UNSUPPORTED, wanted.as_str());
+            answer.insert_header(headers::UNSUPPORTED, required.as_str());
             return Err(answer);
         }
         self.permits_method(request)
     }
 
     fn permits_method(&self, request: &Request) -> Result<(), Response> {
-        let turned_down = |status| Err(self.answer(request, status));
-        let told =
+        let rejected = |status| Err(self.answer(request, status));
+        let requested_session =
             request.header(&headers::SESSION).map(|id| id.as_str().split(';').next().unwrap_or("").trim());
-        let known = told == self.session() && told.is_some();
+        let session_known = requested_session == self.session() && requested_session.is_some();
         match request.method() {
             Method::Options => Ok(()),
             Method::Describe if request.request_uri().is_some() => Ok(()),
-            Method::GetParameter | Method::SetParameter if told.is_none() || known => Ok(()),
-            Method::GetParameter | Method::SetParameter => turned_down(StatusCode::SessionNotFound),
-            Method::Describe => turned_down(StatusCode::BadRequest),
-            Method::Setup if request.request_uri().is_none() => turned_down(StatusCode::BadRequest),
-            Method::Setup if told.is_some() && !known => turned_down(StatusCode::SessionNotFound),
-            Method::Setup if interleaved(request).is_none() => turned_down(StatusCode::UnsupportedTransport),
-            Method::Setup if self.state == State::Playing => {
-                turned_down(StatusCode::MethodNotValidInThisState)
+            Method::GetParameter | Method::SetParameter if requested_session.is_none() || session_known => {
+                Ok(())
             }
+            Method::GetParameter | Method::SetParameter => rejected(StatusCode::SessionNotFound),
+            Method::Describe => rejected(StatusCode::BadRequest),
+            Method::Setup if request.request_uri().is_none() => rejected(StatusCode::BadRequest),
+            Method::Setup if requested_session.is_some() && !session_known => {
+                rejected(StatusCode::SessionNotFound)
+            }
+            Method::Setup if interleaved(request).is_none() => rejected(StatusCode::UnsupportedTransport),
+            Method::Setup if self.state == State::Playing => rejected(StatusCode::MethodNotValidInThisState),
             Method::Setup => Ok(()),
             Method::Play | Method::Pause | Method::Teardown
-                if told.is_none() && self.state == State::Init =>
+                if requested_session.is_none() && self.state == State::Init =>
             {
-                turned_down(StatusCode::MethodNotValidInThisState)
+                rejected(StatusCode::MethodNotValidInThisState)
             }
-            Method::Play | Method::Pause | Method::Teardown if !known => {
-                turned_down(StatusCode::SessionNotFound)
+            Method::Play | Method::Pause | Method::Teardown if !session_known => {
+                rejected(StatusCode::SessionNotFound)
             }
             Method::Play | Method::Pause | Method::Teardown => Ok(()),
             Method::Announce | Method::Record | Method::Redirect | Method::PlayNotify => {
@@ -89,55 +98,58 @@
                 answer.insert_header(headers::ALLOW, METHODS);
                 Err(answer)
             }
-            Method::Extension(_) => turned_down(StatusCode::NotImplemented),
+            Method::Extension(_) => rejected(StatusCode::NotImplemented),
         }
     }
 
-    /// The stream is set up, under this id; the client keeps it alive at least each `timeout_s` seconds.
+    /// Enters `Ready` with a session id; the client must send a keep-alive at least every `timeout_s` seconds.
     pub fn set_up(&mut self, session: String, timeout_s: u64, channels: (u8, u8)) {
         (self.state, self.session, self.channels) = (State::Ready, Some((session, timeout_s)), channels);
     }
 
+    /// Enters `Playing`.
     pub fn play(&mut self) {
         self.state = State::Playing;
     }
 
+    /// Returns to `Ready`.
     pub fn pause(&mut self) {
         self.state = State::Ready;
     }
 
+    /// Ends the session and returns to `Init`.
     pub fn tear_down(&mut self) {
         *self = Self::default();
     }
 
-    /// An answer with the headers that every answer carries.
+    /// A response with the headers that every response has.
     pub fn answer(&self, request: &Request, status: StatusCode) -> Response {
         let cseq = request.header(&headers::CSEQ).map(|cseq| cseq.as_str().to_owned());
         self.answer_to(cseq.as_deref(), status)
     }
 
-    /// The same, where only the request's CSeq was kept.
+    /// As [`Server::answer`], for a request of which only the CSeq is known.
     pub fn answer_to(&self, cseq: Option<&str>, status: StatusCode) -> Response {
         let mut answer = rtsp_types::Response::builder(Version::V1_0, status).build(Vec::new());
-        // An empty body needs no length, and some clients wait for one that is named.
+        // An empty body needs no Content-Length, and some clients wait for a body if there is one.
         answer.remove_header(&headers::CONTENT_LENGTH);
         if let Some(cseq) = cseq {
             answer.insert_header(headers::CSEQ, cseq);
         }
-        if let Some((id, timeout)) = &self.session {
-            answer.insert_header(headers::SESSION, format!("{id};timeout={timeout}"));
+        if let Some((id, timeout_s)) = &self.session {
+            answer.insert_header(headers::SESSION, format!("{id};timeout={timeout_s}"));
         }
         answer
     }
 
-    /// The answer to OPTIONS.
+    /// The response to OPTIONS.
     pub fn options(&self, request: &Request) -> Response {
         let mut answer = self.answer(request, StatusCode::Ok);
         answer.insert_header(headers::PUBLIC, METHODS);
         answer
     }
 
-    /// The answer to a SETUP that was granted.
+    /// The response to a successful SETUP.
     pub fn setup_answer(&self, cseq: Option<&str>) -> Response {
         let mut answer = self.answer_to(cseq, StatusCode::Ok);
         let (rtp, rtcp) = self.channels;
@@ -145,7 +157,7 @@
         answer
     }
 
-    /// A request of the server's own (REDIRECT), on the stream that is set up.
+    /// A request that the server sends to the client (REDIRECT), within the session.
     pub fn request(&self, method: Method, uri: rtsp_types::Url, cseq: u32) -> rtsp_types::Request<Empty> {
         let request = rtsp_types::Request::builder(method, Version::V1_0).request_uri(uri);
         let request = request.header(headers::CSEQ, cseq.to_string());
@@ -156,13 +168,13 @@
     }
 }
 
-/// The number that answers must carry (RFC 2326 section 12.17).
+/// The sequence number that the response must repeat (RFC 2326 section 12.17).
 fn cseq(request: &Request) -> Option<u32> {
     request.header(&headers::CSEQ).and_then(|cseq| cseq.as_str().trim().parse().ok())
 }
 
-/// The channels of the first transport that asks for RTP over this connection (RFC 2326 section 12.39). Read
-/// here since the typed header of `rtsp-types` 0.1 panics on some quoted strings.
+/// The RTP and RTCP channels of the first transport in the request that interleaves RTP on this connection (RFC 2326
+/// section 12.39). Parsed here since the typed header of `rtsp-types` 0.1 panics on some quoted strings.
 pub fn interleaved(request: &Request) -> Option<(u8, u8)> {
     let transports = request.header(&headers::TRANSPORT)?.as_str();
     transports.split(',').find_map(|transport| {
--- a/crates/rtsp/src/tests.rs
+++ b/crates/rtsp/src/tests.rs
@@ -1,4 +1,4 @@
-//! Split, pipelined, mixed and mutated input; the states of both ends; small tests for what was found.
+//! Split, pipelined, mixed and mutated input; the states of client and server; regressions.
 
 use quickcheck::{Arbitrary, Gen};
 use rtsp_types::{headers, Method, StatusCode, Version};
@@ -13,51 +13,52 @@
         .to_vec()
 }
 
-fn frame(channel: u8, carried: &[u8]) -> Vec<u8> {
-    [&frame_header(channel, carried.len() as u16)[..], carried].concat()
+fn frame(channel: u8, payload: &[u8]) -> Vec<u8> {
+    [&frame_header(channel, payload.len() as u16)[..], payload].concat()
 }
 
-/// What a connection's bytes come to when they arrive in parts of these sizes, repeated.
-fn cut(bytes: &[u8], sizes: &[usize]) -> (Vec<String>, Option<(StatusCode, &'static str)>) {
-    let (mut framer, mut held, mut found) = (Framer::default(), Vec::new(), Vec::new());
+/// The units, and the error if there is one, of bytes that arrive in chunks of these sizes, repeated.
+fn split_into_units(bytes: &[u8], sizes: &[usize]) -> (Vec<String>, Option<(StatusCode, &'static str)>) {
+    let (mut framer, mut buffer, mut units) = (Framer::default(), Vec::new(), Vec::new());
     let mut sizes = sizes.iter().map(|size| size.max(&1)).cycle();
     let mut rest = bytes;
     while !rest.is_empty() {
-        let (part, after) = rest.split_at(rest.len().min(*sizes.next().unwrap_or(&usize::MAX)));
+        let (chunk, after) = rest.split_at(rest.len().min(*sizes.next().unwrap_or(&usize::MAX)));
         rest = after;
-        held.extend_from_slice(part);
+        buffer.extend_from_slice(chunk);
         loop {
-            let used = match framer.next(&held) {
+            let used = match framer.next(&buffer) {
                 Ok(Some((unit, used))) => {
-                    found.extend((!matches!(unit, Unit::Blank)).then(|| format!("{unit:?}")));
+                    units.extend((!matches!(unit, Unit::Blank)).then(|| format!("{unit:?}")));
                     used
                 }
                 Ok(None) => break,
-                Err(fault) => return (found, Some((fault.status, fault.why))),
+                Err(fault) => return (units, Some((fault.status, fault.why))),
             };
-            held.drain(..used);
+            buffer.drain(..used);
         }
     }
-    (found, None)
+    (units, None)
 }
 
-fn checked(property: fn(Vec<Part>, Vec<u8>) -> bool) {
+/// Runs a property 300 times with a fixed seed.
+fn check_property(property: fn(Vec<Part>, Vec<u8>) -> bool) {
     quickcheck::QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
         .tests(300)
         .quickcheck(property as fn(_, _) -> _);
 }
 
-/// One thing on a connection.
+/// The bytes of one message, frame or blank.
 #[derive(Clone, Debug)]
 struct Part(Vec<u8>);
 
 impl Arbitrary for Part {
-    fn arbitrary(g: &mut Gen) -> Self {
-        let carried = Vec::<u8>::arbitrary(g);
-        Part(match u8::arbitrary(g) % 5 {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let payload = Vec::<u8>::arbitrary(generator);
+        Part(match u8::arbitrary(generator) % 5 {
             0 => setup(),
-            1 => frame(u8::arbitrary(g), &carried),
+            1 => frame(u8::arbitrary(generator), &payload),
             2 => b"\r\n\r\n".to_vec(),
             3 => b"RTSP/1.0 200 OK\r\nCSeq: 9\r\nContent-Length: 2\r\n\r\n$\n".to_vec(),
             _ => b"OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n".to_vec(),
@@ -66,25 +67,25 @@
 }
 
 #[test]
-fn any_split_of_the_bytes_gives_the_same_units() {
+fn units_do_not_depend_on_how_the_bytes_are_split() {
     fn same(parts: Vec<Part>, sizes: Vec<u8>) -> bool {
         let bytes: Vec<u8> = parts.iter().flat_map(|part| part.0.clone()).collect();
         let sizes: Vec<usize> = sizes.into_iter().map(usize::from).collect();
-        let whole = cut(&bytes, &[]);
-        whole == cut(&bytes, &sizes) && whole.1.is_none()
+        let unsplit = split_into_units(&bytes, &[]);
+        unsplit == split_into_units(&bytes, &sizes) && unsplit.1.is_none()
     }
-    checked(same);
+    check_property(same);
 }
 
 #[test]
-fn mutated_input_ends_in_units_or_a_fault_whatever_its_split() {
-    fn plain(parts: Vec<Part>, changes: Vec<u8>) -> bool {
+fn mutated_input_gives_units_or_an_error_whatever_its_split() {
+    fn same_without_panic(parts: Vec<Part>, mutations: Vec<u8>) -> bool {
         let mut bytes: Vec<u8> = parts.iter().flat_map(|part| part.0.clone()).collect();
         let length = bytes.len().max(1);
-        for (i, change) in changes.chunks_exact(2).enumerate() {
-            let at = (usize::from(change[0]) * 31 + i * 97) % length;
-            if let Some(byte) = bytes.get_mut(at) {
-                *byte = change[1];
+        for (index, mutation) in mutations.chunks_exact(2).enumerate() {
+            let offset = (usize::from(mutation[0]) * 31 + index * 97) % length;
+            if let Some(byte) = bytes.get_mut(offset) {
+                *byte = mutation[1];
             }
         }
         let server = Server::default();
@@ -97,33 +98,33 @@
                     drop((server.permits(&request), request.load(), request.marked("retry")))
                 }
                 Unit::Response(response) => drop(Client::default().answered(&response)),
-                Unit::Frame(_, carried) => drop(notes(carried).count()),
+                Unit::Frame(_, payload) => drop(notes(payload).count()),
                 Unit::Blank => {}
             }
         }
-        cut(&bytes, &[1]) == cut(&bytes, &[])
+        split_into_units(&bytes, &[1]) == split_into_units(&bytes, &[])
     }
-    checked(plain);
+    check_property(same_without_panic);
 }
 
 fn fault(bytes: &[u8]) -> Fault {
-    Framer::default().next(bytes).expect_err("a bound was gone over")
+    Framer::default().next(bytes).expect_err("the input exceeds a limit")
 }
 
 #[test]
-fn each_bound_has_its_status() {
-    let most = Bounds::default();
-    let long = format!("SETUP rtsp://h/{} RTSP/1.0\r\n", "a".repeat(most.first_line));
-    assert_eq!(fault(long.as_bytes()).status, StatusCode::RequestURITooLong);
-    let endless = format!("OPTIONS * RTSP/1.0\r\nX: {}", "a".repeat(most.head));
-    assert_eq!(fault(endless.as_bytes()).status, StatusCode::BadRequest);
-    let many = format!("OPTIONS * RTSP/1.0\r\n{}", "X: 1\r\n".repeat(most.headers + 1));
-    let told = fault(many.as_bytes());
-    assert_eq!((told.status, told.found, told.most), (StatusCode::BadRequest, 65, 64));
-    let huge = b"OPTIONS * RTSP/1.0\r\nContent-Length: 99999999999\r\n\r\n";
-    assert_eq!(fault(huge).status, StatusCode::RequestMessageBodyTooLarge);
-    let two = b"OPTIONS * RTSP/1.0\r\nContent-Length: 1\r\ncontent-length: 2\r\n\r\n";
-    assert_eq!(fault(two).why, "a Content-Length is no length");
+fn each_limit_has_its_status() {
+    let limits = Bounds::default();
+    let long_first_line = format!("SETUP rtsp://h/{} RTSP/1.0\r\n", "a".repeat(limits.first_line));
+    assert_eq!(fault(long_first_line.as_bytes()).status, StatusCode::RequestURITooLong);
+    let long_head = format!("OPTIONS * RTSP/1.0\r\nX: {}", "a".repeat(limits.head));
+    assert_eq!(fault(long_head.as_bytes()).status, StatusCode::BadRequest);
+    let many_headers = format!("OPTIONS * RTSP/1.0\r\n{}", "X: 1\r\n".repeat(limits.headers + 1));
+    let found = fault(many_headers.as_bytes());
+    assert_eq!((found.status, found.found, found.most), (StatusCode::BadRequest, 65, 64));
+    let long_body = b"OPTIONS * RTSP/1.0\r\nContent-Length: 99999999999\r\n\r\n";
+    assert_eq!(fault(long_body).status, StatusCode::RequestMessageBodyTooLarge);
+    let two_lengths = b"OPTIONS * RTSP/1.0\r\nContent-Length: 1\r\ncontent-length: 2\r\n\r\n";
+    assert_eq!(fault(two_lengths).why, "the Content-Length is invalid");
     assert_eq!(fault(b"\x00\x01\xff garbage\r\n\r\n").status, StatusCode::BadRequest);
 }
 
@@ -139,9 +140,10 @@
 }
 
 #[test]
-fn the_servers_states_permit_what_the_standard_permits() {
+fn each_state_permits_the_requests_of_the_standard() {
     let mut server = Server::default();
-    let on = |method: &str, more: &str| format!("{method} rtsp://h/2a RTSP/1.0\r\nCSeq: 1\r\n{more}\r\n");
+    let on =
+        |method: &str, headers: &str| format!("{method} rtsp://h/2a RTSP/1.0\r\nCSeq: 1\r\n{headers}\r\n");
     let tcp = "Transport: RTP/AVP;unicast;client_port=1-2,RTP/AVP/TCP;interleaved=0-1\r\n";
     assert_eq!(status(&server, &on("PLAY", "")), StatusCode::MethodNotValidInThisState);
     assert_eq!(status(&server, &on("PLAY", "Session: x\r\n")), StatusCode::SessionNotFound);
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn answers_carry_the_number_and_the_session() {
+fn responses_carry_cseq_and_session() {
     let mut server = Server::default();
     server.set_up("abc".to_owned(), 60, (4, 5));
     let answer = server.setup_answer(Some("3"));
@@ -182,7 +184,7 @@
     }
     assert_eq!(client.answered(&answer), Some(Method::Setup));
     assert_eq!(client.session(), Some("abc"));
-    assert_eq!(client.answered(&answer), None, "an answer counts once");
+    assert_eq!(client.answered(&answer), None, "a response is matched only once");
     let play = client.request(Method::Play, uri, &[(words::name(words::RUNG), "2".to_owned())]).unwrap();
     assert_eq!(
         (play.header(&headers::SESSION).unwrap().as_str(), play.number(words::RUNG)),
@@ -191,20 +193,20 @@
 }
 
 #[test]
-fn a_client_has_a_bounded_number_of_requests_out() {
+fn client_limits_the_number_of_pending_requests() {
     let mut client = Client::default();
-    let made = (0..100).filter_map(|_| client.request(Method::Options, words::uri("h", 1), &[])).count();
-    assert_eq!(made, 16);
+    let sent = (0..100).filter_map(|_| client.request(Method::Options, words::uri("h", 1), &[])).count();
+    assert_eq!(sent, 16);
 }
 
 #[test]
-fn words_are_read_or_left_out() {
-    let asked = request(std::str::from_utf8(&setup()).unwrap());
+fn headers_are_read_as_typed_values() {
+    let request = request(std::str::from_utf8(&setup()).unwrap());
     assert_eq!(
-        (asked.hex(words::VIEWER), asked.marked("moved"), asked.marked("lost")),
+        (request.hex(words::VIEWER), request.marked("moved"), request.marked("lost")),
         (Some(255), true, false)
     );
-    assert_eq!(asked.span(words::HINT), None);
+    assert_eq!(request.span(words::HINT), None);
     let mut answer = rtsp_types::Response::builder(Version::V1_0, StatusCode::Ok).build(Vec::<u8>::new());
     answer.insert_header(words::name(words::LOAD), "0.5, 1.25");
     assert_eq!(answer.load(), [0.5, 1.25]);
@@ -212,9 +214,9 @@
     assert_eq!(answer.load(), [0.0; 0]);
 }
 
-/// Found by reading: `rtsp-types` 0.1 panics on these in its typed Transport header.
+/// The typed Transport header of `rtsp-types` 0.1 panics on these values, so it must not be used.
 #[test]
-fn a_lone_quote_in_a_transport_is_no_panic() {
+fn unmatched_quote_in_transport_does_not_panic() {
     for transport in ["RTP/AVP/TCP;mode=\"", "RTP/AVP/TCP;dest_addr=\"", "RTP/AVP/TCP;interleaved=1-1"] {
         let text = format!("SETUP rtsp://h/1 RTSP/1.0\r\nCSeq: 1\r\nTransport: {transport}\r\n\r\n");
         let _ = status(&Server::default(), &text);
@@ -222,9 +224,9 @@
 }
 
 #[test]
-fn notes_come_back_as_they_went() {
+fn progress_reports_are_decoded_as_encoded() {
     let both = [&note(7, 3, 0.5)[..], &bye(7)].concat();
     assert_eq!(notes(&both).collect::<Vec<_>>(), [Note::Told(3, 0.5), Note::Bye]);
     assert_eq!(notes(&note(7, 1, f64::NAN)).count(), 0);
-    assert_eq!(notes(&both[..20]).count(), 0, "a compound packet cut short says nothing");
+    assert_eq!(notes(&both[..20]).count(), 0, "a truncated compound packet is ignored");
 }
--- a/crates/rtsp/src/words.rs
+++ b/crates/rtsp/src/words.rs
@@ -1,13 +1,13 @@
-//! The project's own headers, and the ways to read numbers from any.
+//! The headers that this project adds to RTSP, functions that read typed values from headers, and the URIs of titles.
 
 use std::time::Duration;
 
 use rtsp_types::headers::{HeaderName, HeaderValue};
 use rtsp_types::{Request, Response, Url};
 
-/// The viewer's key, in hexadecimal: the same over all of its tries.
+/// The viewer's key in hexadecimal: the same in all of its attempts.
 pub const VIEWER: &str = "Viewer";
-/// The room type, by name.
+/// The name of the room type.
 pub const ROOM_TYPE: &str = "Room-Type";
 /// How long the viewer waits for an answer, in milliseconds.
 pub const CLIENT_TIMEOUT: &str = "Client-Timeout";
@@ -15,54 +15,58 @@
 pub const MAX_RUNG: &str = "Max-Rung";
 /// How long the viewer expects to watch, in milliseconds.
 pub const HINT: &str = "Hint";
-/// `retry` and `moved`, where they hold.
+/// Flags of a SETUP: `retry` and `moved`, separated by commas.
 pub const MARKS: &str = "Marks";
-/// The rung to play at, in SETUP and SET_PARAMETER towards a streamer.
+/// The rung to play at, in SETUP and SET_PARAMETER requests to a streamer.
 pub const RUNG: &str = "Rung";
 /// A streamer's load report: values in the order of `report.fields`.
 pub const LOAD: &str = "Load";
-/// The exact time that Retry-After rounds up to whole seconds, in milliseconds. Its name does not begin with that
-/// one's, since `rtsp-types` 0.1 takes a name and a longer one that begins with it for the same header.
+/// The exact retry time in milliseconds, which Retry-After rounds up to whole seconds. The name must not begin with
+/// `Retry-After`, since `rtsp-types` 0.1 treats a name and a longer one that begins with it as the same header.
 pub const COME_BACK_MS: &str = "Come-Back-Ms";
-/// Which controller sent a SETUP, by its number, and which of the subscription's joins it is.
+/// The number of the controller that sent a SETUP, and the number of the join within the subscription.
 pub const JOIN: &str = "Join";
 
-/// A header name of this module; all are plain ASCII.
-pub fn name(word: &'static str) -> HeaderName {
-    HeaderName::from_static_str(word).expect("the words of this module are ASCII")
+/// The typed name of a header of this module; all of them are ASCII.
+pub fn name(header: &'static str) -> HeaderName {
+    HeaderName::from_static_str(header).expect("the header names of this module are ASCII")
 }
 
-/// Where a header can be read from.
+/// Reads typed values from the headers of requests and responses.
 pub trait Headed {
+    /// The value of a header.
     fn value(&self, name: &HeaderName) -> Option<&HeaderValue>;
 
-    /// A word of this module as text.
-    fn word(&self, word: &'static str) -> Option<&str> {
-        self.value(&name(word)).map(|value| value.as_str().trim())
+    /// The value of a header as trimmed text.
+    fn word(&self, header: &'static str) -> Option<&str> {
+        self.value(&name(header)).map(|value| value.as_str().trim())
     }
 
-    fn number(&self, word: &'static str) -> Option<u64> {
-        self.word(word)?.parse().ok()
+    /// The value of a header as a decimal number.
+    fn number(&self, header: &'static str) -> Option<u64> {
+        self.word(header)?.parse().ok()
     }
 
-    fn hex(&self, word: &'static str) -> Option<u64> {
-        u64::from_str_radix(self.word(word)?, 16).ok()
+    /// The value of a header as a hexadecimal number.
+    fn hex(&self, header: &'static str) -> Option<u64> {
+        u64::from_str_radix(self.word(header)?, 16).ok()
     }
 
-    /// A span given in milliseconds.
-    fn span(&self, word: &'static str) -> Option<Duration> {
-        self.number(word).map(Duration::from_millis)
+    /// The value of a header as a duration in milliseconds.
+    fn span(&self, header: &'static str) -> Option<Duration> {
+        self.number(header).map(Duration::from_millis)
     }
 
-    /// Whether one of the marks is set.
-    fn marked(&self, mark: &str) -> bool {
-        self.word(MARKS).is_some_and(|marks| marks.split(',').any(|one| one.trim() == mark))
+    /// Whether a flag is set in the header [`MARKS`].
+    fn marked(&self, flag: &str) -> bool {
+        self.word(MARKS).is_some_and(|flags| flags.split(',').any(|set| set.trim() == flag))
     }
 
-    /// A load report, as finite numbers; nothing where one value is none.
+    /// The values of the header [`LOAD`]; empty if one of them is not a finite number.
     fn load(&self) -> Vec<f64> {
         let values = self.word(LOAD).unwrap_or("").split(',').map(|value| value.trim().parse::<f64>().ok());
-        let values: Option<Vec<f64>> = values.map(|value| value.filter(|v| v.is_finite())).collect();
+        let values: Option<Vec<f64>> =
+            values.map(|value| value.filter(|number| number.is_finite())).collect();
         values.unwrap_or_default()
     }
 }
@@ -79,13 +83,13 @@
     }
 }
 
-/// The title that a URI names: `rtsp://HOST/TITLE` or `rtsp://HOST/TITLE/stream`, TITLE in hexadecimal.
+/// The title in a URI `rtsp://HOST/TITLE` or `rtsp://HOST/TITLE/stream`, TITLE in hexadecimal.
 pub fn title(uri: &Url) -> Option<u64> {
     u64::from_str_radix(uri.path_segments()?.next()?, 16).ok()
 }
 
 /// The URI of a title's stream at an address.
-pub fn uri(at: impl std::fmt::Display, title: u64) -> Url {
-    let text = format!("rtsp://{at}/{title:016x}/stream");
-    Url::parse(&text).expect("an address and a number make a URI")
+pub fn uri(address: impl std::fmt::Display, title: u64) -> Url {
+    let text = format!("rtsp://{address}/{title:016x}/stream");
+    Url::parse(&text).expect("an address and a title form a valid URI")
 }
