--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,45 +1,47 @@
-//! Files that outlive the process.
+//! Atomic and durable replacement of state files, wall-clock time, and the incarnation number of a process.
 
 use std::io;
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Lives count quarter seconds since 2026, or go on from the one before, whichever is later.
-const LIVES_FROM: u64 = 1_767_225_600;
-const LIFE_TICK_MS: u128 = 250;
+/// Unix time in seconds from which incarnation numbers are counted: the start of 2026.
+const INCARNATION_EPOCH_S: u64 = 1_767_225_600;
+/// Incarnation numbers count units of this time, unless the stored number is higher.
+const INCARNATION_TICK_MS: u128 = 250;
 
-/// Writes a file beside the old one and puts it in its place: whoever reads finds the one or the other, whole.
+/// Replaces a file atomically: readers find either the old or the new content, never a part of it.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let fresh = path.with_extension("fresh");
-    std::fs::write(&fresh, bytes)?;
-    std::fs::rename(&fresh, path)
+    let new_file = path.with_extension("fresh");
+    std::fs::write(&new_file, bytes)?;
+    std::fs::rename(&new_file, path)
 }
 
-/// The same, on the disk when it returns: for what must not be said before it would outlive a lost power supply.
+/// As [`replace`], and synced to disk on return: for state that must survive a power failure before it is announced.
 pub fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let fresh = path.with_extension("fresh");
-    let mut file = std::fs::File::create(&fresh)?;
+    let new_file = path.with_extension("fresh");
+    let mut file = std::fs::File::create(&new_file)?;
     io::Write::write_all(&mut file, bytes)?;
     file.sync_all()?;
-    std::fs::rename(&fresh, path)?;
-    // The name too.
+    std::fs::rename(&new_file, path)?;
+    // Syncs the folder too, so that the new name is durable.
     path.parent().map_or(Ok(()), |folder| std::fs::File::open(folder)?.sync_all())
 }
 
-/// Since 1970: what is stored is dated by it, for the clock of the next process begins anew.
+/// Time since 1970. Stored state is dated by it, since the monotonic clock starts anew with each process.
 pub fn wall() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The number of this life of the process: later than all before it, as far as the stored one or the clock can tell.
-/// It is to be stored at the same place before anything is said in it.
+/// The incarnation number of this process: higher than all earlier ones, as far as the stored number or the clock shows.
+/// The caller must store it in the same file before it sends any message.
 pub fn next_life(stored: Option<&Path>) -> u32 {
-    let wall = wall().saturating_sub(Duration::from_secs(LIVES_FROM)).as_millis() / LIFE_TICK_MS;
-    let before = stored.and_then(|file| std::fs::read_to_string(file).ok()?.trim().parse::<u32>().ok());
-    before.map_or(0, |before| before.saturating_add(1)).max(wall.min(u32::MAX.into()) as u32).max(1)
+    let by_clock =
+        wall().saturating_sub(Duration::from_secs(INCARNATION_EPOCH_S)).as_millis() / INCARNATION_TICK_MS;
+    let previous = stored.and_then(|file| std::fs::read_to_string(file).ok()?.trim().parse::<u32>().ok());
+    previous.map_or(0, |previous| previous.saturating_add(1)).max(by_clock.min(u32::MAX.into()) as u32).max(1)
 }
 
-/// A life as [`next_life`] reads it.
+/// The content of the file from which [`next_life`] reads the stored number.
 pub fn written_life(life: u32) -> String {
     format!("{life}\n")
 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,9 +1,9 @@
-//! Keys of controllers.
+//! The signing keys of controllers and of authors of revisions.
 //!
-//! The ring is an INI file with a section for each member and each author of revisions, and one that names the members
-//! that certify revisions; it is the same at all controllers. A member has up to two
-//! public keys that hold at once, so that one can be rotated while both are in use, and any number that are revoked.
-//! The private key is a file of its own that nobody but its owner may read. Signatures are Ed25519 (RFC 8032).
+//! The ring is an INI file with a section for each member and each author of revisions, and one that lists the acceptors
+//! (the members that certify revisions); it is the same at all controllers. A member has up to two valid public keys, so
+//! that keys can be rotated while both are in use, and any number of revoked ones. The private key is in a separate file
+//! that only its owner may read. Signatures are Ed25519 (RFC 8032).
 
 mod private;
 mod ring;
@@ -14,24 +14,26 @@
 use badgerledge_gossip::statement::Signature;
 use badgerledge_gossip::{Keyring, Member};
 
-/// A ring, and the key that this member signs with.
+/// Signs as one member, and verifies the signatures of all others with the ring.
 #[derive(Clone)]
 pub struct Keys {
-    me: Member,
+    local_id: Member,
     private: PrivateKey,
     ring: Ring,
 }
 
 impl Keys {
-    /// Nothing where the ring does not hold the private key's public half: whatever it signed would be dropped.
+    /// `None` if the key is not a member's, or if the ring does not have its public key: others would drop whatever it
+    /// signed.
     pub fn new(private: PrivateKey, ring: Ring) -> Option<Self> {
-        let Role::Member(me) = private.role() else { return None };
+        let Role::Member(local_id) = private.role() else { return None };
         let public = private.signing().verifying_key();
-        ring.holds(me, &public).then_some(Self { me, private, ring })
+        ring.holds(local_id, &public).then_some(Self { local_id, private, ring })
     }
 
+    /// The member that signs.
     pub fn member(&self) -> Member {
-        self.me
+        self.local_id
     }
 }
 
@@ -61,20 +63,21 @@
     }
 }
 
-/// A ring alone, for who checks what others signed and signs nothing itself.
+/// Verifies signatures with the ring, without a key to sign.
 #[derive(Clone)]
 pub struct Verifier {
     ring: Ring,
 }
 
 impl Verifier {
+    /// A verifier with the keys of this ring.
     pub fn new(ring: Ring) -> Self {
         Self { ring }
     }
 }
 
 impl badgerledge_revisions::Hand for Verifier {
-    /// It has no key: what it gives is no signature of anybody's.
+    /// Returns zeros, which are nobody's valid signature: a verifier has no private key.
     fn sign(&self, _bytes: &[u8]) -> Signature {
         [0; 64]
     }
--- a/crates/keys/src/main.rs
+++ b/crates/keys/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgerledge-keys`: makes, lists, checks and revokes the keys of controllers.
+//! `badgerledge-keys`: generates, lists, checks and revokes the keys of controllers.
 
 use std::fs::File;
 use std::io::Write;
@@ -11,7 +11,7 @@
 use badgerledge_settings::Sheet;
 use clap::{Parser, Subcommand};
 
-/// Keys that controllers sign their words to each other with.
+/// Manages the keys with which controllers sign their messages to each other.
 #[derive(Parser)]
 #[command(name = "badgerledge-keys", version)]
 struct Command {
@@ -21,33 +21,33 @@
 
 #[derive(Subcommand)]
 enum What {
-    /// Makes a private key in a new file, and adds its public half to a ring
+    /// Generates a private key in a new file, and adds its public key to a ring
     Make {
-        /// The member whose key it is
+        /// The number of the member that owns the key
         #[arg(long, required_unless_present = "author")]
         member: Option<Member>,
-        /// The author of revisions whose key it is
+        /// The number of the author of revisions that owns the key
         #[arg(long, conflicts_with = "member")]
         author: Option<Member>,
-        /// The new file of the private key
+        /// The file of the private key; must not exist yet
         #[arg(long)]
         out: PathBuf,
-        /// The ring's INI file; made where it is not there
+        /// The ring's INI file; created if it does not exist
         #[arg(long)]
         ring: PathBuf,
     },
-    /// Names the members that certify revisions: an odd count, each with a disk that it keeps
+    /// Sets the acceptors, the members that certify revisions: an odd number, each with a persistent disk
     Keepers {
         ring: PathBuf,
-        /// Their numbers
+        /// The numbers of the members
         #[arg(required = true, value_delimiter = ',')]
         members: Vec<Member>,
     },
-    /// Lists the members of a ring with the keys that hold
+    /// Lists the members of a ring with their valid keys
     List { ring: PathBuf },
-    /// Says whether a private key is in order and in the ring
+    /// Checks that a private key is valid and in the ring
     Check { ring: PathBuf, key: PathBuf },
-    /// Revokes a public key in a ring; controllers take it at their next look at the file
+    /// Revokes a public key in a ring; controllers apply it when they next read the file
     Revoke {
         ring: PathBuf,
         /// The public key, in hex
@@ -56,7 +56,7 @@
 }
 
 fn main() -> ExitCode {
-    match carry_out(Command::parse().what) {
+    match run(Command::parse().what) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("badgerledge-keys: {fault:#}");
@@ -65,19 +65,19 @@
     }
 }
 
-fn carry_out(what: What) -> Result<()> {
+fn run(what: What) -> Result<()> {
     match what {
         What::Make { member, author, out, ring } => {
             let role = author.map(Role::Author).or(member.map(Role::Member));
-            make(role.context("--member or --author is wanted")?, &out, &ring)
+            make(role.context("--member or --author is required")?, &out, &ring)
         }
-        What::Keepers { ring, members } => keepers(&ring, &members),
+        What::Keepers { ring, members } => set_acceptors(&ring, &members),
         What::List { ring } => list(&Ring::read(&ring)?),
         What::Check { ring, key } => {
             let private = PrivateKey::read(&key)?;
             let (role, public) = (private.role(), private.public());
             if !Ring::read(&ring)?.holds_public(&private) {
-                bail!("{role} has no key {public} in {} that holds", ring.display());
+                bail!("{role} has no valid key {public} in {}", ring.display());
             }
             println!("{}: in order, {role}, {public}", key.display());
             Ok(())
@@ -86,30 +86,35 @@
     }
 }
 
-/// What a ring says of each member and author: whose, keys, and revoked ones.
-type Lines = Vec<(String, Vec<String>, Vec<String>)>;
+/// The sections of a ring: name, valid keys (of `keepers`: the members), and revoked keys.
+type Sections = Vec<(String, Vec<String>, Vec<String>)>;
 
-fn lines(path: &Path) -> Result<Lines> {
+/// Reads and validates the sections of a ring; none if the file does not exist.
+fn read_sections(path: &Path) -> Result<Sections> {
     if !path.exists() {
         return Ok(Vec::new());
     }
     let sheet = Sheet::read(path)?;
     Ring::of(&sheet)?;
     let list = |section: &str, key: &str| -> Vec<String> {
-        let told = sheet.value(section, key).unwrap_or_default();
-        told.split(',').map(|one| one.trim().to_owned()).filter(|one| !one.is_empty()).collect()
+        let value = sheet.value(section, key).unwrap_or_default();
+        value
+            .split(',')
+            .map(|element| element.trim().to_owned())
+            .filter(|element| !element.is_empty())
+            .collect()
     };
-    let one = |section: &str| {
+    let read_section = |section: &str| {
         let keys = if section == "keepers" { "members" } else { "keys" };
         (section.to_owned(), list(section, keys), list(section, "revoked"))
     };
-    Ok(sheet.sections().map(one).collect())
+    Ok(sheet.sections().map(read_section).collect())
 }
 
-/// Writes a ring beside the old one and puts it in its place: a controller reads the one or the other, whole.
-fn write(path: &Path, lines: &Lines) -> Result<()> {
+/// Validates a ring and replaces its file atomically: controllers read either the old or the new ring.
+fn write(path: &Path, sections: &Sections) -> Result<()> {
     let mut text = String::new();
-    for (section, keys, revoked) in lines {
+    for (section, keys, revoked) in sections {
         let key = if section == "keepers" { "members" } else { "keys" };
         text += &format!("[{section}]\n{key} = {}\n", keys.join(", "));
         if !revoked.is_empty() {
@@ -118,42 +123,45 @@
         text += "\n";
     }
     Ring::of(&Sheet::parse(&path.display().to_string(), &text)?)?;
-    let fresh = path.with_extension("fresh");
-    let mut file = File::create(&fresh).with_context(|| fresh.display().to_string())?;
+    let new_file = path.with_extension("fresh");
+    let mut file = File::create(&new_file).with_context(|| new_file.display().to_string())?;
     file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).context("writing the ring")?;
-    std::fs::rename(&fresh, path).with_context(|| path.display().to_string())
+    std::fs::rename(&new_file, path).with_context(|| path.display().to_string())
 }
 
+/// Generates a key in a new file, and adds its public key to the ring.
 fn make(role: Role, out: &Path, ring: &Path) -> Result<()> {
     let (Role::Member(number) | Role::Author(number)) = role;
     if usize::from(number) >= MAX_MEMBERS {
-        bail!("{role}: 0 to {} is taken", MAX_MEMBERS - 1);
+        bail!("{role}: the number must be between 0 and {}", MAX_MEMBERS - 1);
     }
-    let mut lines = lines(ring)?;
+    let mut sections = read_sections(ring)?;
     let private = PrivateKey::make(role)?;
     let name = role.to_string();
-    match lines.iter_mut().find(|line| line.0 == name) {
+    match sections.iter_mut().find(|section| section.0 == name) {
         Some((_, keys, _)) if keys.len() >= 2 => {
-            bail!("{role} has two keys already; revoke one first");
+            bail!("{role} already has two valid keys; revoke one first");
         }
         Some((_, keys, _)) => keys.push(private.public()),
-        None => lines.push((name, vec![private.public()], Vec::new())),
+        None => sections.push((name, vec![private.public()], Vec::new())),
     }
     private.write(out)?;
-    write(ring, &lines)?;
+    write(ring, &sections)?;
     println!("{}: {role}, {}", out.display(), private.public());
     Ok(())
 }
 
-fn keepers(ring: &Path, members: &[Member]) -> Result<()> {
-    let mut lines = lines(ring)?;
-    lines.retain(|line| line.0 != "keepers");
-    let names: Vec<String> = members.iter().map(Member::to_string).collect();
-    println!("{}: {} certify revisions", ring.display(), names.join(", "));
-    lines.push(("keepers".to_owned(), names, Vec::new()));
-    write(ring, &lines)
+/// Sets the members that certify revisions.
+fn set_acceptors(ring: &Path, members: &[Member]) -> Result<()> {
+    let mut sections = read_sections(ring)?;
+    sections.retain(|section| section.0 != "keepers");
+    let numbers: Vec<String> = members.iter().map(Member::to_string).collect();
+    println!("{}: {} certify revisions", ring.display(), numbers.join(", "));
+    sections.push(("keepers".to_owned(), numbers, Vec::new()));
+    write(ring, &sections)
 }
 
+/// Prints the valid keys of all members.
 fn list(ring: &Ring) -> Result<()> {
     for member in ring.members() {
         for key in ring.keys(*member) {
@@ -163,14 +171,16 @@
     Ok(())
 }
 
+/// Moves a key from the valid to the revoked keys of its owner.
 fn revoke(path: &Path, key: &str) -> Result<()> {
-    let mut lines = lines(path)?;
-    let Some((name, keys, revoked)) = lines.iter_mut().find(|line| line.1.iter().any(|held| held == key))
+    let mut sections = read_sections(path)?;
+    let Some((name, keys, revoked)) =
+        sections.iter_mut().find(|section| section.1.iter().any(|valid| valid == key))
     else {
-        bail!("{}: nobody has the key {key}", path.display());
+        bail!("{}: no member or author has the valid key {key}", path.display());
     };
-    keys.retain(|held| held != key);
+    keys.retain(|valid| valid != key);
     revoked.push(key.to_owned());
     println!("{name}: {key} is revoked, {} left", keys.len());
-    write(path, &lines)
+    write(path, &sections)
 }
--- a/crates/keys/src/private.rs
+++ b/crates/keys/src/private.rs
@@ -1,4 +1,4 @@
-//! A private key's file: two lines, whose it is, by number, and the secret, in hex.
+//! A private key and its file, which has two lines: the role and number of its owner, and the secret in hex.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -10,20 +10,23 @@
 use ed25519_dalek::{Signer, SigningKey};
 use thiserror::Error;
 
-/// Why a private key is not taken.
+/// Why a private key can not be read, written or generated.
 #[derive(Debug, Error)]
 pub enum PrivateFault {
+    /// The file and the error.
     #[error("{0}: {1}")]
     Io(String, std::io::Error),
-    #[error("{0}: others may read this private key (mode {1:o}); chmod 600 it, and make a new one if they may have")]
+    /// The file and its mode.
+    #[error("{0}: others may read this private key (mode {1:o}); chmod 600 it, and make a new one if it may have been read")]
     Open(String, u32),
+    /// The file, the line number and the error.
     #[error("{0}:{1}: {2}")]
     Malformed(String, usize, &'static str),
-    #[error("no randomness: {0}")]
+    #[error("the system provides no random numbers: {0}")]
     Random(getrandom::Error),
 }
 
-/// Whose key it is. An author signs revisions and nothing else, and a member never signs one as an author.
+/// The owner of a key. An author signs revisions and nothing else, and a member never signs a revision as an author.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Member(Member),
@@ -31,6 +34,7 @@
 }
 
 impl Role {
+    /// Name and number of the role, as in the key file and the ring.
     fn parts(self) -> (&'static str, Member) {
         match self {
             Self::Member(number) => ("member", number),
@@ -46,74 +50,81 @@
     }
 }
 
+/// A private key with its owner.
 #[derive(Clone)]
 pub struct PrivateKey {
     role: Role,
-    signing: SigningKey,
+    signing_key: SigningKey,
 }
 
-/// Modes that let anyone but the owner in.
-const OTHERS: u32 = 0o077;
-/// Bytes of a key file at most.
-const LONGEST: u64 = 1024;
+/// Permission bits of a file that let group or others access it.
+const GROUP_AND_OTHERS_MODE: u32 = 0o077;
+/// Maximum number of bytes that are read from a key file.
+const MAX_FILE_BYTES: u64 = 1024;
 
 impl PrivateKey {
+    /// Generates a new key.
     pub fn make(role: Role) -> Result<Self, PrivateFault> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret).map_err(PrivateFault::Random)?;
-        Ok(Self { role, signing: SigningKey::from_bytes(&secret) })
+        Ok(Self { role, signing_key: SigningKey::from_bytes(&secret) })
     }
 
-    /// Writes it to a file that was not there, for its owner alone.
+    /// Writes the key to a new file that only its owner may read; fails if the file exists.
     pub fn write(&self, path: &Path) -> Result<(), PrivateFault> {
-        let io = |e| PrivateFault::Io(path.display().to_string(), e);
-        let mut file = File::options().write(true).create_new(true).mode(0o600).open(path).map_err(io)?;
+        let io_fault = |error| PrivateFault::Io(path.display().to_string(), error);
+        let mut file =
+            File::options().write(true).create_new(true).mode(0o600).open(path).map_err(io_fault)?;
         let (name, number) = self.role.parts();
-        let text = format!("{name} = {number}\nsecret = {}\n", hex::encode(self.signing.to_bytes()));
-        file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(io)
+        let text = format!("{name} = {number}\nsecret = {}\n", hex::encode(self.signing_key.to_bytes()));
+        file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(io_fault)
     }
 
+    /// Reads a key from a file; fails if anyone but its owner may access the file.
     pub fn read(path: &Path) -> Result<Self, PrivateFault> {
-        let name = path.display().to_string();
-        let io = |e| PrivateFault::Io(name.clone(), e);
-        let file = File::open(path).map_err(io)?;
-        let mode = file.metadata().map_err(io)?.permissions().mode();
-        if mode & OTHERS != 0 {
-            return Err(PrivateFault::Open(name, mode & 0o777));
+        let file_name = path.display().to_string();
+        let io_fault = |error| PrivateFault::Io(file_name.clone(), error);
+        let file = File::open(path).map_err(io_fault)?;
+        let mode = file.metadata().map_err(io_fault)?.permissions().mode();
+        if mode & GROUP_AND_OTHERS_MODE != 0 {
+            return Err(PrivateFault::Open(file_name, mode & 0o777));
         }
         let mut text = String::new();
-        file.take(LONGEST).read_to_string(&mut text).map_err(io)?;
-        let malformed = |line: usize, why| PrivateFault::Malformed(name.clone(), line, why);
+        file.take(MAX_FILE_BYTES).read_to_string(&mut text).map_err(io_fault)?;
+        let malformed = |line: usize, why| PrivateFault::Malformed(file_name.clone(), line, why);
         let mut lines = text.lines();
-        let mut value = |line: usize, keys: &[&str], why| {
-            let told = lines.next().and_then(|text| text.split_once('='));
-            let told = told.map(|(name, value)| (name.trim().to_owned(), value.trim().to_owned()));
-            told.filter(|told| keys.contains(&told.0.as_str())).ok_or_else(|| malformed(line, why))
+        let mut next_value = |line: usize, names: &[&str], why| {
+            let pair = lines.next().and_then(|text| text.split_once('='));
+            let pair = pair.map(|(name, value)| (name.trim().to_owned(), value.trim().to_owned()));
+            pair.filter(|pair| names.contains(&pair.0.as_str())).ok_or_else(|| malformed(line, why))
         };
-        let (role, number) = value(1, &["member", "author"], "member = NUMBER or author = NUMBER is wanted")?;
-        let (_, secret) = value(2, &["secret"], "secret = 64 HEX DIGITS is wanted")?;
-        let number = number.parse().map_err(|_| malformed(1, "a number of 0 to 65534 is taken"))?;
+        let (role, number) =
+            next_value(1, &["member", "author"], "the line must be member = NUMBER or author = NUMBER")?;
+        let (_, secret) = next_value(2, &["secret"], "the line must be secret = 64 HEX DIGITS")?;
+        let number = number.parse().map_err(|_| malformed(1, "the number must be between 0 and 65534"))?;
         let role = if role == "member" { Role::Member(number) } else { Role::Author(number) };
         let mut bytes = [0; 32];
-        hex::decode_to_slice(secret, &mut bytes).map_err(|_| malformed(2, "64 hex digits are taken"))?;
-        Ok(Self { role, signing: SigningKey::from_bytes(&bytes) })
+        hex::decode_to_slice(secret, &mut bytes)
+            .map_err(|_| malformed(2, "the secret must have 64 hex digits"))?;
+        Ok(Self { role, signing_key: SigningKey::from_bytes(&bytes) })
     }
 
+    /// The owner of the key.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Signs as whoever the key is of.
+    /// Signs as the owner of the key.
     pub fn sign(&self, bytes: &[u8]) -> Signature {
-        self.signing.sign(bytes).to_bytes()
+        self.signing_key.sign(bytes).to_bytes()
     }
 
-    /// The public half, in hex.
+    /// The public key in hex.
     pub fn public(&self) -> String {
-        hex::encode(self.signing.verifying_key().to_bytes())
+        hex::encode(self.signing_key.verifying_key().to_bytes())
     }
 
     pub(crate) fn signing(&self) -> &SigningKey {
-        &self.signing
+        &self.signing_key
     }
 }
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -1,4 +1,4 @@
-//! The ring of public keys.
+//! The ring: the public keys of members and authors, and the acceptors.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,56 +12,58 @@
 
 use crate::{PrivateKey, Role};
 
-/// `[member NUMBER]` and `[author NUMBER]`.
+/// `[member NUMBER]` and `[author NUMBER]`: the keys of one owner.
 #[derive(Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 struct Section {
-    /// Public keys in hex: one, or two while one takes the other's place.
+    /// Valid public keys in hex: one, or two during a rotation.
     #[garde(length(max = 2))]
     #[serde(default)]
     keys: Vec<String>,
-    /// Keys that hold no more, whatever else names them.
+    /// Revoked public keys; they are invalid even if `keys` has them.
     #[garde(skip)]
     #[serde(default)]
     revoked: Vec<String>,
 }
 
-/// `[keepers]`.
+/// `[keepers]`: the acceptors.
 #[derive(Debug, Default, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-struct Keepers {
-    /// The members that certify revisions, by number: an odd count, each with a disk that it keeps.
+struct Acceptors {
+    /// Numbers of the members that certify revisions: an odd count, each with a persistent disk.
     #[garde(length(max = 7))]
     #[serde(default)]
     members: Vec<Member>,
 }
 
-type Public = BTreeMap<Member, Vec<VerifyingKey>>;
+/// Public keys by the number of their owner.
+type PublicKeys = BTreeMap<Member, Vec<VerifyingKey>>;
 
-/// Who may speak, and by which keys.
+/// The public keys of members and authors, and the acceptors.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
-    keys: Public,
-    authors: Public,
-    /// Keys of authors that hold no more.
-    past_authors: Public,
+    member_keys: PublicKeys,
+    author_keys: PublicKeys,
+    revoked_author_keys: PublicKeys,
     members: Vec<Member>,
-    keepers: Vec<Member>,
+    acceptors: Vec<Member>,
 }
 
 impl Ring {
+    /// Reads and validates a ring's file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         Self::of(&Sheet::read(path)?)
     }
 
+    /// Validates a parsed ring.
     pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
         sheet.only(&["member", "author", "keepers"])?;
         let mut faults = Vec::new();
         let mut owners: BTreeMap<[u8; 32], String> = BTreeMap::new();
-        let keys = of_role(sheet, "member", &mut owners, &mut faults);
-        let authors = of_role(sheet, "author", &mut owners, &mut faults);
-        let members: Vec<Member> = keys.keys().copied().collect();
-        let keepers = match sheet.section_or_default::<Keepers>("keepers") {
+        let member_keys = keys_of_role(sheet, "member", &mut owners, &mut faults);
+        let author_keys = keys_of_role(sheet, "author", &mut owners, &mut faults);
+        let members: Vec<Member> = member_keys.keys().copied().collect();
+        let acceptors = match sheet.section_or_default::<Acceptors>("keepers") {
             Ok(section) => section.members,
             Err(found) => {
                 faults.extend(found.0);
@@ -69,46 +71,47 @@
             }
         };
         let mut seen = Vec::new();
-        for keeper in &keepers {
-            if !members.contains(keeper) || seen.contains(keeper) {
-                let why = "each once, and only members with a key that holds are taken";
-                faults.push(sheet.fault("keepers", "members", &keeper.to_string(), why));
+        for acceptor in &acceptors {
+            if !members.contains(acceptor) || seen.contains(acceptor) {
+                let why = "must list each member once, and only members with a valid key";
+                faults.push(sheet.fault("keepers", "members", &acceptor.to_string(), why));
             }
-            seen.push(*keeper);
+            seen.push(*acceptor);
         }
         if faults.is_empty() {
-            let past_authors = revoked_authors(sheet);
-            Ok(Self { keys, authors, past_authors, members, keepers })
+            let revoked_author_keys = revoked_author_keys(sheet);
+            Ok(Self { member_keys, author_keys, revoked_author_keys, members, acceptors })
         } else {
             Err(Faults(faults))
         }
     }
 
-    /// The keys of an author that hold now.
+    /// The valid keys of an author.
     pub fn author(&self, author: Member) -> &[VerifyingKey] {
-        self.authors.get(&author).map_or(&[], Vec::as_slice)
+        self.author_keys.get(&author).map_or(&[], Vec::as_slice)
     }
 
-    /// The keys of an author that held once.
+    /// The revoked keys of an author.
     pub fn past_author(&self, author: Member) -> &[VerifyingKey] {
-        self.past_authors.get(&author).map_or(&[], Vec::as_slice)
+        self.revoked_author_keys.get(&author).map_or(&[], Vec::as_slice)
     }
 
     /// The members that certify revisions.
     pub fn keepers(&self) -> &[Member] {
-        &self.keepers
+        &self.acceptors
     }
 
-    /// The keys of a member that hold now.
+    /// The valid keys of a member.
     pub fn keys(&self, member: Member) -> &[VerifyingKey] {
-        self.keys.get(&member).map_or(&[], Vec::as_slice)
+        self.member_keys.get(&member).map_or(&[], Vec::as_slice)
     }
 
+    /// Whether a key is a valid key of a member.
     pub fn holds(&self, member: Member, key: &VerifyingKey) -> bool {
         self.keys(member).contains(key)
     }
 
-    /// Whether a private key's public half holds here for whom it is of.
+    /// Whether the ring has the public key of a private key as a valid key of its owner.
     pub fn holds_public(&self, private: &PrivateKey) -> bool {
         let public = private.signing().verifying_key();
         match private.role() {
@@ -117,95 +120,97 @@
         }
     }
 
+    /// The members with a valid key, sorted by number.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Whether a member signed these bytes with a key that holds now.
+    /// Whether a member signed these bytes with a valid key.
     pub fn signed_by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
         any_verifies(self.keys(member), bytes, signature)
     }
 
-    /// Whether an author signed these bytes with a key that holds now.
+    /// Whether an author signed these bytes with a valid key.
     pub fn signed_by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         any_verifies(self.author(author), bytes, signature)
     }
 
-    /// Whether an author signed these bytes with a key that holds now or held once.
+    /// Whether an author signed these bytes with a valid or a revoked key.
     pub fn ever_signed_by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.signed_by_author(author, bytes, signature)
             || any_verifies(self.past_author(author), bytes, signature)
     }
 }
 
-/// Whether one of these keys made the signature of these bytes.
+/// Whether the signature of these bytes verifies with one of the keys.
 fn any_verifies(keys: &[VerifyingKey], bytes: &[u8], signature: &Signature) -> bool {
     let signature = ed25519_dalek::Signature::from_bytes(signature);
     keys.iter().any(|key| key.verify_strict(bytes, &signature).is_ok())
 }
 
-/// All keys of a role that hold, by number.
-fn of_role(
+/// The valid keys of all owners of a role. Errors go to `faults`; `owners` detects a key that two owners have.
+fn keys_of_role(
     sheet: &Sheet, role: &str, owners: &mut BTreeMap<[u8; 32], String>, faults: &mut Vec<Fault>,
-) -> Public {
-    let mut all = Public::new();
+) -> PublicKeys {
+    let mut keys_by_owner = PublicKeys::new();
     for name in sheet.named(role) {
-        let place = format!("{role} {name}");
-        let wrong = |key: &str, value: &str, why: &str| sheet.fault(&place, key, value, why);
+        let section_name = format!("{role} {name}");
+        let fault = |key: &str, value: &str, why: &str| sheet.fault(&section_name, key, value, why);
         let Some(number) = name.parse().ok().filter(|number: &Member| usize::from(*number) < MAX_MEMBERS)
         else {
-            faults.push(wrong("", "", &format!("a number of 0 to {} is taken", MAX_MEMBERS - 1)));
+            faults.push(fault("", "", &format!("the number must be between 0 and {}", MAX_MEMBERS - 1)));
             continue;
         };
-        match sheet.section::<Section>(&place) {
+        match sheet.section::<Section>(&section_name) {
             Ok(section) => {
-                let keys = valid_keys(&section, wrong, faults);
+                let keys = valid_keys(&section, fault, faults);
                 for key in &keys {
-                    if let Some(other) = owners.insert(key.to_bytes(), place.clone()) {
+                    if let Some(other) = owners.insert(key.to_bytes(), section_name.clone()) {
                         let hex = hex::encode(key.to_bytes());
-                        faults.push(wrong("keys", &hex, &format!("{other} has the same key")));
+                        faults.push(fault("keys", &hex, &format!("{other} has the same key")));
                     }
                 }
                 if !keys.is_empty() {
-                    all.insert(number, keys);
+                    keys_by_owner.insert(number, keys);
                 }
             }
             Err(found) => faults.extend(found.0),
         }
     }
-    all
+    keys_by_owner
 }
 
-/// The revoked keys of all authors. What is wrong with them was told before.
-fn revoked_authors(sheet: &Sheet) -> Public {
-    let of = |name: &str| {
+/// The revoked keys of all authors. Ignores errors, which [`keys_of_role`] has reported.
+fn revoked_author_keys(sheet: &Sheet) -> PublicKeys {
+    let revoked_keys = |name: &str| {
         let section = sheet.section::<Section>(&format!("author {name}")).ok()?;
         let keys = section.revoked.iter().filter_map(|text| public_key(text)).collect();
         Some((name.parse().ok()?, keys))
     };
-    sheet.named("author").filter_map(of).collect()
+    sheet.named("author").filter_map(revoked_keys).collect()
 }
 
-/// A public key from its hex digits. A weak one is not taken: it would let others sign for its owner.
+/// Parses a public key from hex digits. Rejects weak keys: they would let others sign for the owner.
 fn public_key(text: &str) -> Option<VerifyingKey> {
     let mut bytes = [0; 32];
     hex::decode_to_slice(text, &mut bytes).ok()?;
     VerifyingKey::from_bytes(&bytes).ok().filter(|key| !key.is_weak())
 }
 
+/// The keys of a section that are not revoked. Errors in both lists go to `faults`.
 fn valid_keys(
-    section: &Section, wrong: impl Fn(&str, &str, &str) -> Fault, faults: &mut Vec<Fault>,
+    section: &Section, fault: impl Fn(&str, &str, &str) -> Fault, faults: &mut Vec<Fault>,
 ) -> Vec<VerifyingKey> {
-    let mut read = |key: &str, texts: &[String]| -> Vec<VerifyingKey> {
+    let mut parse_keys = |key: &str, texts: &[String]| -> Vec<VerifyingKey> {
         let mut keys = Vec::new();
         for text in texts {
             match public_key(text) {
-                Some(found) => keys.push(found),
-                None => faults.push(wrong(key, text, "a public Ed25519 key in 64 hex digits is taken")),
+                Some(public) => keys.push(public),
+                None => faults.push(fault(key, text, "must be a public Ed25519 key in 64 hex digits")),
             }
         }
         keys
     };
-    let (keys, revoked) = (read("keys", &section.keys), read("revoked", &section.revoked));
+    let (keys, revoked) = (parse_keys("keys", &section.keys), parse_keys("revoked", &section.revoked));
     keys.into_iter().filter(|key| !revoked.contains(key)).collect()
 }
--- a/crates/keys/src/tests.rs
+++ b/crates/keys/src/tests.rs
@@ -1,3 +1,5 @@
+//! Valid and revoked keys of a ring, errors in rings and key files, and verification without a private key.
+
 use std::os::unix::fs::PermissionsExt;
 
 use badgerledge_gossip::Keyring;
@@ -11,7 +13,7 @@
 }
 
 #[test]
-fn two_keys_hold_while_one_takes_the_others_place_and_a_revoked_one_does_not() {
+fn both_keys_are_valid_during_rotation_and_revoked_keys_are_not() {
     let (old, new) = (PrivateKey::make(Role::Member(3)).unwrap(), PrivateKey::make(Role::Member(3)).unwrap());
     let (first, second) = (old.public(), new.public());
     let both = ring(&format!("[member 3]\nkeys = {first}, {second}\n")).unwrap();
@@ -23,53 +25,55 @@
     let later = ring(&format!("[member 3]\nkeys = {first}, {second}\nrevoked = {first}\n")).unwrap();
     let new = Keys { ring: later, ..new };
     assert!(!new.signed(3, b"word", &by_old) && new.signed(3, b"word", &by_new));
-    let gone = ring(&format!("[member 3]\nkeys = {first}\nrevoked = {first}\n")).unwrap();
-    assert!(gone.members().is_empty());
-    assert!(Keys::new(old.private, gone).is_none());
+    let without_keys = ring(&format!("[member 3]\nkeys = {first}\nrevoked = {first}\n")).unwrap();
+    assert!(without_keys.members().is_empty());
+    assert!(Keys::new(old.private, without_keys).is_none());
 }
 
 #[test]
-fn faults_of_a_ring_name_line_key_value_and_what_is_taken() {
+fn ring_errors_name_line_key_value_and_accepted_values() {
     let key = PrivateKey::make(Role::Member(0)).unwrap().public();
-    let found = ring("[member 0]\nkeys = 12ab\n").unwrap_err();
-    assert_eq!(found, "ring.ini:2: [member 0] keys = 12ab: a public Ed25519 key in 64 hex digits is taken");
-    let found = ring(&format!("[member 0]\nkeys = {key}\n[member 1]\nkeys = {key}\n")).unwrap_err();
-    assert!(found.contains("member 0 has the same key"), "{found}");
-    assert!(ring("[member x]\nkeys =\n").unwrap_err().contains("a number of 0 to 2047 is taken"));
+    let error = ring("[member 0]\nkeys = 12ab\n").unwrap_err();
+    assert_eq!(error, "ring.ini:2: [member 0] keys = 12ab: must be a public Ed25519 key in 64 hex digits");
+    let error = ring(&format!("[member 0]\nkeys = {key}\n[member 1]\nkeys = {key}\n")).unwrap_err();
+    assert!(error.contains("member 0 has the same key"), "{error}");
+    assert!(ring("[member x]\nkeys =\n").unwrap_err().contains("the number must be between 0 and 2047"));
     let weak = "00".repeat(32);
     assert!(ring(&format!("[member 0]\nkeys = {weak}\n")).is_err());
 }
 
 #[test]
-fn a_private_key_that_others_can_read_is_not_taken() {
+fn private_key_that_others_can_read_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("key");
-    let made = PrivateKey::make(Role::Member(9)).unwrap();
-    made.write(&path).unwrap();
+    let generated = PrivateKey::make(Role::Member(9)).unwrap();
+    generated.write(&path).unwrap();
     let read = PrivateKey::read(&path).unwrap();
-    assert_eq!((read.role(), read.public()), (Role::Member(9), made.public()));
-    assert!(matches!(made.write(&path), Err(PrivateFault::Io(..))), "written over");
+    assert_eq!((read.role(), read.public()), (Role::Member(9), generated.public()));
+    assert!(matches!(generated.write(&path), Err(PrivateFault::Io(..))), "an existing key was overwritten");
     for mode in [0o640, 0o604, 0o660] {
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        assert!(matches!(PrivateKey::read(&path), Err(PrivateFault::Open(_, told)) if told == mode));
+        assert!(matches!(PrivateKey::read(&path), Err(PrivateFault::Open(_, reported)) if reported == mode));
     }
 }
 
 #[test]
-fn a_torn_private_key_is_told_with_its_line() {
+fn malformed_private_key_is_rejected_with_the_line() {
     let folder = tempfile::tempdir().unwrap();
     for (text, line) in
         [("", 1), ("member = x\nsecret = 00\n", 1), ("member = 1\nsecret = 00\n", 2), ("member = 1\n", 2)]
     {
-        let path = folder.path().join("torn");
+        let path = folder.path().join("malformed");
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).unwrap();
-        assert!(matches!(PrivateKey::read(&path), Err(PrivateFault::Malformed(_, told, _)) if told == line));
+        assert!(
+            matches!(PrivateKey::read(&path), Err(PrivateFault::Malformed(_, reported, _)) if reported == line)
+        );
     }
 }
 
 #[test]
-fn a_verifier_knows_what_members_signed_and_signs_nothing() {
+fn verifier_verifies_signatures_of_members_but_can_not_sign() {
     use badgerledge_revisions::Hand;
     let member = PrivateKey::make(Role::Member(3)).unwrap();
     let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public());
