--- a/crates/distribution/src/change.rs
+++ b/crates/distribution/src/change.rs
@@ -1,4 +1,5 @@
-//! Authors' changes, batches of them, and the summary of a batch that acceptors certify.
+//! Signed changes by authors, the batches that make revisions of them, and the batch summary that acceptors
+//! certify.
 
 mod batch;
 mod history;
@@ -15,25 +16,25 @@
 pub use batch::{Batch, BatchFault, Built, Limits, Summary, LARGEST_BATCH, MOST_CHANGES, SUMMARY};
 pub use history::{History, MOST_KEYS};
 
-/// Edits of one change at most.
+/// The maximum number of edits in a change.
 pub const MOST_EDITS: usize = 1024;
-/// Signed bytes of one change at most.
+/// The maximum length of the signed bytes of a change.
 pub const LARGEST_CHANGE: usize = 128 * 1024;
-/// Keys that begin with it are the protocol's own: authors can't edit them.
+/// Keys with this prefix are reserved for the protocol: authors cannot edit them.
 pub const RESERVED: char = '\0';
 
-/// What an author signs begins with it.
+/// The domain string at the start of the bytes that an author signs.
 const DOMAIN: &[u8] = b"badgerledge change 1";
 
-/// What names a change: an author numbers its changes upwards.
+/// Identifies a change. An author numbers its changes in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ChangeId {
     pub author: Author,
     pub sequence: u64,
 }
 
-/// An author's signed change of some keys. It is made against the state of revision `base`: it is rejected if one of its
-/// keys was changed after that.
+/// A change of some keys, signed by its author. It is made against the state of revision `base`, and rejected
+/// if one of its keys was changed in a later revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     pub id: ChangeId,
@@ -43,35 +44,35 @@
     pub signature: Signature,
 }
 
-/// Why a change does not become part of a revision. Nothing has changed then.
+/// Why a change is rejected. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum Rejection {
-    #[error("its signature is not that of author {0}, or that author's key was revoked")]
+    #[error("the signature is not that of author {0}, or the author's key was revoked")]
     Author(Author),
-    #[error("change {0} of this author was made before; the last one taken is {1}")]
+    #[error("sequence number {0} is not above {1}, the last one accepted from this author")]
     Sequence(u64, u64),
-    #[error("it is made against revision {0}, which is above the highest one, {1}")]
+    #[error("made against revision {0}, which is above the highest one, {1}")]
     BaseAhead(Number, Number),
-    #[error("it is made against revision {0}; changes are known from revision {1} on")]
+    #[error("made against revision {0}; the change history starts at revision {1}")]
     BaseTooOld(Number, Number),
-    #[error("key {key}: revision {changed_in} changed it after revision {base}, which this change is made against")]
+    #[error("key {key}: changed in revision {changed_in}, after revision {base}, which this change is made against")]
     Conflict { key: String, base: Number, changed_in: Number },
     #[error("key {key}: {reason}")]
     Edit { key: String, reason: String },
-    #[error("it has no edits")]
+    #[error("no edits")]
     Empty,
-    #[error("{0} bytes or edits, where {1} at most are taken")]
+    #[error("{0} bytes or edits; at most {1} are allowed")]
     TooLarge(usize, usize),
-    #[error("the state it leads to is not taken: {0}")]
+    #[error("the resulting state is rejected: {0}")]
     State(String),
-    #[error("{0} changes are waiting, no more are taken now; try again later")]
+    #[error("{0} changes are pending and no more are accepted now; try again later")]
     Busy(usize),
-    #[error("no quorum of acceptors is reached now; whether it was taken is not known: push the same change again")]
+    #[error("no quorum of acceptors is reachable; the outcome is unknown: push the same change again")]
     Unknown,
 }
 
 impl Change {
-    /// Makes a change with the signature that `sign` gives for its bytes.
+    /// Creates a change with the signature that `sign` returns for its bytes.
     pub fn sign(
         author: Author, sequence: u64, base: Number, edits: Vec<Edit>, sign: impl FnOnce(&[u8]) -> Signature,
     ) -> Self {
@@ -80,9 +81,9 @@
         change
     }
 
-    /// What the author signs: a domain string, author (2), sequence (8), base (4), number of edits (4), and for each edit the
-    /// length of the key (4), the key, and 0 for a removal or 1, the length of the value (4) and the value. Numbers are
-    /// big-endian.
+    /// The bytes that the author signs: a domain string, author (2), sequence (8), base (4), number of edits
+    /// (4), and for each edit the length of the key (4), the key, and 0 for a removal or 1, the length of the
+    /// value (4) and the value. Numbers are big-endian.
     pub fn signed_bytes(&self) -> Vec<u8> {
         let mut bytes = DOMAIN.to_vec();
         bytes.extend_from_slice(&self.id.author.to_be_bytes());
@@ -99,17 +100,17 @@
         bytes
     }
 
-    /// Whether its author signed it by a key that holds.
-    pub fn is_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author(self.id.author, &self.signed_bytes(), &self.signature)
+    /// Whether the author signed the change with a key that is not revoked.
+    pub fn is_signed(&self, signer: &impl Hand) -> bool {
+        signer.by_author(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
-    /// Whether its author signed it, by a key that holds or held.
-    pub fn was_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author_ever(self.id.author, &self.signed_bytes(), &self.signature)
+    /// Whether the author signed the change, with a current or a revoked key.
+    pub fn was_signed(&self, signer: &impl Hand) -> bool {
+        signer.by_author_ever(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
-    /// Whether its edits are within their bounds and of keys that authors may edit, no key twice.
+    /// Checks that the edits are within bounds, and of distinct keys that authors may edit.
     fn check_edits(&self) -> Result<(), Rejection> {
         if self.edits.is_empty() {
             return Err(Rejection::Empty);
@@ -123,19 +124,22 @@
         }
         let mut keys = BTreeSet::new();
         for edit in &self.edits {
-            let refused = |reason: String| Rejection::Edit { key: edit.key.clone(), reason };
-            edit.check().map_err(|fault| refused(fault.to_string()))?;
+            let edit_rejection = |reason: String| Rejection::Edit { key: edit.key.clone(), reason };
+            edit.check().map_err(|fault| edit_rejection(fault.to_string()))?;
             if edit.key.starts_with(RESERVED) {
-                return Err(refused("it begins with NUL, as only the protocol's own keys do".to_owned()));
+                return Err(edit_rejection(
+                    "keys that begin with NUL are reserved for the protocol".to_owned(),
+                ));
             }
             if !keys.insert(&edit.key) {
-                return Err(refused("it is edited twice".to_owned()));
+                return Err(edit_rejection("edited twice".to_owned()));
             }
         }
         Ok(())
     }
 
-    /// Whether it is the author's next one, and made against a revision that there is.
+    /// Checks that the sequence number is above the last one of the author, and that the base revision
+    /// exists.
     fn check_position(&self, state: &State, highest: Number) -> Result<(), Rejection> {
         let last = last_sequence(state, self.id.author);
         if self.id.sequence <= last {
@@ -147,7 +151,7 @@
         Ok(())
     }
 
-    /// Whether none of its keys was changed after its base.
+    /// Checks that none of the keys was changed after the base revision.
     fn check_conflicts(&self, history: &History) -> Result<(), Rejection> {
         if self.base < history.floor() {
             return Err(Rejection::BaseTooOld(self.base, history.floor()));
@@ -161,48 +165,49 @@
     }
 }
 
+/// Appends a part with its length (4, big-endian).
 fn push_with_length(bytes: &mut Vec<u8>, part: &[u8]) {
     bytes.extend_from_slice(&(part.len() as u32).to_be_bytes());
     bytes.extend_from_slice(part);
 }
 
-/// The protocol's own key at which the last sequence number of an author stands, as eight bytes big-endian.
+/// The reserved key that stores the last sequence number of an author, as eight bytes big-endian.
 pub fn author_key(author: Author) -> String {
     format!("{RESERVED}author/{author}")
 }
 
-/// The sequence number of the last change of an author that the state has; 0 before the first. A value of another form
-/// counts as the highest number, so that nothing is applied twice.
+/// The sequence number of the last change of an author in the state; 0 before the first. A malformed value
+/// counts as the highest number, so that no change is applied twice.
 pub fn last_sequence(state: &State, author: Author) -> u64 {
     let Some(value) = state.get(&author_key(author)) else { return 0 };
     value.try_into().map_or(u64::MAX, u64::from_be_bytes)
 }
 
-/// Whether a change can become part of the revision after `highest`, whose state this is.
+/// Checks whether a change can be part of the revision after `highest`, whose state is given.
 ///
-/// An author's changes are numbered upwards, not without gaps: of two that come in the wrong order, the lower one is
-/// rejected.
+/// The sequence numbers of an author ascend, and may have gaps: of two changes that arrive in the wrong
+/// order, the lower one is rejected.
 ///
 /// # Errors
-/// Why it can't.
+/// The reason why it cannot.
 pub fn admit(
-    change: &Change, state: &State, history: &History, highest: Number, hand: &impl Hand,
+    change: &Change, state: &State, history: &History, highest: Number, signer: &impl Hand,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
-    if !change.is_signed(hand) {
+    if !change.is_signed(signer) {
         return Err(Rejection::Author(change.id.author));
     }
     change.check_position(state, highest)?;
     change.check_conflicts(history)
 }
 
-/// The same for a change that stands in a certified batch: a key that was revoked since takes nothing back, and
-/// conflicts were checked by those who certified it.
+/// The same check for a change in a certified batch. A key that was revoked later does not invalidate the
+/// change, and the acceptors that certified the batch have checked for conflicts.
 fn admit_certified(
-    change: &Change, state: &State, highest: Number, hand: &impl Hand,
+    change: &Change, state: &State, highest: Number, signer: &impl Hand,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
-    if !change.was_signed(hand) {
+    if !change.was_signed(signer) {
         return Err(Rejection::Author(change.id.author));
     }
     change.check_position(state, highest)
--- a/crates/distribution/src/change/batch.rs
+++ b/crates/distribution/src/change/batch.rs
@@ -1,4 +1,4 @@
-//! Batches: the changes that make one revision of the one before it.
+//! Batches: the changes that turn one revision into the next.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use crate::state::{Edit, State, StateFault};
 use crate::{digest, Digest, Hand, Number};
 
-/// Encoded bytes of a batch at most.
+/// The maximum encoded length of a batch in bytes.
 pub const LARGEST_BATCH: usize = 256 * 1024;
-/// Changes of a batch at most.
+/// The maximum number of changes in a batch.
 pub const MOST_CHANGES: usize = 1024;
-/// Bytes of a summary's text.
+/// The length of the text of a summary in bytes.
 pub const SUMMARY: usize = 68;
-/// Encoded bytes of a batch beside its changes, at most: its number, a root, how many changes there are.
-const BESIDE_CHANGES: usize = 5 + size_of::<Digest>() + 5;
+/// The maximum encoded length of a batch without its changes: its number, a root, and the number of changes.
+const BATCH_HEADER_BYTES: usize = 5 + size_of::<Digest>() + 5;
 
-/// The changes that make a revision of the one before it, in order.
+/// The changes that turn one revision into the next, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     pub number: Number,
@@ -27,7 +27,8 @@
     pub changes: Vec<Change>,
 }
 
-/// What the head of a revision names as its text: the state that it leads to, and the batch that does.
+/// The text that the head of a revision refers to: the state that the revision leads to, and the batch that
+/// leads there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The root of the state after the batch.
@@ -38,7 +39,8 @@
     pub length: u32,
 }
 
-/// Bounds of a batch that is built; a batch over [`LARGEST_BATCH`] or [`MOST_CHANGES`] is taken by nobody.
+/// Bounds for building a batch. Whatever these are, nobody accepts a batch over [`LARGEST_BATCH`] or
+/// [`MOST_CHANGES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub bytes: usize,
@@ -51,75 +53,76 @@
     }
 }
 
-/// Why a batch is not taken. Nothing has changed then.
+/// Why a batch is rejected. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BatchFault {
-    #[error("a batch of {0} bytes, where {LARGEST_BATCH} at most are taken")]
+    #[error("a batch of {0} bytes; at most {LARGEST_BATCH} are allowed")]
     TooLong(usize),
-    #[error("a batch that can't be decoded")]
+    #[error("the batch cannot be decoded")]
     Form,
-    #[error("a batch of {0} changes, where {MOST_CHANGES} at most are taken")]
+    #[error("a batch of {0} changes; at most {MOST_CHANGES} are allowed")]
     TooMany(usize),
     #[error("a batch without changes")]
     Empty,
-    #[error("a batch of revision {found}, where {expected} is the next one")]
+    #[error("a batch of revision {found}; the next one is {expected}")]
     Number { found: Number, expected: Number },
-    #[error("a batch on another state than this one")]
+    #[error("the batch applies to another state")]
     PreviousRoot,
     #[error("change {} of author {}: {rejection}", .change.sequence, .change.author)]
     Change { change: ChangeId, rejection: Rejection },
-    #[error("the state it leads to is not taken: {0}")]
+    #[error("the resulting state is rejected: {0}")]
     State(StateFault),
 }
 
-/// What became of the changes that waited for a batch.
+/// The result of building a batch from pending changes.
 #[derive(Clone, Debug)]
 pub struct Built {
-    /// The batch; without changes where all were rejected, and then not to be proposed.
+    /// The batch; empty if all changes were rejected, and then not to be proposed.
     pub batch: Batch,
     /// The batch, encoded.
     pub bytes: Vec<u8>,
     pub summary: Summary,
     /// The state that the batch leads to.
     pub state: State,
-    /// What the batch changes, each key once, by key; the protocol's own keys too.
+    /// The edits of the batch, one for each key in the order of keys, including the reserved keys.
     pub edits: Vec<Edit>,
     pub rejected: Vec<(ChangeId, Rejection)>,
-    /// Changes over the limits, for the next batch, in their order.
+    /// Changes beyond the limits, for the next batch, in their order.
     pub left: Vec<Change>,
 }
 
 impl Batch {
-    /// Builds revision `number` from waiting changes, in their order.
+    /// Builds revision `number` from pending changes, in their order.
     ///
-    /// Two changes of one key never go in one batch: the later one is rejected as a conflict with revision `number`, also
-    /// where both are by the same author. So what becomes of a change does not depend on where one batch ends and the next one begins:
-    /// an author who changes a key again names the revision of the first change as its base.
+    /// A batch never contains two changes of one key: the later one is rejected as a conflict with revision
+    /// `number`, even if both are by the same author. The outcome of a change therefore does not depend on
+    /// where one batch ends and the next begins: an author who changes a key again names the revision of the
+    /// first change as its base.
     pub fn build(
-        number: Number, state: &State, history: &History, waiting: Vec<Change>, hand: &impl Hand,
+        number: Number, state: &State, history: &History, pending: Vec<Change>, signer: &impl Hand,
         limits: Limits,
     ) -> Built {
-        let most_bytes = limits.bytes.min(LARGEST_BATCH);
-        let most_changes = limits.changes.min(MOST_CHANGES);
-        let mut assembly = Assembly::new(number, state);
+        let max_bytes = limits.bytes.min(LARGEST_BATCH);
+        let max_changes = limits.changes.min(MOST_CHANGES);
+        let mut builder = BatchBuilder::new(number, state);
         let (mut changes, mut rejected, mut left) = (Vec::new(), Vec::new(), Vec::new());
-        let mut length = BESIDE_CHANGES;
-        let mut waiting = waiting.into_iter();
-        while let Some(change) = waiting.next() {
-            let with_it = length + encoded_length(&change);
-            if changes.len() >= most_changes || (with_it > most_bytes && !changes.is_empty()) {
+        let mut length = BATCH_HEADER_BYTES;
+        let mut pending = pending.into_iter();
+        while let Some(change) = pending.next() {
+            let length_with_change = length + encoded_length(&change);
+            if changes.len() >= max_changes || (length_with_change > max_bytes && !changes.is_empty()) {
                 left.push(change);
-                left.extend(waiting);
+                left.extend(pending);
                 break;
             }
-            if with_it > most_bytes {
-                rejected.push((change.id, Rejection::TooLarge(with_it, most_bytes)));
+            if length_with_change > max_bytes {
+                rejected.push((change.id, Rejection::TooLarge(length_with_change, max_bytes)));
                 continue;
             }
-            let admitted = admit(&change, &assembly.state, history, assembly.highest(), hand);
-            match admitted.and_then(|()| assembly.take(&change)) {
+            let admitted = admit(&change, &builder.state, history, builder.highest(), signer);
+            match admitted.and_then(|()| builder.apply(&change)) {
                 Ok(()) => {
-                    length = with_it;
+                    length = length_with_change;
                     changes.push(change);
                 }
                 Err(rejection) => rejected.push((change.id, rejection)),
@@ -127,18 +130,21 @@
         }
         let batch = Self { number, previous_root: state.root(), changes };
         let bytes = batch.encode();
-        let (state, edits) = assembly.finish();
+        let (state, edits) = builder.finish();
         let summary = Summary::of(state.root(), &bytes);
         Built { batch, bytes, summary, state, edits, rejected, left }
     }
 
+    /// Encodes the batch.
     pub fn encode(&self) -> Vec<u8> {
-        // The types hold nothing that the encoding can't express.
+        // All values of these types can be encoded.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
+    /// Decodes a batch.
+    ///
     /// # Errors
-    /// Where the bytes are no batch, or one out of bounds.
+    /// If the bytes are not a batch, or the batch is out of bounds.
     pub fn decode(bytes: &[u8]) -> Result<Self, BatchFault> {
         if bytes.len() > LARGEST_BATCH {
             return Err(BatchFault::TooLong(bytes.len()));
@@ -153,28 +159,32 @@
         Ok(batch)
     }
 
-    /// Checks a batch that is proposed and applies it: the state that it leads to, and its edits, each key once, by
-    /// key, the protocol's own keys too. The history must know of the revision that the state is of.
+    /// Checks a proposed batch and applies it. Returns the resulting state and the edits, one for each key in
+    /// the order of keys, including the reserved keys. The history must include the revision of the given
+    /// state.
     ///
     /// # Errors
-    /// Where it is not the next batch of this state, or one of its changes can't be admitted.
+    /// If it is not the next batch of this state, or one of its changes is rejected.
     pub fn apply(
-        &self, state: &State, history: &History, hand: &impl Hand,
+        &self, state: &State, history: &History, signer: &impl Hand,
     ) -> Result<(State, Vec<Edit>), BatchFault> {
         let expected = history.top().saturating_add(1);
         if self.number != expected {
             return Err(BatchFault::Number { found: self.number, expected });
         }
-        self.apply_with(state, |change, state, highest| admit(change, state, history, highest, hand))
+        self.apply_with(state, |change, state, highest| admit(change, state, history, highest, signer))
     }
 
-    /// The same for a batch that is certified: a key that was revoked since takes nothing back, and conflicts, which
-    /// those who certified it have checked, are not looked for. That the root is the certified one is for the caller to check.
+    /// Applies a certified batch. A key that was revoked later does not invalidate a change, and conflicts
+    /// are not checked again, since the acceptors that certified the batch did so. The caller must check that
+    /// the resulting root is the certified one.
     ///
     /// # Errors
     /// As [`Batch::apply`].
-    pub fn apply_certified(&self, state: &State, hand: &impl Hand) -> Result<(State, Vec<Edit>), BatchFault> {
-        self.apply_with(state, |change, state, highest| admit_certified(change, state, highest, hand))
+    pub fn apply_certified(
+        &self, state: &State, signer: &impl Hand,
+    ) -> Result<(State, Vec<Edit>), BatchFault> {
+        self.apply_with(state, |change, state, highest| admit_certified(change, state, highest, signer))
     }
 
     fn apply_with(
@@ -192,28 +202,29 @@
         if self.changes.len() > MOST_CHANGES {
             return Err(BatchFault::TooMany(self.changes.len()));
         }
-        let mut assembly = Assembly::new(self.number, state);
+        let mut builder = BatchBuilder::new(self.number, state);
         for change in &self.changes {
-            admit(change, &assembly.state, assembly.highest())
-                .and_then(|()| assembly.take(change))
+            admit(change, &builder.state, builder.highest())
+                .and_then(|()| builder.apply(change))
                 .map_err(|rejection| BatchFault::Change { change: change.id, rejection })?;
         }
-        Ok(assembly.finish())
+        Ok(builder.finish())
     }
 }
 
+/// The encoded length of a change; a length over all bounds if it cannot be encoded.
 fn encoded_length(change: &Change) -> usize {
     postcard::to_stdvec(change).map_or(usize::MAX / 2, |bytes| bytes.len())
 }
 
-/// A batch in the making: the state so far, and the last edit of each key.
-struct Assembly {
+/// A batch being built or applied: the state so far, and the edits so far, by key.
+struct BatchBuilder {
     number: Number,
     state: State,
     edits: BTreeMap<String, Option<Vec<u8>>>,
 }
 
-impl Assembly {
+impl BatchBuilder {
     fn new(number: Number, state: &State) -> Self {
         Self { number, state: state.clone(), edits: BTreeMap::new() }
     }
@@ -223,8 +234,8 @@
         self.number.saturating_sub(1)
     }
 
-    /// Takes a change that was admitted. Where it is rejected, nothing has changed.
-    fn take(&mut self, change: &Change) -> Result<(), Rejection> {
+    /// Applies an admitted change. If it is rejected, nothing has changed.
+    fn apply(&mut self, change: &Change) -> Result<(), Rejection> {
         if let Some(edit) = change.edits.iter().find(|edit| self.edits.contains_key(&edit.key)) {
             let (key, base) = (edit.key.clone(), change.base);
             return Err(Rejection::Conflict { key, base, changed_in: self.number });
@@ -237,6 +248,7 @@
         Ok(())
     }
 
+    /// The resulting state, and the edits in the order of keys.
     fn finish(self) -> (State, Vec<Edit>) {
         let edits = self.edits.into_iter().map(|(key, value)| Edit { key, value });
         (self.state, edits.collect())
@@ -249,7 +261,7 @@
         Self { root, batch: digest(bytes), length: bytes.len() as u32 }
     }
 
-    /// The text of a revision's head: root, digest of the batch, length of the batch (big-endian).
+    /// The text for the head of a revision: root, digest of the batch, length of the batch (big-endian).
     pub fn text(&self) -> [u8; SUMMARY] {
         let mut text = [0; SUMMARY];
         text[..32].copy_from_slice(&self.root);
@@ -258,7 +270,7 @@
         text
     }
 
-    /// Reads what [`Summary::text`] made; none where the bytes are of another length.
+    /// Decodes bytes that [`Summary::text`] encoded; `None` if the length is wrong.
     pub fn read(text: &[u8]) -> Option<Self> {
         let text: &[u8; SUMMARY] = text.try_into().ok()?;
         let (root, rest) = text.split_first_chunk()?;
--- a/crates/distribution/src/change/history.rs
+++ b/crates/distribution/src/change/history.rs
@@ -1,4 +1,4 @@
-//! Which revision last changed each key, over the last revisions.
+//! The history of changed keys over the last revisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,29 +6,30 @@
 use crate::state::Edit;
 use crate::Number;
 
-/// Keys of all revisions of a history at most, a key counted for each revision that changed it.
+/// The maximum number of keys over all revisions of a history; a key counts once for each revision that
+/// changed it.
 pub const MOST_KEYS: usize = 128 * 1024;
 
-/// Which revision last changed each key, as far back as the window reaches.
+/// The last revision that changed each key, within a window of revisions.
 ///
-/// Machines whose windows reach back differently reject different changes as too old: a batch that one builds may not be
-/// taken by another that started later. It is never applied to different states.
+/// Machines whose windows start at different revisions reject different changes as too old: a machine that
+/// started later may reject a batch that another one built. Batches are never applied to different states.
 #[derive(Clone, Debug)]
 pub struct History {
     floor: Number,
-    most_revisions: usize,
+    max_revisions: usize,
     /// The keys that each revision after the floor changed.
     revisions: VecDeque<Vec<Arc<str>>>,
-    /// The last revision that changed a key.
+    /// The last revision that changed each key.
     changed: BTreeMap<Arc<str>, Number>,
-    /// How many keys all revisions have.
+    /// The number of keys over all revisions.
     keys: usize,
 }
 
 impl History {
-    /// A history that knows nothing of changes up to and with revision `floor`, and has `most_revisions` at most.
-    pub fn new(floor: Number, most_revisions: usize) -> Self {
-        Self { floor, most_revisions, revisions: VecDeque::new(), changed: BTreeMap::new(), keys: 0 }
+    /// An empty history that starts after revision `floor` and covers at most `max_revisions` revisions.
+    pub fn new(floor: Number, max_revisions: usize) -> Self {
+        Self { floor, max_revisions, revisions: VecDeque::new(), changed: BTreeMap::new(), keys: 0 }
     }
 
     /// All changes after this revision are known.
@@ -36,15 +37,15 @@
         self.floor
     }
 
-    /// The last revision that was recorded; the floor before the first.
+    /// The last recorded revision; the floor before the first.
     pub fn top(&self) -> Number {
         self.floor.saturating_add(self.revisions.len() as Number)
     }
 
-    /// Records what a revision changed. Where it is not the next one, all before it is forgotten.
+    /// Records the edits of a revision. If it is not the next one, all earlier revisions are removed.
     pub fn record(&mut self, number: Number, edits: &[Edit]) {
         if self.top().checked_add(1) != Some(number) {
-            *self = Self::new(number.saturating_sub(1), self.most_revisions);
+            *self = Self::new(number.saturating_sub(1), self.max_revisions);
         }
         if number == 0 {
             return;
@@ -55,17 +56,18 @@
         }
         self.keys += keys.len();
         self.revisions.push_back(keys);
-        while self.revisions.len() > self.most_revisions || self.keys > MOST_KEYS {
-            self.forget_oldest();
+        while self.revisions.len() > self.max_revisions || self.keys > MOST_KEYS {
+            self.remove_oldest();
         }
     }
 
-    /// The last revision that changed a key, if one after the floor did.
+    /// The last revision that changed a key, if that is after the floor.
     pub fn changed_in(&self, key: &str) -> Option<Number> {
         self.changed.get(key).copied()
     }
 
-    fn forget_oldest(&mut self) {
+    /// Removes the oldest revision.
+    fn remove_oldest(&mut self) {
         let Some(keys) = self.revisions.pop_front() else { return };
         self.floor += 1;
         self.keys -= keys.len();
--- a/crates/distribution/src/lease.rs
+++ b/crates/distribution/src/lease.rs
@@ -1,13 +1,14 @@
-//! Leases that acceptors grant to thousands of watchers with one signature for each relay's batch of requests.
+//! Leases that acceptors grant to thousands of watchers, with one signature for each batch of requests of a
+//! relay.
 //!
-//! A watcher draws an unpredictable nonce and notes when. Its relay gathers the nonces of its watchers as the leaves of a
-//! Merkle tree and sends the root to the acceptors; each signs the root together with the highest revision that it has
-//! allowed to be acted on. The watcher checks the path from its nonce to the root and a quorum of signatures: each
-//! signature was made after the nonce was drawn, so a lease counted from that moment is never too long, whatever the
-//! relay does.
+//! A watcher draws an unpredictable nonce and records the time. Its relay collects the nonces of its watchers
+//! as the leaves of a Merkle tree and sends the root to the acceptors; each acceptor signs the root together
+//! with the highest revision whose activation it has allowed. The watcher verifies the path from its nonce to
+//! the root and a quorum of signatures. Each signature was made after the nonce was drawn, so a lease that is
+//! counted from that moment is never too long, whatever the relay does.
 //!
-//! The tree is filled up to a power of two with a digest that is no leaf's, leaves and inner nodes are hashed in domains
-//! of their own, and the root covers the depth: no two different lists of leaves lead to one root.
+//! The tree is padded to a power of two with a digest that no leaf has, leaves and inner nodes are hashed in
+//! separate domains, and the root covers the depth: no two different lists of leaves have the same root.
 
 use std::time::Duration;
 
@@ -17,13 +18,13 @@
 
 use crate::{digest, quorum, ControllerId, Digest, Hand, MachineId, Number, Signature};
 
-/// How long a lease lasts, counted by the watcher from when it drew the nonce.
+/// The duration of a lease, counted by the watcher from when it drew the nonce.
 pub const LEASE: Duration = Duration::from_secs(6);
-/// How often a watcher asks for a new lease while one lasts: two of three requests may be lost.
+/// The number of requests that a watcher sends within a lease: two of three requests may be lost.
 pub const REQUESTS_IN_A_LEASE: u32 = 3;
 /// The depth of the largest tree of nonces: 65,536 watchers of one relay.
 pub const MAX_DEPTH: usize = 16;
-/// The most grants that a proof may have: more than there are acceptors in any deployment.
+/// The maximum number of grants in a proof: more than there are acceptors in any deployment.
 pub const MAX_GRANTS: usize = 32;
 
 const LEAF_DOMAIN: &[u8] = b"badgerledge lease leaf 1";
@@ -32,16 +33,17 @@
 const ROOT_DOMAIN: &[u8] = b"badgerledge lease root 1";
 const GRANT_DOMAIN: &[u8] = b"badgerledge lease grant 1";
 
-/// Drawn anew for each request; unpredictable, so that no grant over it can be had beforehand.
+/// Drawn for each request. Unpredictable, so that no grant over it can be obtained in advance.
 pub type Nonce = [u8; 16];
 
-/// How long two watchers may act on contradicting revisions at most. `late` is how long what was decided may still take
-/// to go out.
-pub fn bound(late: Duration) -> Duration {
-    badgerledge_revisions::bound(LEASE, late)
+/// The longest time for which two watchers may act on contradicting revisions. `action_delay` is the longest
+/// time from a decision until its messages are sent.
+pub fn bound(action_delay: Duration) -> Duration {
+    badgerledge_revisions::bound(LEASE, action_delay)
 }
 
-/// The leaf of a watcher's nonce. It covers the watcher's number: one watcher's grant is none for another.
+/// The leaf of the nonce of a watcher. It covers the number of the watcher, so that a grant for one watcher
+/// is not valid for another.
 pub fn leaf(controller: ControllerId, nonce: &Nonce) -> Digest {
     digest(&[LEAF_DOMAIN, &controller.to_be_bytes(), nonce].concat())
 }
@@ -58,60 +60,60 @@
     digest(&[ROOT_DOMAIN, &(depth as u32).to_be_bytes(), top].concat())
 }
 
-/// A tree over the nonces of one batch of lease requests.
+/// A Merkle tree over the nonces of one batch of lease requests.
 #[derive(Clone, Debug)]
 pub struct NonceTree {
-    /// The levels from the leaves, filled up to a power of two, to the single top.
+    /// The levels from the leaves, padded to a power of two, to the single top.
     levels: Vec<Vec<Digest>>,
 }
 
 impl NonceTree {
-    /// The tree over these leaves, in this order. Leaves beyond the 2^[`MAX_DEPTH`] that a tree holds are left out.
+    /// The tree over these leaves, in this order. Leaves beyond the maximum of 2^[`MAX_DEPTH`] are dropped.
     pub fn new(mut leaves: Vec<Digest>) -> Self {
         leaves.truncate(1 << MAX_DEPTH);
         let width = leaves.len().max(1).next_power_of_two();
         leaves.resize(width, empty_leaf());
         let mut levels = vec![leaves];
         while let Some(level) = levels.last().filter(|level| level.len() > 1) {
-            let above = level.chunks_exact(2).map(|pair| inner_node(&pair[0], &pair[1])).collect();
-            levels.push(above);
+            let parents = level.chunks_exact(2).map(|pair| inner_node(&pair[0], &pair[1])).collect();
+            levels.push(parents);
         }
         Self { levels }
     }
 
-    /// What acceptors sign.
+    /// The root, which acceptors sign.
     pub fn root(&self) -> Digest {
         let top = self.levels.last().and_then(|level| level.first());
         root_of(self.levels.len() - 1, top.unwrap_or(&[0; 32]))
     }
 
-    /// The digests beside the path from a leaf to the root; empty where there is no such leaf.
+    /// The sibling digests on the path from a leaf to the root; empty if there is no such leaf.
     pub fn path(&self, index: usize) -> Vec<Digest> {
         let below_top = &self.levels[..self.levels.len() - 1];
-        let beside = |(height, level): (usize, &Vec<Digest>)| level.get((index >> height) ^ 1).copied();
-        below_top.iter().enumerate().filter_map(beside).collect()
+        let sibling = |(height, level): (usize, &Vec<Digest>)| level.get((index >> height) ^ 1).copied();
+        below_top.iter().enumerate().filter_map(sibling).collect()
     }
 }
 
-/// The root that a path leads to from a leaf; none where no tree has such a path.
+/// The root that a path leads to from a leaf; `None` if no tree has such a path.
 pub fn root_from(leaf: Digest, index: u32, path: &[Digest]) -> Option<Digest> {
     if path.len() > MAX_DEPTH || u64::from(index) >= 1 << path.len() {
         return None;
     }
-    let up = |below: Digest, (height, beside): (usize, &Digest)| match index >> height & 1 {
-        0 => inner_node(&below, beside),
-        _ => inner_node(beside, &below),
+    let parent = |below: Digest, (height, sibling): (usize, &Digest)| match index >> height & 1 {
+        0 => inner_node(&below, sibling),
+        _ => inner_node(sibling, &below),
     };
-    let top = path.iter().enumerate().fold(leaf, up);
+    let top = path.iter().enumerate().fold(leaf, parent);
     Some(root_of(path.len(), &top))
 }
 
-/// An acceptor's signed statement over the root of a tree of nonces.
+/// The signed statement of an acceptor over the root of a tree of nonces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     pub acceptor: MachineId,
     pub root: Digest,
-    /// The highest revision that this acceptor had allowed to be acted on when it signed.
+    /// The highest revision whose activation this acceptor had allowed when it signed.
     pub allowed: Number,
     #[serde(with = "BigArray")]
     pub signature: Signature,
@@ -122,87 +124,87 @@
         [GRANT_DOMAIN, &acceptor.to_be_bytes(), root, &allowed.to_be_bytes()].concat()
     }
 
-    /// This acceptor's grant.
-    pub fn sign(hand: &impl Hand, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
-        let signature = hand.sign(&Self::signed_bytes(acceptor, &root, allowed));
+    /// Signs a grant as this acceptor.
+    pub fn sign(signer: &impl Hand, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
+        let signature = signer.sign(&Self::signed_bytes(acceptor, &root, allowed));
         Self { acceptor, root, allowed, signature }
     }
 
-    /// Whether an acceptor of the ring signed it.
-    pub fn holds(&self, hand: &impl Hand) -> bool {
+    /// Whether an acceptor of the ring signed the grant.
+    pub fn holds(&self, signer: &impl Hand) -> bool {
         let bytes = Self::signed_bytes(self.acceptor, &self.root, self.allowed);
-        hand.keepers().contains(&self.acceptor) && hand.by_member(self.acceptor, &bytes, &self.signature)
+        signer.keepers().contains(&self.acceptor) && signer.by_member(self.acceptor, &bytes, &self.signature)
     }
 }
 
-/// What shows a watcher that it has a lease.
+/// The proof that a watcher has a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseProof {
     pub nonce: Nonce,
-    /// The place of the nonce among the leaves.
+    /// The index of the nonce among the leaves.
     pub index: u32,
-    /// The digests beside the path from the leaf to the root.
+    /// The sibling digests on the path from the leaf to the root.
     pub path: Vec<Digest>,
     pub grants: Vec<Grant>,
 }
 
-/// Why a proof gives no lease.
+/// Why a proof does not grant a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseFault {
-    #[error("a path of {0} steps from leaf {1} is in no tree of nonces")]
+    #[error("no tree of nonces has a path of {0} steps from leaf {1}")]
     Path(usize, u32),
-    #[error("{0} grants, where {MAX_GRANTS} at most are taken")]
+    #[error("{0} grants; at most {MAX_GRANTS} are allowed")]
     TooMany(usize),
-    #[error("{0} of its grants are not signed by an acceptor over the root that the path leads to; {1} are, {2} are needed")]
+    #[error("{0} grants are not signed by an acceptor over the root of the path; {1} are, {2} are needed")]
     Unsigned(usize, usize, usize),
-    #[error("grants of {0} acceptors, where {1} are needed")]
+    #[error("grants of {0} acceptors; {1} are needed")]
     TooFew(usize, usize),
-    #[error("a quorum of acceptors granted, and revision {0} is allowed to be acted on")]
+    #[error("a quorum of acceptors granted, but the activation of revision {0} is allowed")]
     Behind(Number),
 }
 
 impl LeaseFault {
-    /// Whether whoever handed the proof down could have known that it shows nothing.
+    /// Whether the sender could have known that the proof is invalid.
     pub fn is_forged(&self) -> bool {
         matches!(self, Self::Path(..) | Self::TooMany(_) | Self::Unsigned(..))
     }
 }
 
 impl LeaseProof {
-    /// Whether this shows that a watcher which acts on revision `acting` has a lease: a quorum of acceptors granted, none
-    /// of which had allowed a higher revision when it did.
+    /// Verifies that a watcher whose active revision is `active` has a lease: a quorum of acceptors granted,
+    /// and none of them had allowed the activation of a higher revision when it did.
     ///
     /// # Errors
-    /// Where the path is in no tree, or too few acceptors granted.
+    /// If no tree has the path, or too few acceptors granted.
     pub fn check(
-        &self, controller: ControllerId, acting: Number, hand: &impl Hand,
+        &self, controller: ControllerId, active: Number, signer: &impl Hand,
     ) -> Result<(), LeaseFault> {
         let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
         if self.grants.len() > MAX_GRANTS {
             return Err(LeaseFault::TooMany(self.grants.len()));
         }
-        let mut granted: Vec<&Grant> = Vec::new();
-        let mut unsigned = 0;
+        let mut valid: Vec<&Grant> = Vec::new();
+        let mut invalid = 0;
         for grant in &self.grants {
-            if grant.root != root || !grant.holds(hand) {
-                unsigned += 1;
-            } else if !granted.iter().any(|held| held.acceptor == grant.acceptor) {
-                granted.push(grant);
+            if grant.root != root || !grant.holds(signer) {
+                invalid += 1;
+            } else if !valid.iter().any(|other| other.acceptor == grant.acceptor) {
+                valid.push(grant);
             }
         }
-        let needed = quorum(hand.keepers().len());
-        let in_time = granted.iter().filter(|grant| grant.allowed <= acting).count();
-        if in_time >= needed {
+        let needed = quorum(signer.keepers().len());
+        let not_ahead = valid.iter().filter(|grant| grant.allowed <= active).count();
+        if not_ahead >= needed {
             return Ok(());
         }
-        if granted.len() >= needed {
-            let highest = granted.iter().map(|grant| grant.allowed).max().unwrap_or(acting);
+        if valid.len() >= needed {
+            let highest = valid.iter().map(|grant| grant.allowed).max().unwrap_or(active);
             return Err(LeaseFault::Behind(highest));
         }
-        match unsigned {
-            0 => Err(LeaseFault::TooFew(granted.len(), needed)),
-            _ => Err(LeaseFault::Unsigned(unsigned, granted.len(), needed)),
+        match invalid {
+            0 => Err(LeaseFault::TooFew(valid.len(), needed)),
+            _ => Err(LeaseFault::Unsigned(invalid, valid.len(), needed)),
         }
     }
 }
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -17,116 +17,119 @@
 use crate::state::{Edit, Entry};
 use crate::{Certified, ControllerId, Digest, MachineId, Number};
 
-/// Marks a frame as this protocol in this version.
-const MARK: &[u8; 3] = b"bd1";
-/// Bytes before the body of a frame: its length and the mark.
-const HEADER: usize = 4 + MARK.len();
-/// The longest body of a frame that a watcher sends.
+/// Identifies a frame of this version of the protocol.
+const MAGIC: &[u8; 3] = b"bd1";
+/// The length of a frame before its body: the length field and the magic.
+const HEADER_BYTES: usize = 4 + MAGIC.len();
+/// The maximum length of a frame body from a watcher, in bytes.
 pub const LONGEST_FROM_WATCHER: usize = 256 * 1024;
-/// The longest body of a frame that a relay or a control machine sends.
+/// The maximum length of a frame body from a relay or a control machine, in bytes.
 pub const LONGEST_FROM_RELAY: usize = 1024 * 1024;
 
-/// What a watcher, or an operator's tool, sends to a relay.
+/// Messages from a watcher, or from an operator's tool, to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToRelay {
-    /// The first message of a connection: who asks, and what it holds. `held` is the highest certified revision whose
-    /// state it has (equal to `active`, or the prepared one), `root` the root of that state. It comes again on the same
-    /// connection after a delta on a base that the watcher does not hold: the relay goes by it from then on, and offers
-    /// a delta on that base or a snapshot.
+    /// The first message of a connection. `held` is the highest certified revision whose state the watcher
+    /// has (the active or the prepared one), and `root` the root of that state. It is sent again on the same
+    /// connection after a delta on a base that the watcher does not hold: the relay uses the new position
+    /// from then on, and offers a delta on that base or a snapshot.
     Hello { controller: ControllerId, active: Number, held: Number, root: Digest },
     /// The state of a revision is verified and stored.
     Prepared { number: Number },
-    /// A certified revision cannot be acted on here: its state does not fit this program.
+    /// The program of the watcher cannot apply the state of a certified revision.
     Unfit { number: Number, reason: String },
-    /// Asks for a lease. The nonce is unpredictable and used once.
+    /// Requests a lease. The nonce is unpredictable and used once.
     AskLease { nonce: Nonce, active: Number },
-    /// Asks for the digests of the buckets of some groups of the state last offered.
+    /// Requests the bucket digests of some groups of the state that was offered last.
     GetGroups { groups: Vec<u8> },
-    /// Asks for some buckets of the state last offered.
+    /// Requests some buckets of the state that was offered last.
     GetBuckets { buckets: Vec<u16> },
-    /// An author's change, pushed by an operator's tool.
+    /// A change of an author, pushed by an operator's tool.
     Push(Change),
-    /// Asks for a report of the control machine.
+    /// Requests the status of the control machine.
     GetStatus,
-    /// The same as [`ToRelay::AskLease`]; where no quorum of acceptors answers, a [`ToWatcher::RegionalLease`] is taken.
+    /// Like [`ToRelay::AskLease`], but a [`ToWatcher::RegionalLease`] is accepted if no quorum of acceptors
+    /// answers.
     AskRegionalLease { nonce: Nonce, active: Number },
-    /// Asks for a report on regions apart.
+    /// Requests the status of partitioned regions.
     GetApart,
 }
 
-/// What a relay sends to a watcher, or to an operator's tool.
+/// Messages from a relay to a watcher, or to an operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToWatcher {
-    /// Answers a hello: which control machine this is, and the highest revision that it holds.
+    /// Answers a hello: the control machine of the relay, and the highest revision that it holds.
     Welcome { relay: MachineId, number: Number },
-    /// The relay is at its bound: try another, or this one again after so long.
+    /// The relay is at its limit: try another one, or this one again after the given time.
     Busy { retry_after_ms: u32 },
-    /// A certified revision as edits on the state of revision `base`, whose root is `base_root`.
+    /// A certified revision as edits of the state of revision `base`, whose root is `base_root`.
     Delta { certificate: Certified, summary: Summary, base: Number, base_root: Digest, edits: Vec<Edit> },
-    /// A certified revision that no delta reaches: the digests of all groups of its state. The watcher fetches the
-    /// groups and buckets in which its own state differs.
+    /// A certified revision that no delta reaches, with the digests of all groups of its state. The watcher
+    /// fetches the groups and buckets in which its own state differs.
     Snapshot { certificate: Certified, summary: Summary, groups: Vec<Digest> },
     /// The digests of the non-empty buckets of a group.
     Group { group: u8, buckets: Vec<(u16, Digest)> },
-    /// The entries of a bucket, by key.
+    /// The entries of a bucket, in the order of their keys.
     Bucket { bucket: u16, entries: Vec<Entry> },
-    /// A quorum of acceptors says that a certified revision may be acted on.
+    /// A quorum of acceptors allows the activation of a certified revision.
     Activate { number: Number, goes: Vec<Go> },
-    /// A lease: acceptors' grants over a tree of nonces, with the path from the watcher's own.
+    /// A lease: the grants of acceptors over a tree of nonces, with the path from the nonce of the watcher.
     Lease(LeaseProof),
-    /// What became of a change that was pushed on this connection.
+    /// The outcome of a change that was pushed on this connection.
     PushOutcome { change: ChangeId, outcome: Result<Number, Rejection> },
-    /// A report for an operator.
+    /// The status of the control machine, for operators.
     Status(Box<ControlStatus>),
-    /// A lease without a quorum of acceptors: control machines' grants over a tree of nonces.
+    /// A lease without a quorum of acceptors: the grants of control machines over a tree of nonces.
     RegionalLease(RegionalProof),
-    /// A report on regions apart.
+    /// The status of partitioned regions.
     Apart(Box<ApartStatus>),
 }
 
-/// What control machines send to each other. The transport tells who sent it and that it is unaltered.
+/// Messages between control machines. The transport authenticates the sender and the content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the agreement, as `badgerledge_revisions` writes it.
+    /// A consensus message in the encoding of `badgerledge_revisions`.
     Agreement(Vec<u8>),
-    /// The encoded batch of a revision that is proposed or certified, with the text that its head names.
+    /// The encoded batch of a proposed or certified revision, with the summary that its head refers to.
     Batch { summary: Summary, bytes: Vec<u8> },
-    /// Asks for the batch with this digest.
+    /// Requests the batch with this digest.
     GetBatch { digest: Digest },
-    /// Asks what is needed to get from one's own state to the highest certified one.
+    /// Requests an update from the local state to the highest certified one.
     GetState { held: Number, root: Digest },
-    /// A part of the answer to that, or to the requests for groups and buckets that follow from it.
+    /// A part of the answer to [`PeerMessage::GetState`], or to the requests for groups and buckets that
+    /// follow.
     State(Box<ToWatcher>),
-    /// Requests for groups and buckets of a state that was offered.
+    /// Requests groups and buckets of an offered state.
     GetParts { groups: Vec<u8>, buckets: Vec<u16> },
-    /// Asks an acceptor to grant a lease over the root of a tree of nonces.
+    /// Requests a lease grant from an acceptor over the root of a tree of nonces.
     AskGrant { root: Digest },
-    /// An acceptor's grant.
+    /// A lease grant of an acceptor.
     Grant(Grant),
-    /// A change, on its way to the machine that makes batches at present.
+    /// Forwards a change to the control machine that currently builds batches.
     Forward { change: Change },
-    /// What became of a change that was forwarded.
+    /// The outcome of a forwarded change.
     Outcome { change: ChangeId, outcome: Result<Number, Rejection> },
-    /// Asks a control machine to vouch for the revision that it acts on, over the root of a tree of nonces.
+    /// Requests a regional grant for the active revision of a control machine, over the root of a tree of
+    /// nonces.
     AskRegionalGrant { root: Digest },
-    /// A control machine's regional grant.
+    /// A regional grant of a control machine.
     RegionalGrant(RegionalGrant),
 }
 
-/// What a control machine knows of regions apart, for its operator.
+/// Status of partitioned regions at a control machine, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApartStatus {
-    /// How long a cut-off region goes on; 0 where it does not.
+    /// How long a partitioned region keeps granting regional leases; 0 if it does not.
     pub apart_ms: u64,
-    /// Whether this machine could vouch for what it acts on now.
+    /// Whether this machine could sign a regional grant for its active revision now.
     pub vouches: bool,
-    /// Machines that an exclusive revision waits for at this acceptor, and for how long at most.
+    /// The machines that an exclusive revision waits for at this acceptor, and for how long at most.
     pub waits_ms: Vec<(MachineId, u64)>,
-    /// Regional leases that were handed to controllers since the start.
+    /// The number of regional leases sent to controllers since the start.
     pub regional_leases: u64,
 }
 
-/// What a control machine knows, for its operator.
+/// Status of a control machine, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
     pub machine: MachineId,
@@ -134,65 +137,67 @@
     pub active: Number,
     pub certified: Number,
     pub root: Digest,
-    /// The stated bound T on how long two controllers may act on contradicting revisions.
+    /// The stated bound T on the time for which two controllers may act on contradicting revisions.
     pub bound_ms: u64,
     pub lease_ms: u64,
     pub watchers: u32,
-    /// Watchers that have prepared the highest certified revision.
+    /// The number of watchers that have prepared the highest certified revision.
     pub prepared: u32,
-    /// The first few watchers that have not.
+    /// The first few of the watchers that have not.
     pub lagging: Vec<ControllerId>,
     /// Control machines that the agreement waits for.
     pub waited_for: Vec<MachineId>,
-    /// The oldest revision from which a delta can be made.
+    /// The oldest revision from which a delta can be built.
     pub log_floor: Number,
     pub entries: u64,
     pub state_bytes: u64,
 }
 
-/// Why bytes on a stream are not taken. The connection they came on is closed.
+/// Why bytes on a stream are rejected. The connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameFault {
-    #[error("a frame of {0} bytes where {1} at most are allowed")]
+    #[error("a frame of {0} bytes; at most {1} are allowed")]
     TooLong(usize, usize),
-    #[error("not a frame of this protocol, or one of another version (bd1 is spoken here)")]
+    #[error("not a frame of this version of the protocol (bd1)")]
     Mark,
-    #[error("a frame whose body can't be decoded")]
+    #[error("the body of a frame cannot be decoded")]
     Body,
-    #[error("{0} bytes left over behind the message of a frame")]
+    #[error("{0} trailing bytes after the message of a frame")]
     Trailing(usize),
 }
 
 /// Encodes a message as one frame.
 pub fn encode<M: Serialize>(message: &M) -> Vec<u8> {
-    // The types hold nothing that the encoding can't express.
+    // All values of these types can be encoded.
     let body = postcard::to_stdvec(message).unwrap_or_default();
-    let length = (MARK.len() + body.len()) as u32;
-    let mut frame = Vec::with_capacity(HEADER + body.len());
+    let length = (MAGIC.len() + body.len()) as u32;
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend_from_slice(&length.to_be_bytes());
-    frame.extend_from_slice(MARK);
+    frame.extend_from_slice(MAGIC);
     frame.extend_from_slice(&body);
     frame
 }
 
-/// Decodes the first frame of a buffer, if it is whole: the message and how many bytes it took.
+/// Decodes the first frame of a buffer. Returns the message and the length of the frame, or `None` if the
+/// frame is incomplete.
 ///
 /// # Errors
-/// Where the bytes can't be a frame of this protocol with a body of at most `longest` bytes.
-pub fn decode<M: DeserializeOwned>(bytes: &[u8], longest: usize) -> Result<Option<(M, usize)>, FrameFault> {
+/// If the bytes cannot be a frame of this protocol with a body of at most `max_body` bytes.
+pub fn decode<M: DeserializeOwned>(bytes: &[u8], max_body: usize) -> Result<Option<(M, usize)>, FrameFault> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
-    if length > longest + MARK.len() {
-        return Err(FrameFault::TooLong(length, longest));
+    if length > max_body + MAGIC.len() {
+        return Err(FrameFault::TooLong(length, max_body));
     }
-    let seen = rest.len().min(MARK.len());
-    if length < MARK.len() || rest[..seen] != MARK[..seen] {
+    let received = rest.len().min(MAGIC.len());
+    if length < MAGIC.len() || rest[..received] != MAGIC[..received] {
         return Err(FrameFault::Mark);
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
-    let (message, left) = postcard::take_from_bytes(&frame[MARK.len()..]).map_err(|_| FrameFault::Body)?;
-    if !left.is_empty() {
-        return Err(FrameFault::Trailing(left.len()));
+    let (message, trailing) =
+        postcard::take_from_bytes(&frame[MAGIC.len()..]).map_err(|_| FrameFault::Body)?;
+    if !trailing.is_empty() {
+        return Err(FrameFault::Trailing(trailing.len()));
     }
     Ok(Some((message, 4 + length)))
 }
--- a/crates/distribution/src/state.rs
+++ b/crates/distribution/src/state.rs
@@ -1,8 +1,9 @@
 //! The configuration as a map of keys to values with a Merkle root.
 //!
-//! Keys are spread over [`BUCKETS`] buckets by the first bits of their SHA-256 digest; [`GROUP`] buckets in a row make a
-//! group. The digest of a bucket covers its entries in the order of their keys, that of a group its non-empty buckets,
-//! the root all groups. An edit costs the digests of its bucket, its group and the root, not of the whole.
+//! Keys are spread over [`BUCKETS`] buckets by the first bits of their SHA-256 digest; [`GROUP`] consecutive
+//! buckets make a group. The digest of a bucket covers its entries in the order of their keys, that of a
+//! group its non-empty buckets, and the root all groups. An edit costs the digests of its bucket, its group
+//! and the root, not of the whole state.
 //!
 //! Each digest is SHA-256 over a domain string and the following, all numbers big-endian:
 //!
@@ -22,29 +23,30 @@
 use thiserror::Error;
 
 use crate::Digest;
-use packed::Gathered;
+use packed::BucketBuilder;
 
-/// How many buckets there are.
+/// The number of buckets.
 pub const BUCKETS: u16 = 4096;
-/// How many buckets make a group.
+/// The number of buckets in a group.
 pub const GROUP: u16 = 64;
-/// How many groups there are.
+/// The number of groups.
 pub const GROUPS: u8 = (BUCKETS / GROUP) as u8;
-/// Bytes of a key at most; a key has one byte at least.
+/// The maximum length of a key in bytes; the minimum is one byte.
 pub const LONGEST_KEY: usize = 256;
-/// Bytes of a value at most.
+/// The maximum length of a value in bytes.
 pub const LONGEST_VALUE: usize = 64 * 1024;
-/// Encoded bytes of a bucket at most, so that a bucket fits in one frame of [`crate::message::LONGEST_FROM_RELAY`].
+/// The maximum encoded length of a bucket in bytes, so that a bucket fits in one frame of
+/// [`crate::message::LONGEST_FROM_RELAY`].
 pub const LARGEST_BUCKET: usize = 512 * 1024;
-/// Encoded bytes of a whole state at most.
+/// The maximum encoded length of all entries of a state in bytes.
 pub const LARGEST_STATE: usize = 64 * 1024 * 1024;
-/// Entries of a whole state at most.
+/// The maximum number of entries of a state.
 pub const MOST_ENTRIES: usize = 1024 * 1024;
 
-/// Marks a stored state in this version. Its root and its encoded buckets, in their order, follow.
-const MARK: &[u8; 4] = b"bds1";
-/// Bytes of a stored state before its entries.
-const HEADER: usize = MARK.len() + size_of::<Digest>();
+/// Identifies a stored state of this version. The root and the encoded buckets, in their order, follow.
+const MAGIC: &[u8; 4] = b"bds1";
+/// The length of a stored state before its entries.
+const HEADER_BYTES: usize = MAGIC.len() + size_of::<Digest>();
 
 const BUCKET_DOMAIN: &[u8] = b"badgerledge state bucket 1";
 const GROUP_DOMAIN: &[u8] = b"badgerledge state group 1";
@@ -61,7 +63,7 @@
     pub value: Vec<u8>,
 }
 
-/// A key with its new value, or with none where it is removed.
+/// A key with its new value, or `None` to remove it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
     pub key: String,
@@ -69,41 +71,44 @@
 }
 
 impl Edit {
+    /// Checks the lengths of the key and the value.
+    ///
     /// # Errors
-    /// Where the key or the value is out of bounds.
+    /// If the key or the value is out of bounds.
     pub fn check(&self) -> Result<(), StateFault> {
         packed::check(&self.key, self.value.as_deref().unwrap_or_default())
     }
 }
 
-/// Why entries, edits or bytes make no state. Nothing has changed then.
+/// Why entries, edits or bytes are rejected. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateFault {
-    #[error("a key of {0} bytes; it has from 1 to {LONGEST_KEY}")]
+    #[error("a key of {0} bytes; 1 to {LONGEST_KEY} are allowed")]
     KeyLength(usize),
-    #[error("key {key}: a value of {length} bytes, where {LONGEST_VALUE} at most are taken")]
+    #[error("key {key}: a value of {length} bytes; at most {LONGEST_VALUE} are allowed")]
     ValueLength { key: String, length: usize },
-    #[error("key {0}: it stands twice, or not in the order of keys")]
+    #[error("key {0}: duplicate, or out of order")]
     Order(String),
-    #[error("key {key}: it does not belong to bucket {bucket}")]
+    #[error("key {key}: does not belong to bucket {bucket}")]
     WrongBucket { key: String, bucket: u16 },
     #[error("there is no bucket {0}; there are {BUCKETS}")]
     NoBucket(u16),
-    #[error("bucket {bucket} would have {length} bytes, where {LARGEST_BUCKET} at most are taken")]
+    #[error("bucket {bucket} would have {length} bytes; at most {LARGEST_BUCKET} are allowed")]
     BucketTooLarge { bucket: u16, length: usize },
-    #[error("it would have {0} bytes, where {LARGEST_STATE} at most are taken")]
+    #[error("the state would have {0} bytes; at most {LARGEST_STATE} are allowed")]
     TooLarge(usize),
-    #[error("it would have {0} entries, where {MOST_ENTRIES} at most are taken")]
+    #[error("the state would have {0} entries; at most {MOST_ENTRIES} are allowed")]
     TooMany(usize),
-    #[error("not a stored state, or one of another version (bds1 is read here)")]
+    #[error("not a stored state of this version (bds1)")]
     Mark,
-    #[error("byte {0} of a stored state: what stands there is cut off, or no entry")]
+    #[error("stored state: truncated or malformed entry at byte {0}")]
     Form(usize),
-    #[error("a stored state whose root is not the one that it names: it is torn or changed")]
+    #[error("stored state: torn or corrupt, the root of its entries is not the stored root")]
     Root,
 }
 
-/// A map of keys to values. A clone shares all buckets with the original; an edit copies what it touches.
+/// A map of keys to values. A clone shares all buckets with the original; an edit copies only the buckets
+/// that it touches.
 #[derive(Clone)]
 pub struct State {
     /// The non-empty groups.
@@ -113,6 +118,7 @@
     bytes: usize,
 }
 
+/// A non-empty group.
 #[derive(Clone, Default)]
 struct Group {
     digest: Digest,
@@ -120,33 +126,39 @@
     buckets: Vec<Bucket>,
 }
 
+/// A non-empty bucket.
 #[derive(Clone)]
 struct Bucket {
     number: u16,
     digest: Digest,
+    /// The encoded entries.
     packed: Arc<[u8]>,
 }
 
 impl State {
+    /// An empty state.
     pub fn new() -> Self {
         Self { groups: BTreeMap::new(), root: *EMPTY_ROOT, entries: 0, bytes: 0 }
     }
 
+    /// A state with these entries.
+    ///
     /// # Errors
-    /// Where an entry is out of bounds, a key stands twice, or they are too many.
+    /// If an entry is out of bounds, a key occurs twice, or there are too many entries.
     pub fn from_entries(entries: impl IntoIterator<Item = Entry>) -> Result<Self, StateFault> {
         let mut entries: Vec<(u16, Entry)> =
             entries.into_iter().map(|entry| (bucket_of(&entry.key), entry)).collect();
         entries.sort_unstable_by(|a, b| (a.0, &a.1.key).cmp(&(b.0, &b.1.key)));
-        let mut gathered = Gathered::default();
+        let mut builder = BucketBuilder::default();
         for (bucket, entry) in &entries {
-            gathered.push(*bucket, &entry.key, &entry.value)?;
+            builder.push(*bucket, &entry.key, &entry.value)?;
         }
         let mut state = Self::new();
-        state.put(gathered.into_buckets())?;
+        state.replace_buckets(builder.into_buckets())?;
         Ok(state)
     }
 
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&[u8]> {
         packed::find(self.packed(bucket_of(key)), key)
     }
@@ -157,27 +169,31 @@
         buckets.flat_map(|bucket| packed::entries(&bucket.packed))
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries
     }
 
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries == 0
     }
 
-    /// Encoded bytes of all entries.
+    /// The encoded length of all entries in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// The Merkle root.
     pub fn root(&self) -> Digest {
         self.root
     }
 
-    /// Applies edits in order: all of them or, where one is refused, none. A key that is not there can be removed.
+    /// Applies edits in order: all of them or, if one is rejected, none. Removing a missing key is not an
+    /// error.
     ///
     /// # Errors
-    /// Where an edit, or the state that it leads to, is out of bounds.
+    /// If an edit, or the resulting state, is out of bounds.
     pub fn apply(&mut self, edits: &[Edit]) -> Result<(), StateFault> {
         let mut by_bucket: BTreeMap<u16, BTreeMap<&str, Option<&[u8]>>> = BTreeMap::new();
         for edit in edits {
@@ -186,56 +202,58 @@
         }
         let edited = |(bucket, edits)| (bucket, packed::edited(self.packed(bucket), &edits));
         let changed = by_bucket.into_iter().map(edited).collect();
-        self.put(changed)
+        self.replace_buckets(changed)
     }
 
-    /// The digests of all groups, empty ones too.
+    /// The digests of all groups, including empty ones.
     pub fn group_digests(&self) -> Vec<Digest> {
         let digest_of = |group| self.groups.get(&group).map_or(*EMPTY_GROUP, |group| group.digest);
         (0..GROUPS).map(digest_of).collect()
     }
 
-    /// The non-empty buckets of a group with their digests, by number.
+    /// The non-empty buckets of a group with their digests, in the order of their numbers.
     pub fn group(&self, group: u8) -> Vec<(u16, Digest)> {
         self.groups.get(&group).map_or_else(Vec::new, |group| group.bucket_digests())
     }
 
-    /// The entries of a bucket, by key.
+    /// The entries of a bucket, in the order of their keys.
     pub fn bucket(&self, bucket: u16) -> Vec<Entry> {
         let owned = |(key, value): (&str, &[u8])| Entry { key: key.to_owned(), value: value.to_vec() };
         packed::entries(self.packed(bucket)).map(owned).collect()
     }
 
+    /// The digest of a bucket.
     pub fn bucket_digest(&self, bucket: u16) -> Digest {
         self.find_bucket(bucket).map_or_else(|| packed_digest(&[]), |bucket| bucket.digest)
     }
 
-    /// Puts these entries in place of a bucket's.
+    /// Replaces the entries of a bucket.
     ///
     /// # Errors
-    /// Where an entry is out of bounds, of another bucket or not in the order of keys, or the state would be too large.
+    /// If an entry is out of bounds, of another bucket or not in the order of keys, or the state would be too
+    /// large.
     pub fn replace_bucket(&mut self, bucket: u16, entries: Vec<Entry>) -> Result<(), StateFault> {
         if bucket >= BUCKETS {
             return Err(StateFault::NoBucket(bucket));
         }
-        let mut gathered = Gathered::default();
+        let mut builder = BucketBuilder::default();
         for entry in entries {
-            gathered.push(bucket, &entry.key, &entry.value)?;
+            builder.push(bucket, &entry.key, &entry.value)?;
             if bucket_of(&entry.key) != bucket {
                 return Err(StateFault::WrongBucket { key: entry.key, bucket });
             }
         }
-        let mut changed = gathered.into_buckets();
+        let mut changed = builder.into_buckets();
         if changed.is_empty() {
             changed.push((bucket, Vec::new()));
         }
-        self.put(changed)
+        self.replace_buckets(changed)
     }
 
     /// Encodes the state for a file.
     pub fn write(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEADER + self.bytes);
-        bytes.extend_from_slice(MARK);
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + self.bytes);
+        bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&self.root);
         for bucket in self.groups.values().flat_map(|group| &group.buckets) {
             bytes.extend_from_slice(&bucket.packed);
@@ -243,25 +261,25 @@
         bytes
     }
 
-    /// Decodes what [`State::write`] made. That the root is a certified one is for the caller to check.
+    /// Decodes bytes that [`State::write`] encoded. The caller must check that the root is a certified one.
     ///
     /// # Errors
-    /// Where the bytes are of another kind or version, cut, changed, or out of bounds.
+    /// If the bytes are of another format or version, truncated, changed, or out of bounds.
     pub fn read(bytes: &[u8]) -> Result<Self, StateFault> {
-        let named = bytes.strip_prefix(MARK).ok_or(StateFault::Mark)?;
-        let (root, mut rest) = named.split_first_chunk::<32>().ok_or(StateFault::Form(bytes.len()))?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(StateFault::Mark)?;
+        let (root, mut rest) = rest.split_first_chunk::<32>().ok_or(StateFault::Form(bytes.len()))?;
         if rest.len() > LARGEST_STATE {
             return Err(StateFault::TooLarge(rest.len()));
         }
-        let mut gathered = Gathered::default();
+        let mut builder = BucketBuilder::default();
         while !rest.is_empty() {
-            let place = bytes.len() - rest.len();
-            let (key, value, behind) = packed::split(rest).ok_or(StateFault::Form(place))?;
-            gathered.push(bucket_of(key), key, value)?;
-            rest = behind;
+            let offset = bytes.len() - rest.len();
+            let (key, value, following) = packed::split_entry(rest).ok_or(StateFault::Form(offset))?;
+            builder.push(bucket_of(key), key, value)?;
+            rest = following;
         }
         let mut state = Self::new();
-        state.put(gathered.into_buckets())?;
+        state.replace_buckets(builder.into_buckets())?;
         if state.root != *root {
             return Err(StateFault::Root);
         }
@@ -277,9 +295,9 @@
         self.find_bucket(bucket).map_or(&[], |bucket| &bucket.packed)
     }
 
-    /// Puts encoded buckets in place of present ones: all or, where the state would be out of bounds, none.
-    fn put(&mut self, changed: Vec<(u16, Vec<u8>)>) -> Result<(), StateFault> {
-        (self.entries, self.bytes) = self.size_with(&changed)?;
+    /// Replaces encoded buckets: all of them or, if the state would be out of bounds, none.
+    fn replace_buckets(&mut self, changed: Vec<(u16, Vec<u8>)>) -> Result<(), StateFault> {
+        (self.entries, self.bytes) = self.size_after_replacing(&changed)?;
         let mut by_group: BTreeMap<u8, Vec<(u16, Vec<u8>)>> = BTreeMap::new();
         for (bucket, packed) in changed {
             if self.packed(bucket) != packed {
@@ -288,7 +306,7 @@
         }
         for (number, buckets) in by_group {
             let group = Arc::make_mut(self.groups.entry(number).or_default());
-            group.put(buckets);
+            group.replace_buckets(buckets);
             if group.buckets.is_empty() {
                 self.groups.remove(&number);
             }
@@ -297,16 +315,16 @@
         Ok(())
     }
 
-    /// How many entries and bytes the state would have with some buckets put in place of present ones.
-    fn size_with(&self, changed: &[(u16, Vec<u8>)]) -> Result<(usize, usize), StateFault> {
+    /// The number of entries and bytes that the state would have after some buckets are replaced.
+    fn size_after_replacing(&self, changed: &[(u16, Vec<u8>)]) -> Result<(usize, usize), StateFault> {
         let (mut entries, mut bytes) = (self.entries, self.bytes);
         for (bucket, packed) in changed {
             if packed.len() > LARGEST_BUCKET {
                 return Err(StateFault::BucketTooLarge { bucket: *bucket, length: packed.len() });
             }
-            let present = self.packed(*bucket);
-            entries = entries - packed::count(present) + packed::count(packed);
-            bytes = bytes - present.len() + packed.len();
+            let current = self.packed(*bucket);
+            entries = entries - packed::count(current) + packed::count(packed);
+            bytes = bytes - current.len() + packed.len();
         }
         if entries > MOST_ENTRIES {
             return Err(StateFault::TooMany(entries));
@@ -320,23 +338,23 @@
 
 impl Group {
     fn find(&self, bucket: u16) -> Option<&Bucket> {
-        let place = self.buckets.binary_search_by_key(&bucket, |bucket| bucket.number).ok()?;
-        self.buckets.get(place)
+        let index = self.buckets.binary_search_by_key(&bucket, |bucket| bucket.number).ok()?;
+        self.buckets.get(index)
     }
 
     fn bucket_digests(&self) -> Vec<(u16, Digest)> {
         self.buckets.iter().map(|bucket| (bucket.number, bucket.digest)).collect()
     }
 
-    /// Puts encoded buckets in place of present ones.
-    fn put(&mut self, changed: Vec<(u16, Vec<u8>)>) {
+    /// Replaces encoded buckets, and removes the empty ones.
+    fn replace_buckets(&mut self, changed: Vec<(u16, Vec<u8>)>) {
         for (number, packed) in changed {
             let bucket = Bucket { number, digest: packed_digest(&packed), packed: packed.into() };
             match self.buckets.binary_search_by_key(&number, |bucket| bucket.number) {
-                Ok(place) if bucket.packed.is_empty() => drop(self.buckets.remove(place)),
-                Ok(place) => self.buckets[place] = bucket,
+                Ok(index) if bucket.packed.is_empty() => drop(self.buckets.remove(index)),
+                Ok(index) => self.buckets[index] = bucket,
                 Err(_) if bucket.packed.is_empty() => {}
-                Err(place) => self.buckets.insert(place, bucket),
+                Err(index) => self.buckets.insert(index, bucket),
             }
         }
         self.buckets.shrink_to_fit();
@@ -350,7 +368,7 @@
     }
 }
 
-/// States with the same root hold the same entries.
+/// States with the same root have the same entries.
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         self.root == other.root
@@ -365,13 +383,13 @@
     }
 }
 
-/// The root over the digests of all groups; none where they are not [`GROUPS`].
+/// The root over the digests of all groups; `None` if there are not [`GROUPS`] of them.
 pub fn root_of_groups(groups: &[Digest]) -> Option<Digest> {
-    let complete = groups.len() == usize::from(GROUPS);
-    complete.then(|| hash(ROOT_DOMAIN, groups.iter().map(|digest| &digest[..])))
+    let is_complete = groups.len() == usize::from(GROUPS);
+    is_complete.then(|| hash(ROOT_DOMAIN, groups.iter().map(|digest| &digest[..])))
 }
 
-/// The digest of a group from its non-empty buckets, by number.
+/// The digest of a group from its non-empty buckets, in the order of their numbers.
 pub fn group_digest(buckets: &[(u16, Digest)]) -> Digest {
     let mut hasher = Sha256::new_with_prefix(GROUP_DOMAIN);
     for (bucket, digest) in buckets {
@@ -381,7 +399,7 @@
     hasher.finalize().into()
 }
 
-/// The digest of a bucket from its entries, by key.
+/// The digest of a bucket from its entries, in the order of their keys.
 pub fn bucket_digest(entries: &[Entry]) -> Digest {
     let mut packed = Vec::new();
     for entry in entries {
@@ -401,10 +419,12 @@
     (bucket / GROUP) as u8
 }
 
+/// The digest of an encoded bucket.
 fn packed_digest(packed: &[u8]) -> Digest {
     hash(BUCKET_DOMAIN, [packed])
 }
 
+/// The SHA-256 digest of a domain string and some parts.
 fn hash<'a>(domain: &[u8], parts: impl IntoIterator<Item = &'a [u8]>) -> Digest {
     let mut hasher = Sha256::new_with_prefix(domain);
     parts.into_iter().for_each(|part| hasher.update(part));
--- a/crates/distribution/src/state/packed.rs
+++ b/crates/distribution/src/state/packed.rs
@@ -1,4 +1,4 @@
-//! The encoding of a bucket's entries: what its digest covers, what memory holds and what a file holds.
+//! The encoding of the entries of a bucket, which is used for digests, in memory and in files.
 //!
 //! | bytes | field of an entry |
 //! |---|---|
@@ -11,18 +11,20 @@
 
 use super::{StateFault, LONGEST_KEY, LONGEST_VALUE};
 
-/// Bytes of an entry beside its key and value.
-const LENGTHS: usize = 8;
+/// The length of an entry without its key and value.
+const ENTRY_HEADER_BYTES: usize = 8;
 
-/// An entry whose key is not known to be text.
-struct Raw<'a> {
+/// An entry whose key is not yet known to be UTF-8, and the bytes after it.
+struct RawEntry<'a> {
     key: &'a [u8],
     value: &'a [u8],
     rest: &'a [u8],
 }
 
+/// Checks the lengths of a key and a value.
+///
 /// # Errors
-/// Where the key or the value is out of bounds.
+/// If the key or the value is out of bounds.
 pub fn check(key: &str, value: &[u8]) -> Result<(), StateFault> {
     if !(1..=LONGEST_KEY).contains(&key.len()) {
         return Err(StateFault::KeyLength(key.len()));
@@ -33,7 +35,7 @@
     Ok(())
 }
 
-/// Appends an entry, whose key and value are within their bounds.
+/// Appends an entry. Its key and value must be within their bounds.
 pub fn push(packed: &mut Vec<u8>, key: &str, value: &[u8]) {
     packed.extend_from_slice(&(key.len() as u32).to_be_bytes());
     packed.extend_from_slice(&(value.len() as u32).to_be_bytes());
@@ -41,26 +43,26 @@
     packed.extend_from_slice(value);
 }
 
-/// The first entry of some bytes, and what follows it; none where they hold no whole entry.
-pub fn split(bytes: &[u8]) -> Option<(&str, &[u8], &[u8])> {
-    let Raw { key, value, rest } = split_raw(bytes)?;
+/// The first entry of some bytes, and the bytes after it; `None` if there is no complete entry.
+pub fn split_entry(bytes: &[u8]) -> Option<(&str, &[u8], &[u8])> {
+    let RawEntry { key, value, rest } = split_raw(bytes)?;
     Some((std::str::from_utf8(key).ok()?, value, rest))
 }
 
-fn split_raw(bytes: &[u8]) -> Option<Raw<'_>> {
+fn split_raw(bytes: &[u8]) -> Option<RawEntry<'_>> {
     let (key_length, bytes) = bytes.split_first_chunk::<4>()?;
     let (value_length, bytes) = bytes.split_first_chunk::<4>()?;
     let (key, bytes) = bytes.split_at_checked(u32::from_be_bytes(*key_length) as usize)?;
     let (value, rest) = bytes.split_at_checked(u32::from_be_bytes(*value_length) as usize)?;
-    Some(Raw { key, value, rest })
+    Some(RawEntry { key, value, rest })
 }
 
 /// The entries of an encoded bucket.
 pub fn entries(packed: &[u8]) -> impl Iterator<Item = (&str, &[u8])> {
     let mut rest = packed;
     std::iter::from_fn(move || {
-        let (key, value, behind) = split(rest)?;
-        rest = behind;
+        let (key, value, following) = split_entry(rest)?;
+        rest = following;
         Some((key, value))
     })
 }
@@ -77,7 +79,7 @@
     None
 }
 
-/// How many entries an encoded bucket has.
+/// The number of entries in an encoded bucket.
 pub fn count(packed: &[u8]) -> usize {
     let mut rest = packed;
     let mut count = 0;
@@ -88,10 +90,11 @@
     count
 }
 
-/// An encoded bucket after edits, which are within their bounds.
+/// The encoded bucket after some edits, which must be within their bounds.
 pub fn edited(packed: &[u8], edits: &BTreeMap<&str, Option<&[u8]>>) -> Vec<u8> {
-    let added = edits.iter().map(|(key, value)| LENGTHS + key.len() + value.map_or(0, <[u8]>::len));
-    let mut result = Vec::with_capacity(packed.len() + added.sum::<usize>());
+    let added_bytes =
+        edits.iter().map(|(key, value)| ENTRY_HEADER_BYTES + key.len() + value.map_or(0, <[u8]>::len));
+    let mut result = Vec::with_capacity(packed.len() + added_bytes.sum::<usize>());
     let mut edits = edits.iter().peekable();
     for (key, value) in entries(packed) {
         while let Some((new_key, new_value)) = edits.next_if(|(edited, _)| **edited < key) {
@@ -114,16 +117,18 @@
     }
 }
 
-/// Gathers entries that come in order, by bucket and within a bucket by key, into encoded buckets.
+/// Builds encoded buckets from entries that are added in order, by bucket and within a bucket by key.
 #[derive(Default)]
-pub struct Gathered {
+pub struct BucketBuilder {
     buckets: Vec<(u16, Vec<u8>)>,
     last_key: String,
 }
 
-impl Gathered {
+impl BucketBuilder {
+    /// Adds an entry.
+    ///
     /// # Errors
-    /// Where the entry is out of bounds, or does not come after the one before it.
+    /// If the entry is out of bounds, or does not come after the previous one.
     pub fn push(&mut self, bucket: u16, key: &str, value: &[u8]) -> Result<(), StateFault> {
         check(key, value)?;
         match self.buckets.last_mut() {
@@ -139,6 +144,7 @@
         Ok(())
     }
 
+    /// The encoded buckets with their numbers.
     pub fn into_buckets(self) -> Vec<(u16, Vec<u8>)> {
         self.buckets
     }
--- a/crates/distribution/src/tests/change.rs
+++ b/crates/distribution/src/tests/change.rs
@@ -1,4 +1,5 @@
-//! Changes and batches: what is rejected and why, that nothing has changed then, and that building and applying agree.
+//! Tests of changes and batches: what is rejected and why, that a rejection changes nothing, and that
+//! building and applying a batch agree.
 
 use quickcheck::{Gen, QuickCheck};
 
@@ -12,7 +13,7 @@
 use crate::state::{Edit, State, LONGEST_KEY, LONGEST_VALUE};
 use crate::Number;
 
-/// What a control machine knows: the state of a revision and what led to it.
+/// The state and the history of a control machine.
 #[derive(Clone)]
 struct Machine {
     state: State,
@@ -25,45 +26,45 @@
     }
 
     fn admit(&self, change: &Change) -> Result<(), Rejection> {
-        admit(change, &self.state, &self.history, self.history.top(), &hand())
+        admit(change, &self.state, &self.history, self.history.top(), &signer())
     }
 
-    fn build_within(&self, waiting: Vec<Change>, limits: Limits) -> Built {
-        Batch::build(self.history.top() + 1, &self.state, &self.history, waiting, &hand(), limits)
+    fn build_within(&self, pending: Vec<Change>, limits: Limits) -> Built {
+        Batch::build(self.history.top() + 1, &self.state, &self.history, pending, &signer(), limits)
     }
 
-    fn build(&self, waiting: Vec<Change>) -> Built {
-        self.build_within(waiting, Limits::default())
+    fn build(&self, pending: Vec<Change>) -> Built {
+        self.build_within(pending, Limits::default())
     }
 
     fn apply(&self, batch: &Batch) -> Result<(State, Vec<Edit>), BatchFault> {
-        batch.apply(&self.state, &self.history, &hand())
+        batch.apply(&self.state, &self.history, &signer())
     }
 
-    fn go_on(&mut self, built: &Built) {
+    fn advance(&mut self, built: &Built) {
         self.history.record(built.batch.number, &built.edits);
         self.state = built.state.clone();
     }
 
-    /// Makes revisions that change these keys, one by one.
+    /// Builds one revision for each of these keys.
     fn with_revisions(keys: &[&str]) -> Self {
         let mut machine = Self::new();
-        for (place, key) in keys.iter().enumerate() {
+        for (index, key) in keys.iter().enumerate() {
             let base = machine.history.top();
-            let built = machine.build(vec![change(1, place as u64 + 1, base, vec![put(key, "1")])]);
+            let built = machine.build(vec![change(1, index as u64 + 1, base, vec![put(key, "1")])]);
             assert!(built.rejected.is_empty());
-            machine.go_on(&built);
+            machine.advance(&built);
         }
         machine
     }
 }
 
-fn hand() -> DigestHand {
+fn signer() -> DigestHand {
     DigestHand::new(0, 7)
 }
 
 fn without_author(author: u16) -> DigestHand {
-    DigestHand { revoked: [author].into(), ..hand() }
+    DigestHand { revoked: [author].into(), ..signer() }
 }
 
 fn id(author: u16, sequence: u64) -> ChangeId {
@@ -71,10 +72,10 @@
 }
 
 #[test]
-fn a_change_is_signed_whole() {
+fn the_signature_covers_the_whole_change() {
     let good = change(1, 1, 0, vec![put("a", "1"), removal("b")]);
-    assert!(good.is_signed(&hand()));
-    let altered: [fn(&mut Change); 8] = [
+    assert!(good.is_signed(&signer()));
+    let alterations: [fn(&mut Change); 8] = [
         |change| change.id.author = 2,
         |change| change.id.sequence = 2,
         |change| change.base = 1,
@@ -84,16 +85,16 @@
         |change| drop(change.edits.pop()),
         |change| change.signature[0] ^= 1,
     ];
-    for alter in altered {
+    for alter in alterations {
         let mut bad = good.clone();
         alter(&mut bad);
-        assert!(!bad.is_signed(&hand()));
+        assert!(!bad.is_signed(&signer()));
     }
 }
 
-/// What authors sign is part of the protocol, and nothing in it can be read in two ways.
+/// The signed bytes are part of the protocol and unambiguous.
 #[test]
-fn signed_bytes_are_those_of_the_protocol() {
+fn signed_bytes_match_the_protocol() {
     let bytes = change(1, 2, 3, vec![put("ab", "c"), removal("d")]).signed_bytes();
     let head = b"badgerledge change 1\0\x01\0\0\0\0\0\0\0\x02\0\0\0\x03\0\0\0\x02";
     let edits = b"\0\0\0\x02ab\x01\0\0\0\x01c\0\0\0\x01d\0";
@@ -105,12 +106,15 @@
     let machine = Machine::new();
     let rejection_of = |edits| machine.admit(&change(1, 1, 0, edits)).unwrap_err();
     assert_eq!(rejection_of(vec![]), Rejection::Empty);
-    let many: Vec<Edit> = (0..=MOST_EDITS).map(|number| removal(&format!("{number}"))).collect();
-    assert_eq!(machine.admit(&change(1, 1, 0, many[1..].to_vec())), Ok(()));
-    assert_eq!(rejection_of(many), Rejection::TooLarge(MOST_EDITS + 1, MOST_EDITS));
+    let too_many: Vec<Edit> = (0..=MOST_EDITS).map(|number| removal(&format!("{number}"))).collect();
+    assert_eq!(machine.admit(&change(1, 1, 0, too_many[1..].to_vec())), Ok(()));
+    assert_eq!(rejection_of(too_many), Rejection::TooLarge(MOST_EDITS + 1, MOST_EDITS));
     let long = "v".repeat(LONGEST_VALUE);
-    let large = change(1, 1, 0, vec![put("a", &long), put("b", &long)]);
-    assert_eq!(machine.admit(&large), Err(Rejection::TooLarge(large.signed_bytes().len(), LARGEST_CHANGE)));
+    let too_large = change(1, 1, 0, vec![put("a", &long), put("b", &long)]);
+    assert_eq!(
+        machine.admit(&too_large),
+        Err(Rejection::TooLarge(too_large.signed_bytes().len(), LARGEST_CHANGE))
+    );
     let long_key = "k".repeat(LONGEST_KEY + 1);
     let too_long = format!("{long}v");
     let cases =
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn changes_unsigned_or_by_a_revoked_key_are_rejected() {
+fn unsigned_changes_and_those_by_a_revoked_key_are_rejected() {
     let machine = Machine::new();
     let mut unsigned = change(1, 1, 0, vec![put("a", "1")]);
     let signed = unsigned.clone();
@@ -137,36 +141,41 @@
 }
 
 #[test]
-fn changes_on_another_base_doubled_or_out_of_order_are_rejected() {
+fn changes_on_a_conflicting_base_repeated_or_out_of_order_are_rejected() {
     let machine = Machine::with_revisions(&["a", "b", "c"]);
-    let new = |sequence, base, key| machine.admit(&change(1, sequence, base, vec![put(key, "2")]));
+    let admit_by_author_1 =
+        |sequence, base, key| machine.admit(&change(1, sequence, base, vec![put(key, "2")]));
     assert_eq!(last_sequence(&machine.state, 1), 3);
-    assert_eq!(new(4, 3, "a"), Ok(()));
-    assert_eq!(new(9, 1, "a"), Ok(()), "numbers may have gaps, and other keys changed since");
-    assert_eq!(new(4, 4, "a"), Err(Rejection::BaseAhead(4, 3)));
+    assert_eq!(admit_by_author_1(4, 3, "a"), Ok(()));
+    assert_eq!(
+        admit_by_author_1(9, 1, "a"),
+        Ok(()),
+        "numbers may have gaps, and other keys may have changed since"
+    );
+    assert_eq!(admit_by_author_1(4, 4, "a"), Err(Rejection::BaseAhead(4, 3)));
     let conflict = Rejection::Conflict { key: "b".to_owned(), base: 1, changed_in: 2 };
-    assert_eq!(new(4, 1, "b"), Err(conflict));
-    assert_eq!(new(3, 3, "d"), Err(Rejection::Sequence(3, 3)));
-    assert_eq!(new(0, 3, "d"), Err(Rejection::Sequence(0, 3)));
+    assert_eq!(admit_by_author_1(4, 1, "b"), Err(conflict));
+    assert_eq!(admit_by_author_1(3, 3, "d"), Err(Rejection::Sequence(3, 3)));
+    assert_eq!(admit_by_author_1(0, 3, "d"), Err(Rejection::Sequence(0, 3)));
     let other_author = change(2, 1, 3, vec![put("d", "1")]);
     assert_eq!(machine.admit(&other_author), Ok(()));
 
     let mut short = machine.clone();
     short.history = History::new(2, 100);
     short.history.record(3, &[put("c", "1")]);
-    let old = admit(&change(1, 4, 1, vec![put("a", "2")]), &short.state, &short.history, 3, &hand());
+    let old = admit(&change(1, 4, 1, vec![put("a", "2")]), &short.state, &short.history, 3, &signer());
     assert_eq!(old, Err(Rejection::BaseTooOld(1, 2)));
 }
 
 #[test]
-fn a_sequence_number_that_cannot_be_read_blocks_its_author() {
+fn a_malformed_sequence_number_blocks_its_author() {
     let mut state = State::new();
     state.apply(&[put(&author_key(1), "short")]).unwrap();
     assert_eq!((last_sequence(&state, 1), last_sequence(&state, 2)), (u64::MAX, 0));
 }
 
 #[test]
-fn the_history_forgets_by_revisions_and_keys() {
+fn the_history_is_bounded_by_revisions_and_keys() {
     let mut history = History::new(0, 3);
     for number in 1..=5 {
         history.record(number, &[put("all", "1"), put(&format!("key {number}"), "1")]);
@@ -183,9 +192,10 @@
     assert_eq!((history.floor(), history.top(), history.changed_in("0")), (2, 4, Some(4)));
 }
 
-/// Changes of other keys go together. The later of two on one key is rejected, also where one author made both.
+/// Changes of different keys go into one batch. The later of two changes of one key is rejected, even if both
+/// are by one author.
 #[test]
-fn conflicts_within_a_batch() {
+fn conflicting_changes_are_not_batched() {
     let machine = Machine::new();
     let built = machine.build(vec![
         change(1, 1, 0, vec![put("a", "1")]),
@@ -195,40 +205,41 @@
         change(1, 1, 0, vec![put("a", "1")]),
     ]);
     let conflict = Rejection::Conflict { key: "a".to_owned(), base: 0, changed_in: 1 };
-    let doubled = Rejection::Sequence(1, 3);
-    assert_eq!(built.rejected, [(id(2, 1), conflict.clone()), (id(1, 2), conflict), (id(1, 1), doubled)]);
+    let repeated = Rejection::Sequence(1, 3);
+    assert_eq!(built.rejected, [(id(2, 1), conflict.clone()), (id(1, 2), conflict), (id(1, 1), repeated)]);
     let sequence = Edit { key: author_key(1), value: Some(3u64.to_be_bytes().to_vec()) };
     assert_eq!(built.edits, [sequence, put("a", "1"), put("b", "2")]);
     assert_eq!(built.batch.changes.len(), 2);
     assert_eq!(machine.apply(&built.batch).unwrap(), (built.state.clone(), built.edits.clone()));
 
-    // The same conflict is found by whoever is handed a batch that has it.
-    let mut bad = built.batch;
-    bad.changes.push(change(2, 1, 0, vec![put("a", "2")]));
+    // The same conflict is found by a machine that receives a batch with it.
+    let mut invalid = built.batch;
+    invalid.changes.push(change(2, 1, 0, vec![put("a", "2")]));
     let rejection = Rejection::Conflict { key: "a".to_owned(), base: 0, changed_in: 1 };
     let fault = BatchFault::Change { change: id(2, 1), rejection };
-    assert_eq!(machine.apply(&bad), Err(fault.clone()));
-    assert_eq!(bad.apply_certified(&machine.state, &hand()), Err(fault));
+    assert_eq!(machine.apply(&invalid), Err(fault.clone()));
+    assert_eq!(invalid.apply_certified(&machine.state, &signer()), Err(fault));
 }
 
 #[test]
-fn a_batch_is_bounded_and_the_rest_is_left_in_order() {
+fn a_batch_is_bounded_and_the_remaining_changes_keep_their_order() {
     let machine = Machine::new();
-    let waiting: Vec<Change> = (1..=10).map(|n| change(n, 1, 0, vec![put(&format!("{n}"), "1")])).collect();
-    let built = machine.build_within(waiting.clone(), Limits { changes: 4, ..Limits::default() });
-    assert_eq!((&built.batch.changes[..], &built.left[..]), waiting.split_at(4));
+    let pending: Vec<Change> = (1..=10).map(|n| change(n, 1, 0, vec![put(&format!("{n}"), "1")])).collect();
+    let built = machine.build_within(pending.clone(), Limits { changes: 4, ..Limits::default() });
+    assert_eq!((&built.batch.changes[..], &built.left[..]), pending.split_at(4));
     let bytes = 400;
-    let built = machine.build_within(waiting.clone(), Limits { bytes, ..Limits::default() });
+    let built = machine.build_within(pending.clone(), Limits { bytes, ..Limits::default() });
     assert!(built.bytes.len() <= bytes && !built.batch.changes.is_empty() && built.left.len() >= 5);
-    assert_eq!([built.batch.changes, built.left].concat(), waiting);
+    assert_eq!([built.batch.changes, built.left].concat(), pending);
 
-    // One that never fits doesn't hold up those behind it.
-    let large = change(11, 1, 0, vec![put("large", &"v".repeat(bytes))]);
-    let built = machine.build_within(vec![large, waiting[0].clone()], Limits { bytes, ..Limits::default() });
+    // A change that never fits does not hold up the changes after it.
+    let too_large = change(11, 1, 0, vec![put("large", &"v".repeat(bytes))]);
+    let built =
+        machine.build_within(vec![too_large, pending[0].clone()], Limits { bytes, ..Limits::default() });
     assert!(matches!(built.rejected[..], [(_, Rejection::TooLarge(..))]));
-    assert_eq!((built.batch.changes, built.left), (vec![waiting[0].clone()], vec![]));
+    assert_eq!((built.batch.changes, built.left), (vec![pending[0].clone()], vec![]));
 
-    // Limits over the bounds are no limits: what is built is taken by others.
+    // Limits above the protocol bounds have no effect: other machines accept what is built.
     let value = "v".repeat(LONGEST_VALUE);
     let full: Vec<Change> = (1..=5).map(|n| change(n, 1, 0, vec![put(&format!("{n}"), &value)])).collect();
     let built = machine.build_within(full, Limits { bytes: usize::MAX, changes: usize::MAX });
@@ -237,12 +248,12 @@
 }
 
 #[test]
-fn a_change_whose_state_is_not_taken_is_rejected_alone() {
+fn a_change_that_leads_to_an_invalid_state_is_rejected_alone() {
     let machine = Machine::new();
     let value = "v".repeat(LONGEST_VALUE);
-    let of_bucket = (0..).map(|n: u32| format!("{n}")).filter(|key| crate::state::bucket_of(key) == 7);
+    let keys_of_bucket = (0..).map(|n: u32| format!("{n}")).filter(|key| crate::state::bucket_of(key) == 7);
     let mut full = machine.clone();
-    let edits: Vec<Edit> = of_bucket.take(8).map(|key| put(&key, &value)).collect();
+    let edits: Vec<Edit> = keys_of_bucket.take(8).map(|key| put(&key, &value)).collect();
     full.state.apply(&edits[..7]).unwrap();
     let built =
         full.build(vec![change(1, 1, 0, vec![edits[7].clone()]), change(2, 1, 0, vec![put("a", "1")])]);
@@ -252,53 +263,56 @@
 }
 
 #[test]
-fn batches_of_another_revision_or_altered_are_refused() {
+fn altered_batches_and_those_of_another_revision_are_refused() {
     let mut machine = Machine::with_revisions(&["a"]);
     let before = machine.clone();
     let built =
         machine.build(vec![change(1, 2, 1, vec![put("b", "1")]), change(2, 1, 1, vec![put("c", "1")])]);
     assert_eq!(built.summary, Summary::of(built.state.root(), &built.batch.encode()));
-    machine.go_on(&built);
+    machine.advance(&built);
     let number = |found, expected| Err(BatchFault::Number { found, expected });
-    assert_eq!(machine.apply(&built.batch), number(2, 3), "doubled");
+    assert_eq!(machine.apply(&built.batch), number(2, 3), "repeated");
     assert_eq!(Machine::new().apply(&built.batch), number(2, 1), "on another base");
-    assert_eq!(built.batch.apply_certified(&machine.state, &hand()), Err(BatchFault::PreviousRoot));
+    assert_eq!(built.batch.apply_certified(&machine.state, &signer()), Err(BatchFault::PreviousRoot));
     let mut other_state = before.clone();
     other_state.state.apply(&[put("z", "1")]).unwrap();
     assert_eq!(other_state.apply(&built.batch), Err(BatchFault::PreviousRoot));
 
-    let altered = |alter: fn(&mut Batch)| {
+    let fault_of_altered = |alter: fn(&mut Batch)| {
         let mut batch = built.batch.clone();
         alter(&mut batch);
         before.apply(&batch).unwrap_err()
     };
     let rejected = |change, rejection| BatchFault::Change { change, rejection };
-    assert_eq!(altered(|batch| batch.changes.clear()), BatchFault::Empty);
-    assert_eq!(altered(|batch| batch.changes[1].signature[5] ^= 1), rejected(id(2, 1), Rejection::Author(2)));
-    let twice = altered(|batch| batch.changes.push(batch.changes[0].clone()));
+    assert_eq!(fault_of_altered(|batch| batch.changes.clear()), BatchFault::Empty);
+    assert_eq!(
+        fault_of_altered(|batch| batch.changes[1].signature[5] ^= 1),
+        rejected(id(2, 1), Rejection::Author(2))
+    );
+    let twice = fault_of_altered(|batch| batch.changes.push(batch.changes[0].clone()));
     assert_eq!(twice, rejected(id(1, 2), Rejection::Sequence(2, 2)));
-    let ahead = altered(|batch| batch.changes[0] = change(1, 2, 2, vec![put("b", "1")]));
+    let ahead = fault_of_altered(|batch| batch.changes[0] = change(1, 2, 2, vec![put("b", "1")]));
     assert_eq!(ahead, rejected(id(1, 2), Rejection::BaseAhead(2, 1)));
-    let conflict = altered(|batch| batch.changes[0] = change(1, 2, 0, vec![put("a", "1")]));
+    let conflict = fault_of_altered(|batch| batch.changes[0] = change(1, 2, 0, vec![put("a", "1")]));
     let reason = Rejection::Conflict { key: "a".to_owned(), base: 0, changed_in: 1 };
     assert_eq!(conflict, rejected(id(1, 2), reason));
-    let mut doubled = built.batch.clone();
-    doubled.changes.push(doubled.changes[0].clone());
+    let mut repeated = built.batch.clone();
+    repeated.changes.push(repeated.changes[0].clone());
     let fault = rejected(id(1, 2), Rejection::Sequence(2, 2));
-    assert_eq!(doubled.apply_certified(&before.state, &hand()), Err(fault));
-    let many = altered(|batch| batch.changes = vec![batch.changes[0].clone(); MOST_CHANGES + 1]);
-    assert_eq!(many, BatchFault::TooMany(MOST_CHANGES + 1));
+    assert_eq!(repeated.apply_certified(&before.state, &signer()), Err(fault));
+    let too_many = fault_of_altered(|batch| batch.changes = vec![batch.changes[0].clone(); MOST_CHANGES + 1]);
+    assert_eq!(too_many, BatchFault::TooMany(MOST_CHANGES + 1));
     let zero = Batch { number: 0, ..built.batch.clone() };
     assert_eq!(
-        zero.apply_certified(&before.state, &hand()),
+        zero.apply_certified(&before.state, &signer()),
         Err(BatchFault::Number { found: 0, expected: 1 })
     );
     assert_eq!(before.apply(&built.batch).unwrap().0, machine.state);
 }
 
-/// A key that was revoked after the batch was certified takes nothing back; one that signed nothing does.
+/// A key that was revoked after the batch was certified does not invalidate it; a forged signature does.
 #[test]
-fn a_certified_batch_outlives_its_authors_keys() {
+fn a_certified_batch_stays_valid_after_its_authors_keys_are_revoked() {
     let machine = Machine::with_revisions(&["a"]);
     let built = machine.build(vec![change(2, 1, 0, vec![put("b", "1")])]);
     let revoked = BatchFault::Change { change: id(2, 1), rejection: Rejection::Author(2) };
@@ -308,11 +322,11 @@
     assert_eq!(certified, Ok((built.state, built.edits)));
     let mut forged = built.batch;
     forged.changes[0].signature[0] ^= 1;
-    assert_eq!(forged.apply_certified(&machine.state, &hand()), Err(revoked));
+    assert_eq!(forged.apply_certified(&machine.state, &signer()), Err(revoked));
 }
 
 #[test]
-fn encoded_batches_that_are_cut_too_long_or_followed_by_more_are_refused() {
+fn truncated_oversized_or_trailing_encoded_batches_are_refused() {
     let batch = Machine::new().build(vec![change(1, 1, 0, vec![put("a", "1")])]).batch;
     let bytes = batch.encode();
     assert_eq!(Batch::decode(&bytes), Ok(batch.clone()));
@@ -322,12 +336,12 @@
     assert_eq!(Batch::decode(&[&bytes[..], b"x"].concat()), Err(BatchFault::Form));
     assert_eq!(Batch::decode(&vec![0; LARGEST_BATCH + 1]), Err(BatchFault::TooLong(LARGEST_BATCH + 1)));
     let empty_change = Change { edits: vec![], ..batch.changes[0].clone() };
-    let many = Batch { changes: vec![empty_change; MOST_CHANGES + 1], ..batch };
-    assert_eq!(Batch::decode(&many.encode()), Err(BatchFault::TooMany(MOST_CHANGES + 1)));
+    let too_many = Batch { changes: vec![empty_change; MOST_CHANGES + 1], ..batch };
+    assert_eq!(Batch::decode(&too_many.encode()), Err(BatchFault::TooMany(MOST_CHANGES + 1)));
 }
 
 #[test]
-fn a_summary_is_read_as_it_was_written() {
+fn an_encoded_summary_is_decoded_unchanged() {
     let summary = Summary::of([7; 32], b"batch");
     assert_eq!(summary.length, 5);
     let text = summary.text();
@@ -337,38 +351,38 @@
     assert_eq!(text.len(), SUMMARY);
 }
 
-/// Over several revisions: whatever waits, what is built is what others get by applying it, and the edits lead from the
-/// state before to the one after.
+/// Over several revisions: applying a built batch leads to the built state, and its edits lead from the
+/// previous state to that state.
 #[test]
-fn applying_does_what_building_did() {
+fn applying_a_batch_agrees_with_building_it() {
     fn holds(revisions: Vec<Vec<(u8, u8, Vec<AnyEdit>)>>) -> bool {
         let mut machine = Machine::new();
         let mut next = [0; 3];
-        for waiting in &revisions {
+        for pending in &revisions {
             let top = machine.history.top();
-            let made = |(author, back, edits): &(u8, u8, Vec<AnyEdit>)| {
+            let make_change = |(author, base_age, edits): &(u8, u8, Vec<AnyEdit>)| {
                 let author = author % 3;
-                next[usize::from(author)] += u64::from(back % 4 != 3);
-                let base = top.saturating_sub(Number::from(back % 3));
+                next[usize::from(author)] += u64::from(base_age % 4 != 3);
+                let base = top.saturating_sub(Number::from(base_age % 3));
                 change(u16::from(author), next[usize::from(author)], base, plain(edits))
             };
-            let waiting: Vec<Change> = waiting.iter().map(made).collect();
-            let built = machine.build(waiting.clone());
-            assert_eq!(built.batch.changes.len() + built.rejected.len() + built.left.len(), waiting.len());
+            let pending: Vec<Change> = pending.iter().map(make_change).collect();
+            let built = machine.build(pending.clone());
+            assert_eq!(built.batch.changes.len() + built.rejected.len() + built.left.len(), pending.len());
             if built.batch.changes.is_empty() {
                 assert!(built.state == machine.state && built.edits.is_empty());
                 continue;
             }
             let batch = Batch::decode(&built.bytes).unwrap();
             let (state, edits) = machine.apply(&batch).unwrap();
-            let certified = batch.apply_certified(&machine.state, &hand()).unwrap();
+            let certified = batch.apply_certified(&machine.state, &signer()).unwrap();
             let mut by_edits = machine.state.clone();
             by_edits.apply(&edits).unwrap();
             let agreed = state == built.state && edits == built.edits && certified == (state, edits);
             if !agreed || by_edits != built.state || built.summary.root != by_edits.root() {
                 return false;
             }
-            machine.go_on(&built);
+            machine.advance(&built);
         }
         true
     }
--- a/crates/distribution/src/tests/edits.rs
+++ b/crates/distribution/src/tests/edits.rs
@@ -16,17 +16,18 @@
     Entry { key: key.to_owned(), value: value.to_vec() }
 }
 
-/// A state of so many titles of some 50 bytes.
+/// A state with this number of titles of some 50 bytes each.
 pub fn titles(count: usize) -> State {
     let title = |number: usize| entry(&format!("title {number:08}"), &title_value(number));
     State::from_entries((0..count).map(title)).unwrap()
 }
 
+/// The value of a title, of some 50 bytes.
 pub fn title_value(number: usize) -> Vec<u8> {
     format!("seconds = {}\nrates = 0, 1, 2, 3\nkind = {number:08}\n", number % 7200).into_bytes()
 }
 
-/// An edit of one of a few keys, so that keys are edited again and removed.
+/// An edit of one of a few keys, so that keys are edited repeatedly and removed.
 #[derive(Clone, Debug)]
 pub struct AnyEdit(pub Edit);
 
@@ -37,6 +38,7 @@
     }
 }
 
+/// The edits in a generated list.
 pub fn plain(edits: &[AnyEdit]) -> Vec<Edit> {
     edits.iter().map(|edit| edit.0.clone()).collect()
 }
--- a/crates/distribution/src/tests/sample.rs
+++ b/crates/distribution/src/tests/sample.rs
@@ -1,4 +1,4 @@
-//! Messages for tests, whole and in order.
+//! Sample messages for tests, one of each variant.
 
 use badgerledge_revisions::word::{Go, Vote};
 use badgerledge_revisions::{Ballot, Head};
@@ -12,7 +12,7 @@
 use crate::state::Edit;
 use crate::{Certified, Hand, MachineId, Number, Signed};
 
-/// Acceptors of the ring that samples are of.
+/// The number of acceptors in the ring of the samples.
 const ACCEPTORS: MachineId = 7;
 
 pub fn change(author: u16, sequence: u64, base: Number, edits: Vec<Edit>) -> Change {
@@ -23,7 +23,7 @@
     Summary { root: [1; 32], batch: [2; 32], length: 300 }
 }
 
-/// A certificate of revision 12 with so many votes.
+/// A certificate of revision 12 with this number of votes.
 pub fn certificate(votes: MachineId) -> Certified {
     let head = Head::new(12, [3; 32], 0, &summary().text());
     let ballot = Ballot { round: 1, by: 0, life: 1 };
@@ -32,7 +32,7 @@
     Certified { signed: Signed { head, signature }, votes: (0..votes).map(vote).collect(), goes: vec![] }
 }
 
-/// The lease of one of so many watchers of a relay, with so many grants.
+/// The lease proof of one watcher among the given number of watchers, with the given number of grants.
 pub fn lease_proof(watchers: u32, grants: MachineId) -> LeaseProof {
     let nonce = [5; 16];
     let tree = NonceTree::new((0..watchers).map(|watcher| leaf(watcher, &nonce)).collect());
@@ -40,7 +40,7 @@
     LeaseProof { nonce, index: 3, path: tree.path(3), grants: (0..grants).map(grant).collect() }
 }
 
-/// The regional lease of watcher 3 of 8 that acts on revision 12, with grants of these machines.
+/// The regional lease proof of watcher 3 of 8, whose active revision is 12, with grants of these machines.
 pub fn regional_proof(machines: &[MachineId]) -> RegionalProof {
     let nonce = [5; 16];
     let tree = NonceTree::new((0..8).map(|watcher| leaf(watcher, &nonce)).collect());
@@ -54,7 +54,7 @@
     ToWatcher::Delta { certificate: certificate(4), summary: summary(), base: 11, base_root: [4; 32], edits }
 }
 
-/// One message of each kind that a watcher or a tool sends.
+/// One message of each variant that a watcher or a tool sends.
 pub fn to_relay() -> Vec<ToRelay> {
     vec![
         ToRelay::Hello { controller: 7399, active: 11, held: 12, root: [1; 32] },
@@ -70,7 +70,7 @@
     ]
 }
 
-/// One message of each kind that a relay sends.
+/// One message of each variant that a relay sends.
 pub fn to_watcher() -> Vec<ToWatcher> {
     let go = Go::sign(&DigestHand::new(1, ACCEPTORS), 1, 12, [3; 32]);
     let rejection = Rejection::Conflict { key: "a".to_owned(), base: 11, changed_in: 12 };
@@ -92,7 +92,7 @@
     ]
 }
 
-/// One message of each kind that control machines send each other.
+/// One message of each variant that control machines send to each other.
 pub fn peer_message() -> Vec<PeerMessage> {
     let id = ChangeId { author: 1, sequence: 2 };
     let grant = lease_proof(308, 1).grants[0];
--- a/crates/distribution/src/tests/state.rs
+++ b/crates/distribution/src/tests/state.rs
@@ -1,4 +1,4 @@
-//! States: bounds, stored bytes that are not in order, and what holds for all sequences of edits.
+//! Tests of states: bounds, malformed stored bytes, and properties of all sequences of edits.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
     GROUPS, LARGEST_BUCKET, LONGEST_KEY, LONGEST_VALUE, MOST_ENTRIES,
 };
 
-/// Checks that edits are refused for this reason, and that a refusal changes nothing.
-fn refused(state: &State, edits: &[Edit]) -> StateFault {
-    let mut tried = state.clone();
-    let fault = tried.apply(edits).unwrap_err();
+/// Returns the reason why edits are rejected, and checks that nothing has changed then.
+fn rejection_of(state: &State, edits: &[Edit]) -> StateFault {
+    let mut edited = state.clone();
+    let fault = edited.apply(edits).unwrap_err();
     let unchanged = (state.root(), state.len(), state.bytes());
-    assert_eq!((tried.root(), tried.len(), tried.bytes()), unchanged);
+    assert_eq!((edited.root(), edited.len(), edited.bytes()), unchanged);
     fault
 }
 
@@ -37,10 +37,10 @@
     assert!(state.is_empty() && state.bytes() == 0 && state == State::new());
 }
 
-/// The digests are part of the protocol: another value of them needs another version of it. These are from a second
-/// implementation (Python's hashlib).
+/// The digests are part of the protocol: other values need another protocol version. The expected values come
+/// from a second implementation (hashlib of Python).
 #[test]
-fn roots_are_those_of_the_protocol() {
+fn roots_match_the_protocol() {
     let hex = |root: [u8; 32]| root.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     assert_eq!(hex(State::new().root()), "a4260d40ebad517bebbae6d9db571ae2b89f6ec10b97690996250f820fa3e6bf");
     assert_eq!(hex(titles(3).root()), "95e2db9411097a94b2ffe8cc5810cc7bb3c4de62ec21872b0b7f79007262b289");
@@ -50,14 +50,14 @@
 fn keys_and_values_out_of_bounds_are_refused() {
     let state = titles(3);
     let long_key = "k".repeat(LONGEST_KEY + 1);
-    assert_eq!(refused(&state, &[put("good", "1"), put("", "1")]), StateFault::KeyLength(0));
-    assert_eq!(refused(&state, &[removal(&long_key)]), StateFault::KeyLength(LONGEST_KEY + 1));
+    assert_eq!(rejection_of(&state, &[put("good", "1"), put("", "1")]), StateFault::KeyLength(0));
+    assert_eq!(rejection_of(&state, &[removal(&long_key)]), StateFault::KeyLength(LONGEST_KEY + 1));
     let long_value = "v".repeat(LONGEST_VALUE + 1);
     let length = long_value.len();
     let fault = StateFault::ValueLength { key: "k".to_owned(), length };
-    assert_eq!(refused(&state, &[put("good", "1"), put("k", &long_value)]), fault);
-    let bounds = [put(&long_key[1..], &long_value[1..])];
-    state.clone().apply(&bounds).unwrap();
+    assert_eq!(rejection_of(&state, &[put("good", "1"), put("k", &long_value)]), fault);
+    let longest = [put(&long_key[1..], &long_value[1..])];
+    state.clone().apply(&longest).unwrap();
     assert_eq!(
         State::from_entries([entry("k", b"1"), entry("k", b"2")]),
         Err(StateFault::Order("k".to_owned()))
@@ -72,7 +72,7 @@
     state.apply(&edits[..7]).unwrap();
     let length = edits.iter().map(|edit| 8 + edit.key.len() + LONGEST_VALUE).sum();
     assert!(length > LARGEST_BUCKET);
-    assert_eq!(refused(&state, &edits[7..]), StateFault::BucketTooLarge { bucket: 7, length });
+    assert_eq!(rejection_of(&state, &edits[7..]), StateFault::BucketTooLarge { bucket: 7, length });
 
     let many = (0..=MOST_ENTRIES).map(|number| entry(&format!("{number}"), b""));
     assert_eq!(State::from_entries(many), Err(StateFault::TooMany(MOST_ENTRIES + 1)));
@@ -82,14 +82,14 @@
 }
 
 #[test]
-fn a_bucket_takes_only_its_own_entries_in_order() {
+fn a_bucket_accepts_only_its_own_entries_in_order() {
     let mut state = titles(50);
     let before = state.clone();
     let keys: Vec<String> = keys_of_bucket(9).take(2).collect();
     let (low, high) = if keys[0] < keys[1] { (&keys[0], &keys[1]) } else { (&keys[1], &keys[0]) };
     let (low, high) = (entry(low, b"1"), entry(high, b"2"));
     let foreign = keys_of_bucket(10).next().unwrap();
-    let bad: [(u16, Vec<Entry>, StateFault); 6] = [
+    let invalid: [(u16, Vec<Entry>, StateFault); 6] = [
         (9, vec![high.clone(), low.clone()], StateFault::Order(low.key.clone())),
         (9, vec![low.clone(), low.clone()], StateFault::Order(low.key.clone())),
         (9, vec![entry(&foreign, b"")], StateFault::WrongBucket { key: foreign.clone(), bucket: 9 }),
@@ -101,7 +101,7 @@
         ),
         (BUCKETS, vec![], StateFault::NoBucket(BUCKETS)),
     ];
-    for (bucket, entries, fault) in bad {
+    for (bucket, entries, fault) in invalid {
         assert_eq!(state.replace_bucket(bucket, entries), Err(fault));
         assert_eq!((state.root(), state.len()), (before.root(), before.len()));
     }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn stored_bytes_that_are_cut_changed_or_of_another_version_are_refused() {
+fn truncated_changed_or_foreign_stored_bytes_are_refused() {
     let state = titles(20);
     let bytes = state.write();
     assert_eq!(State::read(&bytes).unwrap(), state);
@@ -122,19 +122,19 @@
     let later = [b"bds2", &bytes[4..]].concat();
     assert_eq!(State::read(&later), Err(StateFault::Mark));
     for length in 0..bytes.len() {
-        assert!(State::read(&bytes[..length]).is_err(), "cut after {length} bytes");
+        assert!(State::read(&bytes[..length]).is_err(), "truncated after {length} bytes");
     }
-    for place in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[place] ^= 0x10;
-        assert!(State::read(&changed).is_err(), "byte {place} changed");
+        changed[offset] ^= 0x10;
+        assert!(State::read(&changed).is_err(), "byte {offset} changed");
     }
     let doubled = [&bytes[..], &bytes[36..]].concat();
     assert!(matches!(State::read(&doubled), Err(StateFault::Order(_))));
 }
 
 #[test]
-fn groups_that_are_not_all_there_have_no_root() {
+fn an_incomplete_list_of_groups_has_no_root() {
     let groups = titles(9).group_digests();
     assert_eq!(root_of_groups(&groups), Some(titles(9).root()));
     assert_eq!(root_of_groups(&groups[1..]), None);
@@ -145,20 +145,22 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 5)).tests(200).quickcheck(property);
 }
 
-/// Edits one by one, at once, and the entries that they leave in another order: one root.
+/// Edits applied one by one, applied at once, and rebuilt from the remaining entries in another order have
+/// the same root.
 #[test]
-fn the_root_depends_on_the_entries_alone() {
+fn the_root_depends_only_on_the_entries() {
     fn holds(edits: Vec<AnyEdit>) -> bool {
         let edits = plain(&edits);
         let (mut at_once, mut one_by_one) = (State::new(), State::new());
         at_once.apply(&edits).unwrap();
-        let mut left = BTreeMap::new();
+        let mut remaining = BTreeMap::new();
         for edit in &edits {
             one_by_one.apply(std::slice::from_ref(edit)).unwrap();
-            left.insert(edit.key.clone(), edit.value.clone());
+            remaining.insert(edit.key.clone(), edit.value.clone());
         }
-        let left = left.into_iter().rev().filter_map(|(key, value)| Some(Entry { key, value: value? }));
-        let rebuilt = State::from_entries(left).unwrap();
+        let remaining =
+            remaining.into_iter().rev().filter_map(|(key, value)| Some(Entry { key, value: value? }));
+        let rebuilt = State::from_entries(remaining).unwrap();
         let sizes = [&at_once, &one_by_one, &rebuilt].map(|state| (state.len(), state.bytes(), state.root()));
         sizes[0] == sizes[1] && sizes[1] == sizes[2]
     }
@@ -179,7 +181,7 @@
 }
 
 #[test]
-fn what_is_stored_is_read_again() {
+fn stored_states_are_read_back() {
     fn holds(edits: Vec<AnyEdit>) -> bool {
         let mut state = State::new();
         state.apply(&plain(&edits)).unwrap();
@@ -190,14 +192,14 @@
     check(holds as fn(Vec<AnyEdit>) -> bool);
 }
 
-/// What a watcher does with a snapshot: from its own state to the offered one by the groups and buckets that differ, each
-/// checked by its digest.
+/// Models the snapshot transfer of a watcher: from its own state to the offered one by the groups and buckets
+/// that differ, each verified by its digest.
 #[test]
 fn groups_and_buckets_that_differ_lead_to_the_same_state() {
-    fn holds(mine: Vec<AnyEdit>, theirs: Vec<AnyEdit>) -> bool {
+    fn holds(own_edits: Vec<AnyEdit>, offered_edits: Vec<AnyEdit>) -> bool {
         let (mut own, mut offered) = (titles(30), titles(30));
-        own.apply(&plain(&mine)).unwrap();
-        offered.apply(&plain(&theirs)).unwrap();
+        own.apply(&plain(&own_edits)).unwrap();
+        offered.apply(&plain(&offered_edits)).unwrap();
         let offered_groups = offered.group_digests();
         assert_eq!(root_of_groups(&offered_groups), Some(offered.root()));
         let own_groups = own.group_digests();
@@ -209,10 +211,10 @@
             let digest_of: BTreeMap<u16, _> = buckets.into_iter().collect();
             let first = u16::from(group) * GROUP;
             for bucket in first..first + GROUP {
-                let wanted = digest_of.get(&bucket).copied().unwrap_or_else(|| bucket_digest(&[]));
-                if own.bucket_digest(bucket) != wanted {
+                let expected_digest = digest_of.get(&bucket).copied().unwrap_or_else(|| bucket_digest(&[]));
+                if own.bucket_digest(bucket) != expected_digest {
                     let entries = offered.bucket(bucket);
-                    assert_eq!(bucket_digest(&entries), wanted);
+                    assert_eq!(bucket_digest(&entries), expected_digest);
                     own.replace_bucket(bucket, entries).unwrap();
                 }
             }
--- a/crates/distribution/src/tests/transfer.rs
+++ b/crates/distribution/src/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers of snapshots: whole, cut off, to a target that moves, and with parts that are not in order.
+//! Tests of snapshot transfers: complete, interrupted, with a changing target, and with invalid parts.
 
 use quickcheck::QuickCheck;
 
@@ -10,7 +10,7 @@
     Transfer::begin(own.clone(), target.root(), &target.group_digests()).unwrap()
 }
 
-/// Answers from `source` all that is asked for now. Tells how many parts these were.
+/// Answers all current requests from `source`. Returns the number of parts.
 fn answer(transfer: &mut Transfer, source: &State) -> usize {
     let requests = transfer.next_requests();
     let mut parts = 0;
@@ -35,12 +35,12 @@
     parts
 }
 
-/// Goes on until nothing is asked for any more. Tells how many parts came.
+/// Answers requests until there are none. Returns the number of parts.
 fn complete(transfer: &mut Transfer, source: &State) -> usize {
     std::iter::from_fn(|| Some(answer(transfer, source)).filter(|parts| *parts > 0)).sum()
 }
 
-/// The first buckets that are asked for.
+/// The first buckets that are requested.
 fn first_buckets(transfer: &mut Transfer, source: &State) -> Vec<u16> {
     for _ in 0..100 {
         let requests = transfer.next_requests();
@@ -54,11 +54,11 @@
             }
         }
     }
-    panic!("no buckets are asked for");
+    panic!("no buckets are requested");
 }
 
 #[test]
-fn from_any_state_to_any_other() {
+fn a_transfer_leads_from_any_state_to_any_other() {
     fn property(from: Vec<AnyEdit>, to: Vec<AnyEdit>) -> bool {
         let (mut own, mut target) = (State::new(), State::new());
         own.apply(&plain(&from)).unwrap();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn only_what_differs_is_asked_for() {
+fn only_differing_parts_are_requested() {
     let own = titles(20_000);
     let mut target = own.clone();
     target.apply(&[put("title 00000007", "other"), put("new", "1")]).unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn the_window_bounds_what_is_outstanding() {
+fn the_window_bounds_the_outstanding_parts() {
     let target = titles(20_000);
     let mut transfer = begin(&State::new(), &target);
     let first = transfer.next_requests();
@@ -94,22 +94,22 @@
     let next = transfer.next_requests();
     assert!(matches!(&next[..], [PartRequest::Buckets(buckets)] if buckets.len() == BUCKET_WINDOW));
     assert_eq!(transfer.next_requests(), []);
-    // More is asked for once half of it came.
+    // More is requested once half of it arrived.
     for group in 1..GROUP_WINDOW as u8 / 2 {
         transfer.take_group(group, target.group(group)).unwrap();
         let next = transfer.next_requests();
         let expected = if group == GROUP_WINDOW as u8 / 2 - 1 { GROUP_WINDOW / 2 } else { 0 };
-        let asked = next.iter().map(|request| match request {
+        let requested = next.iter().map(|request| match request {
             PartRequest::Groups(groups) => groups.len(),
             PartRequest::Buckets(_) => panic!("over the window: {next:?}"),
         });
-        assert_eq!(asked.sum::<usize>(), expected);
+        assert_eq!(requested.sum::<usize>(), expected);
     }
 }
 
-/// A relay takes 50 messages a second of a watcher and 400 at once.
+/// A relay accepts 50 messages a second from a watcher, and 400 at once.
 #[test]
-fn a_whole_state_takes_few_requests() {
+fn a_complete_state_takes_few_requests() {
     let target = titles(40_000);
     let mut transfer = begin(&State::new(), &target);
     let mut outstanding = std::collections::VecDeque::new();
@@ -134,11 +134,11 @@
 fn groups_that_do_not_lead_to_the_root_are_refused_at_once() {
     let target = titles(100);
     let mut groups = target.group_digests();
-    let begun = |groups: &[_]| Transfer::begin(State::new(), target.root(), groups).map(|_| ());
-    assert_eq!(begun(&groups[..63]), Err(TransferFault::Root(63)));
-    assert_eq!(begun(&[]), Err(TransferFault::Root(0)));
+    let begin_with = |groups: &[_]| Transfer::begin(State::new(), target.root(), groups).map(|_| ());
+    assert_eq!(begin_with(&groups[..63]), Err(TransferFault::Root(63)));
+    assert_eq!(begin_with(&[]), Err(TransferFault::Root(0)));
     groups.swap(0, 1);
-    assert_eq!(begun(&groups), Err(TransferFault::Root(64)));
+    assert_eq!(begin_with(&groups), Err(TransferFault::Root(64)));
     let mut transfer = begin(&State::new(), &target);
     assert!(transfer.retarget(titles(101).root(), &groups).is_err());
     assert_eq!(transfer.root(), target.root());
@@ -147,15 +147,15 @@
 }
 
 #[test]
-fn parts_that_are_unasked_twice_there_or_altered_are_refused() {
+fn unrequested_duplicate_or_altered_parts_are_refused() {
     let target = titles(20_000);
     let mut transfer = begin(&State::new(), &target);
     assert_eq!(transfer.take_group(0, target.group(0)), Err(TransferFault::UnaskedGroup(0)));
     assert_eq!(transfer.take_bucket(0, target.bucket(0)), Err(TransferFault::UnaskedBucket(0)));
     transfer.next_requests();
-    let mut short = target.group(0);
-    short.pop();
-    assert_eq!(transfer.take_group(0, short), Err(TransferFault::GroupDigest(0)));
+    let mut incomplete = target.group(0);
+    incomplete.pop();
+    assert_eq!(transfer.take_group(0, incomplete), Err(TransferFault::GroupDigest(0)));
     let outside = vec![(GROUP, [0; 32])];
     assert_eq!(transfer.take_group(0, outside), Err(TransferFault::GroupBucket { group: 0, bucket: GROUP }));
     let twice = vec![target.group(0)[0]; 2];
@@ -176,7 +176,8 @@
     assert_eq!(transfer.take_bucket(5000, vec![]), Err(TransferFault::UnaskedBucket(5000)));
 }
 
-/// A bucket with the certified digest whose keys belong elsewhere: acceptors would have had to certify it.
+/// A bucket with the certified digest whose keys belong to another bucket. Only acceptors could have
+/// certified such a state.
 #[test]
 fn a_bucket_of_foreign_keys_is_refused() {
     let foreign: Vec<Entry> = vec![entry("a", b"1")];
@@ -196,26 +197,26 @@
 }
 
 #[test]
-fn a_broken_connection_loses_nothing_that_came() {
+fn a_closed_connection_loses_no_received_part() {
     let target = titles(5_000);
-    let mut whole = begin(&State::new(), &target);
-    let parts = complete(&mut whole, &target);
-    let mut broken = begin(&State::new(), &target);
-    let mut came = 0;
+    let mut uninterrupted = begin(&State::new(), &target);
+    let parts = complete(&mut uninterrupted, &target);
+    let mut interrupted = begin(&State::new(), &target);
+    let mut received = 0;
     for _ in 0..10_000 {
-        if broken.finished().is_some() {
+        if interrupted.finished().is_some() {
             break;
         }
-        came += answer(&mut broken, &target);
-        // Asked for, and lost with the connection.
-        broken.next_requests();
-        broken.disconnected();
+        received += answer(&mut interrupted, &target);
+        // Requested, and lost with the connection.
+        interrupted.next_requests();
+        interrupted.disconnected();
     }
-    assert_eq!((came, broken.progress()), (parts, whole.progress()));
+    assert_eq!((received, interrupted.progress()), (parts, uninterrupted.progress()));
 }
 
 #[test]
-fn buckets_that_came_stay_for_a_newer_target() {
+fn received_buckets_are_kept_for_a_newer_target() {
     let (old, mut new) = (titles(5_000), titles(5_000));
     new.apply(&[put("title 00000007", "other"), put("new", "1")]).unwrap();
     let mut transfer = begin(&State::new(), &old);
@@ -226,11 +227,11 @@
     }
     let outstanding = first_buckets(&mut transfer, &old);
     transfer.retarget(new.root(), &new.group_digests()).unwrap();
-    // Answers to what was asked for before may come once, and one more of them is too much.
-    let late = outstanding[0];
-    assert_eq!(transfer.take_bucket(late, old.bucket(late)), Ok(Taken::Outdated));
-    let twice = transfer.take_bucket(late, old.bucket(late));
-    assert_eq!(twice, Err(TransferFault::UnaskedBucket(late)));
+    // An answer to an earlier request may arrive once, and is refused the second time.
+    let outdated = outstanding[0];
+    assert_eq!(transfer.take_bucket(outdated, old.bucket(outdated)), Ok(Taken::Outdated));
+    let twice = transfer.take_bucket(outdated, old.bucket(outdated));
+    assert_eq!(twice, Err(TransferFault::UnaskedBucket(outdated)));
     complete(&mut transfer, &new);
     assert_eq!(transfer.finished(), Some(&new));
     let all: usize = (0..64).map(|group| new.group(group).len()).sum();
--- a/crates/distribution/src/tests/watcher.rs
+++ b/crates/distribution/src/tests/watcher.rs
@@ -1,10 +1,10 @@
-//! Watchers: each rule by itself, relays that fail in each way, and the safety of leases in random plays.
+//! Tests of watchers: single rules, misbehaving relays, and the safety of leases in random simulations.
 
-mod bench;
-mod lease_play;
-mod links;
-mod network;
-mod order;
-mod relays;
+mod harness;
+mod lease_simulation;
+mod relay_connections;
+mod relay_order;
 mod revisions;
+mod scripted_relays;
+mod simulation;
 mod stored;
--- a/crates/distribution/src/tests/watcher/bench.rs
+++ b/crates/distribution/src/tests/watcher/harness.rs
@@ -1,4 +1,4 @@
-//! One watcher whose relays are played by hand.
+//! A harness for one watcher, in which the tests script the relays.
 
 use std::time::Duration;
 
@@ -11,25 +11,27 @@
 use crate::{digest, Number};
 
 pub const CONTROLLER: u32 = 7;
-pub const LATE: Duration = Duration::from_millis(250);
+/// The longest time from a decision until its messages are sent.
+pub const ACTION_DELAY: Duration = Duration::from_millis(250);
 
 pub fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
 /// The state of the program's own file.
-pub fn own_state() -> State {
+pub fn file_state() -> State {
     super::super::edits::titles(50)
 }
 
-/// A state with this key can't be acted on.
+/// The program of the watcher cannot apply a state with this key.
 pub const UNFIT_KEY: &str = "unknown section";
 
+/// A configuration whose nonces are pseudo-random and whose check rejects [`UNFIT_KEY`].
 pub fn config(relays: usize) -> WatcherConfig {
-    let mut drawn = 0u64;
+    let mut draws = 0u64;
     let nonce = move || -> Nonce {
-        drawn += 1;
-        let random = digest(&drawn.to_be_bytes());
+        draws += 1;
+        let random = digest(&draws.to_be_bytes());
         std::array::from_fn(|at| random[at])
     };
     let check = |state: &State, _: Number| match state.get(UNFIT_KEY) {
@@ -37,21 +39,22 @@
         None => Ok(()),
     };
     let (check, nonce) = (Box::new(check), Box::new(nonce));
-    WatcherConfig { controller: CONTROLLER, relays, late: LATE, regional: false, check, nonce }
+    WatcherConfig { controller: CONTROLLER, relays, late: ACTION_DELAY, regional: false, check, nonce }
 }
 
-pub struct Bench {
+/// A watcher with its clock and its disk.
+pub struct Harness {
     pub watcher: Watcher<DigestHand>,
     pub now: Duration,
-    /// All that it stored.
+    /// The stored bytes.
     pub disk: Vec<u8>,
-    /// The nonces that it asked with and that are not answered, with the relay.
+    /// The unanswered nonces of lease requests, with the relay.
     pub nonces: Vec<(usize, Nonce)>,
 }
 
 type Call<'a> = &'a mut dyn FnMut(&mut Watcher<DigestHand>, Duration, &mut Vec<WatcherOutput>);
 
-impl Bench {
+impl Harness {
     pub fn new(relays: usize) -> Self {
         Self::with_disk(relays, Vec::new())
     }
@@ -59,19 +62,20 @@
     pub fn with_disk(relays: usize, disk: Vec<u8>) -> Self {
         let now = seconds(1000.0);
         let stored = Stored::read(&disk).ok();
-        let watcher = Watcher::new(hand(100), config(relays), own_state(), stored, 1, now);
+        let watcher = Watcher::new(hand(100), config(relays), file_state(), stored, 1, now);
         Self { watcher, now, disk, nonces: Vec::new() }
     }
 
-    /// A watcher with an open connection to its first relay, which holds this revision, and with a lease: none is allowed
-    /// to be acted on yet.
-    pub fn served(relays: usize, number: Number) -> Self {
-        let mut bench = Self::new(relays);
-        bench.connect(0, number);
-        bench.grant(0, 0);
-        bench
+    /// A watcher with a lease and an open connection to its first relay, which holds this revision. No
+    /// activation is allowed yet.
+    pub fn with_serving_relay(relays: usize, number: Number) -> Self {
+        let mut harness = Self::new(relays);
+        harness.connect_and_welcome(0, number);
+        harness.grant(0, 0);
+        harness
     }
 
+    /// Calls the watcher, and keeps the bytes that it stores and the nonces of its lease requests.
     pub fn call(&mut self, call: Call<'_>) -> Vec<WatcherOutput> {
         let mut out = Vec::new();
         call(&mut self.watcher, self.now, &mut out);
@@ -88,96 +92,102 @@
         out
     }
 
-    pub fn hear(&mut self, relay: usize, message: ToWatcher) -> Vec<WatcherOutput> {
+    /// Delivers a message from a relay.
+    pub fn receive(&mut self, relay: usize, message: ToWatcher) -> Vec<WatcherOutput> {
         self.call(&mut |watcher, now, out| watcher.heard(now, relay, message.clone(), out))
     }
 
+    /// Reports that the connection to a relay is open.
     pub fn open(&mut self, relay: usize) -> Vec<WatcherOutput> {
         self.call(&mut |watcher, now, out| watcher.opened(now, relay, out))
     }
 
+    /// Reports that the connection to a relay closed.
     pub fn close(&mut self, relay: usize) -> Vec<WatcherOutput> {
         self.call(&mut |watcher, now, out| watcher.closed(now, relay, out))
     }
 
-    /// Lets this time go by, and does what becomes due in it.
-    pub fn pass(&mut self, span: Duration) -> Vec<WatcherOutput> {
-        let until = self.now + span;
-        let mut all = Vec::new();
+    /// Advances the clock by this duration, and calls the watcher whenever work is due.
+    pub fn advance(&mut self, duration: Duration) -> Vec<WatcherOutput> {
+        let until = self.now + duration;
+        let mut outputs = Vec::new();
         for _ in 0..10_000 {
             let due = self.watcher.next_due();
             if due > until {
                 break;
             }
-            assert!(due >= self.now || all.is_empty(), "due in the past, at {due:?}, now {:?}", self.now);
+            assert!(due >= self.now || outputs.is_empty(), "due in the past, at {due:?}, now {:?}", self.now);
             self.now = self.now.max(due);
-            all.extend(self.call(&mut |watcher, now, out| watcher.tend(now, out)));
+            outputs.extend(self.call(&mut |watcher, now, out| watcher.tend(now, out)));
         }
-        assert!(self.watcher.next_due() > until, "it is due again and again");
+        assert!(self.watcher.next_due() > until, "the watcher is due again and again");
         self.now = until;
-        all
-    }
-
-    /// Lets time go by until the watcher wants a connection to this relay, while another one may serve it. Tells how
-    /// long that took, to 50 ms, and all that it did.
-    pub fn until_connect(&mut self, relay: usize, server: Option<usize>) -> (Duration, Vec<WatcherOutput>) {
-        let (begun, step) = (self.now, Duration::from_millis(50));
-        let mut all = Vec::new();
-        while !all.contains(&WatcherOutput::Connect(relay)) {
-            assert!(self.now < begun + seconds(200.0), "no connection to relay {relay}");
-            all.extend(match server {
-                Some(server) => self.pass_served(server, step),
-                None => self.pass(step),
+        outputs
+    }
+
+    /// Advances the clock until the watcher requests a connection to this relay, while another relay may
+    /// answer its lease requests. Returns how long that took, to 50 ms, and all outputs.
+    pub fn until_connect(&mut self, relay: usize, granting: Option<usize>) -> (Duration, Vec<WatcherOutput>) {
+        let (started_at, step) = (self.now, Duration::from_millis(50));
+        let mut outputs = Vec::new();
+        while !outputs.contains(&WatcherOutput::Connect(relay)) {
+            assert!(self.now < started_at + seconds(200.0), "no connection to relay {relay}");
+            outputs.extend(match granting {
+                Some(granting) => self.advance_granting(granting, step),
+                None => self.advance(step),
             });
         }
-        (self.now - begun, all)
+        (self.now - started_at, outputs)
     }
 
-    /// Lets time go by until the watcher wants a connection to this relay, and opens it.
-    pub fn connect(&mut self, relay: usize, number: Number) -> Vec<WatcherOutput> {
+    /// Advances the clock until the watcher requests a connection to this relay, opens it and answers the
+    /// hello.
+    pub fn connect_and_welcome(&mut self, relay: usize, number: Number) -> Vec<WatcherOutput> {
         self.until_connect(relay, None);
         let out = self.open(relay);
-        self.hear(relay, ToWatcher::Welcome { relay: relay as u16, number });
+        self.receive(relay, ToWatcher::Welcome { relay: relay as u16, number });
         out
     }
 
-    /// The nonces that were asked with on this connection and not answered.
+    /// Removes and returns the unanswered nonces of lease requests on this connection.
     pub fn take_nonces(&mut self, relay: usize) -> Vec<Nonce> {
-        let asked: Vec<(usize, Nonce)> = self.nonces.extract_if(.., |(to, _)| *to == relay).collect();
-        asked.into_iter().map(|(_, nonce)| nonce).collect()
+        let requests: Vec<(usize, Nonce)> = self.nonces.extract_if(.., |(to, _)| *to == relay).collect();
+        requests.into_iter().map(|(_, nonce)| nonce).collect()
     }
 
-    /// Answers all requests for leases on this connection.
+    /// Grants all open lease requests on this connection.
     pub fn grant(&mut self, relay: usize, allowed: Number) {
         for nonce in self.take_nonces(relay) {
-            self.hear(relay, ToWatcher::Lease(good_proof(CONTROLLER, nonce, allowed)));
+            self.receive(relay, ToWatcher::Lease(good_proof(CONTROLLER, nonce, allowed)));
         }
     }
 
-    /// Lets time go by in which this relay answers all requests for leases at once.
-    pub fn pass_served(&mut self, relay: usize, span: Duration) -> Vec<WatcherOutput> {
-        let until = self.now + span;
-        let mut all = Vec::new();
+    /// Advances the clock while this relay grants all lease requests at once.
+    pub fn advance_granting(&mut self, relay: usize, duration: Duration) -> Vec<WatcherOutput> {
+        let until = self.now + duration;
+        let mut outputs = Vec::new();
         while self.now < until {
             let step = (until - self.now).min(Duration::from_millis(100));
-            all.extend(self.pass(step));
+            outputs.extend(self.advance(step));
             let allowed = self.watcher.status(self.now).acting.active;
             self.grant(relay, allowed);
         }
-        all
+        outputs
     }
 
-    pub fn held(&self) -> Option<HoldReason> {
+    /// Why the watcher withholds decisions that depend on exclusive keys.
+    pub fn hold_reason(&self) -> Option<HoldReason> {
         self.watcher.acting(self.now).held
     }
 
-    /// What is acted on, and what is prepared.
+    /// The active and the prepared revision.
     pub fn numbers(&self) -> (Number, Option<Number>) {
         let acting = self.watcher.acting(self.now);
         (acting.active, acting.prepared)
     }
 }
 
+/// A delta to a version.
 pub fn delta(version: &Version, base: Number, base_state: &State, edits: &[Edit]) -> ToWatcher {
     ToWatcher::Delta {
         certificate: version.certificate.clone(),
@@ -188,6 +198,7 @@
     }
 }
 
+/// The offer of a snapshot of a version.
 pub fn snapshot(version: &Version) -> ToWatcher {
     ToWatcher::Snapshot {
         certificate: version.certificate.clone(),
@@ -196,11 +207,12 @@
     }
 }
 
+/// The activation approvals of a quorum for a version.
 pub fn activate(version: &Version) -> ToWatcher {
     ToWatcher::Activate { number: version.number(), goes: version.goes(a_quorum()) }
 }
 
-/// Whether a relay was left.
+/// Whether the connection to a relay is closed.
 pub fn closes(out: &[WatcherOutput], relay: usize) -> bool {
     out.contains(&WatcherOutput::Close(relay))
 }
--- a/crates/distribution/src/tokens.rs
+++ b/crates/distribution/src/tokens.rs
@@ -1,37 +1,43 @@
-//! A token bucket: what is spent comes back at a steady rate, up to a burst.
+//! A token bucket rate limiter.
 
 use std::time::Duration;
 
-/// Tokens of one kind. More may be spent than there are; then nothing is allowed until the debt is paid off.
+/// A token bucket that refills at a steady rate up to a burst. More tokens may be spent than are available;
+/// then nothing is allowed until the debt is refilled.
 #[derive(Clone, Debug)]
 pub(crate) struct Tokens {
     per_second: f64,
     burst: f64,
+    /// The tokens at `updated_at`; negative after overspending.
     level: f64,
-    at: Duration,
+    /// When `level` was last updated.
+    updated_at: Duration,
 }
 
 impl Tokens {
+    /// A full bucket.
     pub fn new(per_second: f64, burst: f64, now: Duration) -> Self {
-        Self { per_second, burst, level: burst, at: now }
+        Self { per_second, burst, level: burst, updated_at: now }
     }
 
+    /// The tokens at a point in time.
     fn level(&self, now: Duration) -> f64 {
-        let since = now.saturating_sub(self.at).as_secs_f64();
+        let since = now.saturating_sub(self.updated_at).as_secs_f64();
         (self.level + since * self.per_second).min(self.burst)
     }
 
-    /// Whether there are any.
+    /// Whether tokens are available.
     pub fn any(&self, now: Duration) -> bool {
         self.level(now) > 0.0
     }
 
+    /// Spends tokens, more than are available if necessary.
     pub fn spend(&mut self, now: Duration, amount: f64) {
         self.level = self.level(now) - amount;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Spends one, if there is one.
+    /// Spends one token, if one is available.
     pub fn try_one(&mut self, now: Duration) -> bool {
         let enough = self.level(now) >= 1.0;
         if enough {
@@ -40,9 +46,9 @@
         enough
     }
 
-    /// When there are some again at the latest.
+    /// The latest time at which one token is available.
     pub fn next_at(&self, now: Duration) -> Duration {
-        let lacks = (1.0 - self.level(now)).max(0.0);
-        now + Duration::from_secs_f64(lacks / self.per_second)
+        let missing = (1.0 - self.level(now)).max(0.0);
+        now + Duration::from_secs_f64(missing / self.per_second)
     }
 }
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -1,20 +1,21 @@
-//! A controller's side: it holds the state, prepares what is certified and acts on what is allowed.
+//! The watcher: the part of a controller that receives certified configuration, prepares it, and activates it
+//! once a quorum of acceptors allows that.
 //!
 //! | module | job |
 //! |---|---|
-//! | `interface` | the types that a driver deals with |
-//! | `revisions` | which revisions are held, and what is taken from a relay |
-//! | `updates` | deltas, snapshots and words to act, on their way from a relay to the revisions |
-//! | `lease_requests` | nonces that were drawn, and the lease that came of them |
-//! | `links` | which relay serves, which one is tried, which are left alone for a while |
-//! | `stored` | what outlives the process |
+//! | `interface` | the types shared with the driver |
+//! | `revisions` | the stored revisions, and the verification of updates against certificates |
+//! | `updates` | handling of deltas, snapshots and activation approvals from relays |
+//! | `lease_requests` | open lease requests, and the lease that was granted |
+//! | `relay_connections` | selection of the serving relay, failover, failback and backoff |
+//! | `stored` | the state that survives a restart of the process |
 //! | `difference` | the edits between two states |
-//! | `relay_order` | a controller's relays in the order of its preference |
+//! | `relay_order` | a controller's relays in the order of preference |
 
 mod difference;
 mod interface;
 mod lease_requests;
-mod links;
+mod relay_connections;
 mod relay_order;
 mod revisions;
 mod stored;
@@ -38,48 +39,49 @@
 use crate::state::State;
 use crate::Hand;
 use lease_requests::LeaseRequests;
-use links::{Contradiction, Leave, LinkAction, Links, Wanted};
+use relay_connections::{ConnectionAction, Contradiction, DisconnectReason, RelayConnections, UpdateDemand};
 use revisions::{RevisionFault, Revisions};
 use stored::Storage;
-use updates::{SnapshotOffer, Source};
+use updates::{SnapshotOffer, SnapshotSource};
 
-/// Why a relay is refused.
+/// Why a relay is disconnected and not retried for a while.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 enum RelayFault {
-    #[error("it contradicts itself: {0}")]
+    #[error("contradictory messages on one connection: {0}")]
     Contradiction(#[from] Contradiction),
     #[error("{0}")]
     Revision(#[from] RevisionFault),
-    #[error("a lease: {0}")]
+    #[error("invalid lease proof: {0}")]
     Lease(LeaseFault),
-    #[error("a message that answers nothing that a watcher asks")]
+    #[error("a message that a watcher never requests")]
     Unexpected,
 }
 
-/// Prepares certified revisions and acts on allowed ones. It does no I/O: relays are meant by their place in the order
-/// of preference, and a driver carries out what is put in `out`, in that order.
+/// Prepares certified revisions and activates allowed ones. It does no I/O: a relay is identified by its
+/// index in the order of preference, and a driver carries out the outputs that are appended to `out`, in
+/// order.
 pub struct Watcher<H> {
-    hand: H,
+    signer: H,
     config: WatcherConfig,
     revisions: Revisions,
-    requests: LeaseRequests,
-    links: Links,
+    lease_requests: LeaseRequests,
+    connections: RelayConnections,
     storage: Storage,
-    source: Source,
-    /// Whether it has something stored, or had a lease that showed its file to be what holds.
-    sure: bool,
-    /// Since when it knows of a revision, or of a word to act, that it does not have.
-    wanted_since: Option<Duration>,
+    snapshot_source: SnapshotSource,
+    /// Whether a revision is stored, or a lease has confirmed that the program's own file is still current.
+    confirmed: bool,
+    /// Since when a revision that is not held is known to be certified or allowed to be activated.
+    update_wanted_since: Option<Duration>,
     last_refusal: Option<(usize, String)>,
     /// The time of the last call.
     now: Duration,
 }
 
 impl<H: Hand> Watcher<H> {
-    /// A watcher that acts on what it stored, or else on `own`, the state of the program's own file. What was stored and
-    /// this program can't act on is as if it were not stored.
+    /// Starts from the stored revisions, or else from `file_state`, the state of the program's own file.
+    /// Stored revisions that this program cannot apply are ignored.
     pub fn new(
-        hand: H, config: WatcherConfig, own: State, stored: Option<Stored>, seed: u64, now: Duration,
+        signer: H, config: WatcherConfig, file_state: State, stored: Option<Stored>, seed: u64, now: Duration,
     ) -> Self {
         let mut stored = stored.unwrap_or_default();
         let is_unfit =
@@ -89,81 +91,83 @@
             stored.sure = false;
         }
         Self {
-            hand,
-            sure: stored.sure || stored.active.is_some(),
-            revisions: Revisions::new(own, stored.clone()),
-            requests: LeaseRequests::default(),
-            links: Links::new(config.relays, seed, now),
+            signer,
+            confirmed: stored.sure || stored.active.is_some(),
+            revisions: Revisions::new(file_state, stored.clone()),
+            lease_requests: LeaseRequests::default(),
+            connections: RelayConnections::new(config.relays, seed, now),
             storage: Storage::new(stored),
-            source: Source::default(),
-            wanted_since: None,
+            snapshot_source: SnapshotSource::default(),
+            update_wanted_since: None,
             last_refusal: None,
             now,
             config,
         }
     }
 
-    /// The connection to a relay, which [`WatcherOutput::Connect`] asked for, is open.
+    /// The connection to a relay that [`WatcherOutput::Connect`] requested is open.
     pub fn opened(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
-        if self.links.opened(now, relay) {
-            self.say_hello(relay, out);
-            self.say_unfit(relay, out);
+        if self.connections.on_opened(now, relay) {
+            self.send_hello(relay, out);
+            self.report_unfit(relay, out);
         }
-        self.settle(now, out);
+        self.advance(now, out);
     }
 
-    /// The connection to a relay is closed, could not be opened, or carried what is no message. Not to be called for one
-    /// that [`WatcherOutput::Close`] asked to close.
+    /// The connection to a relay closed, could not be opened, or carried bytes that are not a message. Must
+    /// not be called for a connection that [`WatcherOutput::Close`] asked to close.
     pub fn closed(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
-        self.links.closed(now, relay);
-        self.settle(now, out);
+        self.connections.on_closed(now, relay);
+        self.advance(now, out);
     }
 
-    /// A relay said something.
+    /// Handles a message from a relay.
     pub fn heard(&mut self, now: Duration, relay: usize, message: ToWatcher, out: &mut Vec<WatcherOutput>) {
-        if !self.links.is_open(relay) {
+        if !self.connections.is_open(relay) {
             return;
         }
-        if let Err(fault) = self.take(now, relay, message, out) {
-            self.refuse(now, relay, &fault, out);
+        if let Err(fault) = self.handle_message(now, relay, message, out) {
+            self.refuse_relay(now, relay, &fault, out);
         }
-        self.settle(now, out);
+        self.advance(now, out);
     }
 
-    fn refuse(&mut self, now: Duration, relay: usize, fault: &RelayFault, out: &mut Vec<WatcherOutput>) {
+    fn refuse_relay(
+        &mut self, now: Duration, relay: usize, fault: &RelayFault, out: &mut Vec<WatcherOutput>,
+    ) {
         self.last_refusal = Some((relay, fault.to_string()));
-        self.leave(now, relay, Leave::Refused, out);
+        self.disconnect(now, relay, DisconnectReason::Refused, out);
     }
 
-    fn take(
+    fn handle_message(
         &mut self, now: Duration, relay: usize, message: ToWatcher, out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
         match message {
             ToWatcher::Welcome { relay: machine, number } => {
-                self.links.welcomed(now, relay, machine, number)?;
+                self.connections.on_welcome(now, relay, machine, number)?;
             }
             ToWatcher::Busy { retry_after_ms } => {
                 let pause = Duration::from_millis(u64::from(retry_after_ms));
-                self.leave(now, relay, Leave::Busy(pause), out);
+                self.disconnect(now, relay, DisconnectReason::Busy(pause), out);
             }
             ToWatcher::Delta { certificate, summary, base, base_root, edits } => {
-                self.links.offered(now, relay, certificate.number())?;
-                self.take_delta(now, relay, (certificate, summary), (base, base_root), &edits, out)?;
+                self.connections.on_offer(now, relay, certificate.number())?;
+                self.handle_delta(now, relay, (certificate, summary), (base, base_root), &edits, out)?;
             }
             ToWatcher::Snapshot { certificate, summary, groups } => {
-                self.links.offered(now, relay, certificate.number())?;
-                self.take_snapshot(now, relay, SnapshotOffer { certificate, summary, groups }, out)?;
+                self.connections.on_offer(now, relay, certificate.number())?;
+                self.handle_snapshot(now, relay, SnapshotOffer { certificate, summary, groups }, out)?;
             }
             ToWatcher::Group { group, buckets } => {
-                self.take_part(now, relay, out, |revisions| revisions.take_group(group, buckets))?;
+                self.handle_part(now, relay, out, |revisions| revisions.receive_group(group, buckets))?;
             }
             ToWatcher::Bucket { bucket, entries } => {
-                self.take_part(now, relay, out, |revisions| revisions.take_bucket(bucket, entries))?;
+                self.handle_part(now, relay, out, |revisions| revisions.receive_bucket(bucket, entries))?;
             }
-            ToWatcher::Activate { number, goes } => self.take_goes(now, relay, number, &goes, out)?,
-            ToWatcher::Lease(proof) => self.take_lease(now, relay, &proof, out)?,
+            ToWatcher::Activate { number, goes } => self.handle_approvals(now, relay, number, &goes, out)?,
+            ToWatcher::Lease(proof) => self.handle_lease(now, relay, &proof, out)?,
             ToWatcher::RegionalLease(proof) if self.config.regional => {
-                self.take_regional_lease(now, relay, &proof, out)?
+                self.handle_regional_lease(now, relay, &proof, out)?
             }
             ToWatcher::PushOutcome { .. }
             | ToWatcher::Status(_)
@@ -173,155 +177,160 @@
         Ok(())
     }
 
-    /// An answer to a request for a lease; one to a nonce that is answered or too old is nothing.
-    fn take_lease(
+    /// Handles a lease proof. A proof over a nonce that is already answered or too old is ignored.
+    fn handle_lease(
         &mut self, now: Duration, relay: usize, proof: &LeaseProof, out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        if !self.requests.is_open(&proof.nonce) {
+        if !self.lease_requests.is_pending(&proof.nonce) {
             return Ok(());
         }
-        let shown = proof.check(self.config.controller, self.revisions.active(), &self.hand);
-        self.requests.answered(&proof.nonce, shown);
-        self.lease_shown(now, relay, shown, out)
+        let check = proof.check(self.config.controller, self.revisions.active(), &self.signer);
+        self.lease_requests.record_answer(&proof.nonce, check);
+        self.handle_lease_check(now, relay, check, out)
     }
 
-    /// The same where control machines vouched in the place of acceptors.
-    fn take_regional_lease(
+    /// Handles a lease proof that is signed by control machines of the region instead of a quorum of
+    /// acceptors.
+    fn handle_regional_lease(
         &mut self, now: Duration, relay: usize, proof: &RegionalProof, out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        if !self.requests.is_open(&proof.nonce) {
+        if !self.lease_requests.is_pending(&proof.nonce) {
             return Ok(());
         }
-        let shown = proof.check(self.config.controller, self.revisions.active(), &self.hand);
-        self.requests.vouched(&proof.nonce, shown);
-        self.lease_shown(now, relay, shown, out)
+        let check = proof.check(self.config.controller, self.revisions.active(), &self.signer);
+        self.lease_requests.record_regional_answer(&proof.nonce, check);
+        self.handle_lease_check(now, relay, check, out)
     }
 
-    /// What an answer to a request for a lease showed.
-    fn lease_shown(
-        &mut self, now: Duration, relay: usize, shown: Result<(), LeaseFault>, out: &mut Vec<WatcherOutput>,
+    /// Handles the result of verifying a lease proof.
+    fn handle_lease_check(
+        &mut self, now: Duration, relay: usize, check: Result<(), LeaseFault>, out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        match shown {
-            Ok(()) | Err(LeaseFault::Behind(_)) => self.links.granted(now, relay),
+        match check {
+            Ok(()) | Err(LeaseFault::Behind(_)) => self.connections.on_grants(now, relay),
             Err(fault) if fault.is_forged() => return Err(RelayFault::Lease(fault)),
             Err(_) => {}
         }
-        if !self.sure && self.requests.is_held(now) {
-            self.sure = true;
-            out.push(WatcherOutput::Store(self.storage.sure()));
+        if !self.confirmed && self.lease_requests.has_lease(now) {
+            self.confirmed = true;
+            out.push(WatcherOutput::Store(self.storage.confirmed()));
             out.push(WatcherOutput::Changed);
         }
         Ok(())
     }
 
-    /// Does what is due.
+    /// Performs the work that is due.
     pub fn tend(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
-        self.settle(now, out);
+        self.advance(now, out);
     }
 
-    /// Does what follows from a change or from the time that went by.
-    fn settle(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
+    /// Performs what follows from an event or from the passage of time.
+    fn advance(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
         self.now = now;
         let revisions = &self.revisions;
-        let known = revisions.certified().max(revisions.allowed());
-        // What this program can't act on is no reason to look for another relay.
-        let is_behind = self.requests.is_behind() && revisions.unfit().is_none();
-        let wants = known > revisions.held() || is_behind;
-        self.wanted_since = wants.then(|| self.wanted_since.unwrap_or(now));
+        let highest_known = revisions.certified().max(revisions.allowed());
+        // Another relay would not help with a revision that this program cannot apply.
+        let is_behind = self.lease_requests.is_behind() && revisions.unfit().is_none();
+        let is_update_wanted = highest_known > revisions.held() || is_behind;
+        self.update_wanted_since = is_update_wanted.then(|| self.update_wanted_since.unwrap_or(now));
         let mut actions = Vec::new();
-        self.links.tend(now, &self.wanted(), &mut actions);
+        self.connections.poll(now, &self.update_demand(), &mut actions);
         for action in actions {
             match action {
-                LinkAction::Connect(relay) => out.push(WatcherOutput::Connect(relay)),
-                LinkAction::Close(relay) => out.push(WatcherOutput::Close(relay)),
-                LinkAction::AskLease(relay) => self.ask_lease(now, relay, out),
+                ConnectionAction::Connect(relay) => out.push(WatcherOutput::Connect(relay)),
+                ConnectionAction::Close(relay) => out.push(WatcherOutput::Close(relay)),
+                ConnectionAction::RequestLease(relay) => self.request_lease(now, relay, out),
             }
         }
-        self.ask_parts(now, out);
+        self.request_parts(now, out);
     }
 
-    fn wanted(&self) -> Wanted {
-        Wanted {
+    fn update_demand(&self) -> UpdateDemand {
+        UpdateDemand {
             held: self.revisions.held(),
             certified: self.revisions.certified(),
-            since: self.wanted_since,
-            source: self.source.relay(),
+            wanted_since: self.update_wanted_since,
+            source: self.snapshot_source.relay(),
         }
     }
 
-    fn leave(&mut self, now: Duration, relay: usize, why: Leave, out: &mut Vec<WatcherOutput>) {
-        self.links.leave(now, relay, why);
+    fn disconnect(
+        &mut self, now: Duration, relay: usize, reason: DisconnectReason, out: &mut Vec<WatcherOutput>,
+    ) {
+        self.connections.disconnect(now, relay, reason);
         out.push(WatcherOutput::Close(relay));
     }
 
-    fn ask_lease(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
+    fn request_lease(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
         let nonce = (self.config.nonce)();
-        self.requests.drew(now, nonce);
+        self.lease_requests.record_request(now, nonce);
         let active = self.revisions.active();
-        let ask = match self.config.regional {
+        let request = match self.config.regional {
             true => ToRelay::AskRegionalLease { nonce, active },
             false => ToRelay::AskLease { nonce, active },
         };
-        out.push(WatcherOutput::Send(relay, ask));
+        out.push(WatcherOutput::Send(relay, request));
     }
 
-    fn say_hello(&mut self, relay: usize, out: &mut Vec<WatcherOutput>) {
+    fn send_hello(&mut self, relay: usize, out: &mut Vec<WatcherOutput>) {
         let hello = ToRelay::Hello {
             controller: self.config.controller,
             active: self.revisions.active(),
             held: self.revisions.held(),
             root: self.revisions.held_state().root(),
         };
-        self.links.greeted(relay);
+        self.connections.on_hello_sent(relay);
         out.push(WatcherOutput::Send(relay, hello));
     }
 
-    fn say_unfit(&self, relay: usize, out: &mut Vec<WatcherOutput>) {
+    fn report_unfit(&self, relay: usize, out: &mut Vec<WatcherOutput>) {
         if let Some((number, reason)) = self.revisions.unfit() {
             let unfit = ToRelay::Unfit { number, reason: reason.to_owned() };
             out.push(WatcherOutput::Send(relay, unfit));
         }
     }
 
-    /// When [`Watcher::tend`] wants to be called. To be asked again after each call of another method.
+    /// The next time at which [`Watcher::tend`] must be called. To be read again after each call of another
+    /// method.
     pub fn next_due(&self) -> Duration {
-        self.links.next_due(self.now, &self.wanted())
+        self.connections.next_due(self.now, &self.update_demand())
     }
 
-    /// What it may act on. It is to be asked just before each decision that a revision governs: a process that stood
-    /// still for longer than its lease learns here that it did.
+    /// Which revision may govern decisions now. To be read immediately before each decision that depends on
+    /// the configuration: a process that was paused for longer than its lease learns here that the lease has
+    /// expired.
     pub fn acting(&self, now: Duration) -> Acting {
         Acting {
             active: self.revisions.active(),
             prepared: self.revisions.prepared().map(StoredRevision::number),
-            held: self.hold(now),
+            held: self.hold_reason(now),
         }
     }
 
-    fn hold(&self, now: Duration) -> Option<HoldReason> {
+    fn hold_reason(&self, now: Duration) -> Option<HoldReason> {
         if self.revisions.allowed() > self.revisions.active() {
             return Some(HoldReason::Behind);
         }
-        if self.requests.is_held(now) {
+        if self.lease_requests.has_lease(now) {
             return None;
         }
-        if self.requests.is_behind() {
+        if self.lease_requests.is_behind() {
             return Some(HoldReason::Behind);
         }
-        Some(if self.sure { HoldReason::NoLease } else { HoldReason::Unsure })
+        Some(if self.confirmed { HoldReason::NoLease } else { HoldReason::Unsure })
     }
 
-    /// The state of the revision that it acts on.
+    /// The state of the active revision.
     pub fn active_state(&self) -> &State {
         self.revisions.active_state()
     }
 
-    /// The state of the revision that others may act on at any time.
+    /// The state of the prepared revision, which other controllers may activate at any time.
     pub fn prepared_state(&self) -> Option<&State> {
         self.revisions.prepared().map(|prepared| &prepared.state)
     }
 
-    /// What it knows, for its operator.
+    /// Reports the status for operators.
     pub fn status(&self, now: Duration) -> WatcherStatus {
         WatcherStatus {
             acting: self.acting(now),
@@ -329,19 +338,19 @@
             certified: self.revisions.certified(),
             allowed: self.revisions.allowed().max(self.revisions.active()),
             unfit: self.revisions.unfit().map(|(number, _)| number),
-            lease_until: self.requests.until(),
-            regional: self.requests.is_regional(now),
+            lease_until: self.lease_requests.lease_until(),
+            regional: self.lease_requests.is_regional(now),
             bound: bound(self.config.late),
-            serving: self.links.serving(),
-            trying: self.links.trying(),
+            serving: self.connections.serving(),
+            trying: self.connections.trying(),
             transfer: self.revisions.progress(),
-            relays_refused: self.links.refused(),
+            relays_refused: self.connections.refused(),
             last_refusal: self.last_refusal.clone(),
         }
     }
 
-    /// The keys of members and the list of acceptors are others from now on.
-    pub fn take_hand(&mut self, hand: H) {
-        self.hand = hand;
+    /// Replaces the verification keys and the list of acceptors.
+    pub fn take_hand(&mut self, signer: H) {
+        self.signer = signer;
     }
 }
--- a/crates/distribution/src/watcher/difference.rs
+++ b/crates/distribution/src/watcher/difference.rs
@@ -1,11 +1,11 @@
-//! The edits that lead from one state to another.
+//! Comparison of two states.
 
 use std::collections::BTreeMap;
 
 use crate::state::{Edit, State, GROUPS};
 use crate::Digest;
 
-/// The edits that lead from one state to another. Only buckets whose digests differ are looked at.
+/// The edits that lead from one state to another. Only buckets with different digests are compared.
 pub(crate) fn difference(from: &State, to: &State) -> Vec<Edit> {
     let (old, new) = (from.group_digests(), to.group_digests());
     let differs = |group: &u8| old.get(usize::from(*group)) != new.get(usize::from(*group));
@@ -17,13 +17,13 @@
         buckets.sort_unstable();
         buckets.dedup();
         for bucket in buckets.into_iter().filter(|bucket| old.get(bucket) != new.get(bucket)) {
-            difference_of_bucket(from, to, bucket, &mut edits);
+            append_bucket_difference(from, to, bucket, &mut edits);
         }
     }
     edits
 }
 
-fn difference_of_bucket(from: &State, to: &State, bucket: u16, edits: &mut Vec<Edit>) {
+fn append_bucket_difference(from: &State, to: &State, bucket: u16, edits: &mut Vec<Edit>) {
     for old in from.bucket(bucket) {
         if to.get(&old.key).is_none() {
             edits.push(Edit { key: old.key, value: None });
--- a/crates/distribution/src/watcher/interface.rs
+++ b/crates/distribution/src/watcher/interface.rs
@@ -1,4 +1,4 @@
-//! The types that a driver of a watcher deals with.
+//! The types shared by a watcher and its driver.
 
 use std::time::Duration;
 
@@ -8,98 +8,105 @@
 use crate::transfer::Progress;
 use crate::{ControllerId, Digest, MachineId, Number};
 
-/// Whether this program can act on the state of a revision, or why it can't.
+/// Checks whether this program can apply the state of a revision; the error is the reason why it cannot.
 pub type Check = Box<dyn Fn(&State, Number) -> Result<(), String> + Send>;
 
-/// Draws a nonce from the system's source of randomness: one that can be foretold makes leases too long.
+/// Draws a nonce from the operating system's random number generator. A predictable nonce could be granted in
+/// advance, and the lease would then last too long.
 pub type DrawNonce = Box<dyn FnMut() -> Nonce + Send>;
 
-/// What a watcher is given.
+/// Configuration of a watcher.
 pub struct WatcherConfig {
     pub controller: ControllerId,
-    /// How many relays there are, in the order of preference (see [`super::relay_order`]).
+    /// The number of relays, which are indexed in the order of preference (see [`super::relay_order`]).
     pub relays: usize,
-    /// How long what was decided may still take to go out, for the bound that is stated.
+    /// The longest time from a decision until its messages are sent, which is part of the stated bound on
+    /// contradicting revisions.
     pub late: Duration,
-    /// Whether a lease for which control machines vouch is taken where no quorum of acceptors answers.
+    /// Whether a regional lease, which control machines of the region grant, is accepted while no quorum of
+    /// acceptors answers.
     pub regional: bool,
     pub check: Check,
     pub nonce: DrawNonce,
 }
 
-/// What is to be written to the disk, before anything that stands behind it in the output is carried out.
+/// A write to the disk, to be completed before the outputs after it are carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// These bytes take the place of all that was stored, as a whole or not at all.
+    /// Replaces all stored bytes atomically.
     Replace(Vec<u8>),
-    /// These bytes go behind what is stored. Where that is cut off, the rest still counts.
+    /// Appends to the stored bytes. If the write is torn, the bytes before it stay valid.
     Append(Vec<u8>),
 }
 
-/// What a watcher wants done, in this order.
+/// An action for the driver. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatcherOutput {
-    /// A connection to this relay is to be opened; then [`super::Watcher::opened`] or [`super::Watcher::closed`].
+    /// Open a connection to this relay, then call [`super::Watcher::opened`], or [`super::Watcher::closed`]
+    /// on failure.
     Connect(usize),
-    /// The connection to this relay is to be closed, or no more to be opened.
+    /// Close the connection to this relay, or stop opening it.
     Close(usize),
     Send(usize, ToRelay),
     Store(StoreRequest),
-    /// What it acts on, or has prepared, is another.
+    /// The active or the prepared revision changed.
     Changed,
-    /// A certified revision can't be acted on here.
+    /// This program cannot apply a certified revision.
     Unfit {
         number: Number,
         reason: String,
     },
 }
 
-/// Why a watcher holds back what an exclusive key governs.
+/// Why a watcher withholds decisions that depend on exclusive keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
-    /// It has nothing stored, and had no lease that showed its file to be still what holds.
+    /// Nothing is stored, and no lease has confirmed that the program's own file is still current.
     Unsure,
-    /// No quorum of acceptors has granted a lease that still lasts.
+    /// The watcher has no unexpired lease.
     NoLease,
-    /// Others act on a revision that it does not have, or can't act on.
+    /// Other controllers may act on a revision that this watcher does not hold or cannot apply.
     Behind,
 }
 
-/// What a watcher acts on at one time.
+/// The revisions that govern decisions at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acting {
-    /// The revision that it acts on; 0 is the program's own file.
+    /// The active revision; 0 is the program's own file.
     pub active: Number,
-    /// A later one that it has said to have, and that others may act on at any time.
+    /// A later revision that the watcher has reported as prepared, and that other controllers may activate at
+    /// any time.
     pub prepared: Option<Number>,
+    /// Why decisions that depend on exclusive keys are withheld; `None` if they are allowed.
     pub held: Option<HoldReason>,
 }
 
-/// What a watcher knows, for its operator.
+/// Status of a watcher, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatcherStatus {
     pub acting: Acting,
-    /// The root of the state that it acts on.
+    /// The root of the active state.
     pub active_root: Digest,
-    /// The highest revision that it knows to be certified.
+    /// The highest revision known to be certified.
     pub certified: Number,
-    /// The highest revision that it knows to be allowed to be acted on.
+    /// The highest revision whose activation is known to be allowed.
     pub allowed: Number,
-    /// The highest revision that it can't act on, if it is the last one that it has.
+    /// The last received revision, if this program cannot apply it.
     pub unfit: Option<Number>,
+    /// When the lease expires.
     pub lease_until: Option<Duration>,
-    /// Whether that lease rests on control machines that vouched, without a quorum of acceptors.
+    /// Whether the lease was granted by control machines of the region only, without a quorum of acceptors.
     pub regional: bool,
-    /// How long two controllers may act on contradicting revisions at most.
+    /// The longest time for which two controllers may act on contradicting revisions.
     pub bound: Duration,
-    /// The place of the relay that serves, and the control machine that it says it is.
+    /// The index of the serving relay, and the control machine that it claims to be.
     pub serving: Option<(usize, Option<MachineId>)>,
-    /// The place of the relay that is tried.
+    /// The index of the relay that is being tried.
     pub trying: Option<usize>,
-    /// How far the transfer of a snapshot has come, while there is one.
+    /// Progress of the current snapshot transfer.
     pub transfer: Option<Progress>,
-    /// Connections that were left because of what came on them.
+    /// Connections that were closed because of invalid messages.
     pub relays_refused: u64,
-    /// The place of the relay that was refused last, and why.
+    /// The index of the last refused relay, and the reason.
     pub last_refusal: Option<(usize, String)>,
 }
--- a/crates/distribution/src/watcher/lease_requests.rs
+++ b/crates/distribution/src/watcher/lease_requests.rs
@@ -1,49 +1,52 @@
-//! Nonces that were drawn, and the lease that came of them.
+//! Open lease requests of a watcher, and the lease that the answers granted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::lease::{LeaseFault, Nonce, LEASE};
 
-/// Nonces that are kept for their answers: more than two connections ask with in a lease.
-const MOST_NONCES: usize = 16;
+/// The number of nonces that are kept for their answers: more than two connections use within a lease.
+const MAX_PENDING_NONCES: usize = 16;
 
-/// The lease of a watcher, and its requests that are not answered yet.
+/// The lease of a watcher, and its unanswered requests.
 #[derive(Debug, Default)]
 pub(super) struct LeaseRequests {
-    /// When each nonce was drawn.
-    drawn: BTreeMap<Nonce, Duration>,
+    /// Unanswered nonces, with the time at which each was drawn.
+    pending: BTreeMap<Nonce, Duration>,
+    /// When the lease expires, whoever granted it.
     until: Option<Duration>,
-    /// What the last proof lacked, if it came from a quorum that had allowed a higher revision.
+    /// Whether the last quorum of grants allowed a higher revision than the active one.
     behind: bool,
-    /// Until when the last lease for which control machines vouched lasts.
+    /// When the last regional lease expires.
     regional_until: Option<Duration>,
-    /// The same of the last one that acceptors granted.
-    granted_until: Option<Duration>,
+    /// When the last lease granted by a quorum of acceptors expires.
+    quorum_until: Option<Duration>,
 }
 
 impl LeaseRequests {
-    /// A nonce was drawn now, for a request that goes out after that.
-    pub fn drew(&mut self, now: Duration, nonce: Nonce) {
-        self.drawn.retain(|_, at| *at + LEASE > now);
-        while self.drawn.len() >= MOST_NONCES {
-            let oldest = self.drawn.iter().min_by_key(|(_, at)| **at).map(|(nonce, _)| *nonce);
-            oldest.map(|nonce| self.drawn.remove(&nonce));
+    /// Records a nonce that was just drawn, for a request that is sent afterwards.
+    pub fn record_request(&mut self, now: Duration, nonce: Nonce) {
+        self.pending.retain(|_, drawn_at| *drawn_at + LEASE > now);
+        while self.pending.len() >= MAX_PENDING_NONCES {
+            let oldest = self.pending.iter().min_by_key(|(_, drawn_at)| **drawn_at).map(|(nonce, _)| *nonce);
+            oldest.map(|nonce| self.pending.remove(&nonce));
         }
-        self.drawn.insert(nonce, now);
+        self.pending.insert(nonce, now);
     }
 
-    pub fn is_open(&self, nonce: &Nonce) -> bool {
-        self.drawn.contains_key(nonce)
+    /// Whether the nonce is recent and not answered yet.
+    pub fn is_pending(&self, nonce: &Nonce) -> bool {
+        self.pending.contains_key(nonce)
     }
 
-    /// What a proof over an open nonce showed. A lease counts from when its nonce was drawn.
-    pub fn answered(&mut self, nonce: &Nonce, shown: Result<(), LeaseFault>) {
-        let Some(drawn) = self.drawn.remove(nonce) else { return };
-        match shown {
+    /// Records the verification result of a proof over an unanswered nonce. The lease counts from when the
+    /// nonce was drawn.
+    pub fn record_answer(&mut self, nonce: &Nonce, check: Result<(), LeaseFault>) {
+        let Some(drawn_at) = self.pending.remove(nonce) else { return };
+        match check {
             Ok(()) => {
-                self.granted_until = self.granted_until.max(Some(drawn + LEASE));
-                self.until = self.until.max(self.granted_until);
+                self.quorum_until = self.quorum_until.max(Some(drawn_at + LEASE));
+                self.until = self.until.max(self.quorum_until);
                 self.behind = false;
             }
             Err(LeaseFault::Behind(_)) => self.behind = true,
@@ -51,33 +54,35 @@
         }
     }
 
-    /// The same where control machines vouched in the place of acceptors.
-    pub fn vouched(&mut self, nonce: &Nonce, shown: Result<(), LeaseFault>) {
-        let Some(drawn) = self.drawn.remove(nonce).filter(|_| shown.is_ok()) else { return };
-        self.regional_until = self.regional_until.max(Some(drawn + LEASE));
+    /// Records the verification result of a regional lease proof.
+    pub fn record_regional_answer(&mut self, nonce: &Nonce, check: Result<(), LeaseFault>) {
+        let Some(drawn_at) = self.pending.remove(nonce).filter(|_| check.is_ok()) else { return };
+        self.regional_until = self.regional_until.max(Some(drawn_at + LEASE));
         self.until = self.until.max(self.regional_until);
     }
 
-    /// Whether a lease lasts that only rests on control machines that vouched.
+    /// Whether the current lease is regional only.
     pub fn is_regional(&self, now: Duration) -> bool {
-        self.is_held(now) && self.granted_until.is_none_or(|until| until <= now)
+        self.has_lease(now) && self.quorum_until.is_none_or(|until| until <= now)
     }
 
-    pub fn until(&self) -> Option<Duration> {
+    /// When the lease expires, whoever granted it.
+    pub fn lease_until(&self) -> Option<Duration> {
         self.until
     }
 
-    pub fn is_held(&self, now: Duration) -> bool {
+    /// Whether the lease has not expired.
+    pub fn has_lease(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Whether the last answer of a quorum said that a higher revision is allowed.
+    /// Whether the last quorum of grants allowed a higher revision than the active one.
     pub fn is_behind(&self) -> bool {
         self.behind
     }
 
-    /// The revision that is acted on is a higher one now.
-    pub fn activated(&mut self) {
+    /// A higher revision became active.
+    pub fn on_activated(&mut self) {
         self.behind = false;
     }
 }
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -1,4 +1,4 @@
-//! Which revisions a watcher holds, and what it takes from a relay: all that is checked against certificates.
+//! The revisions that a watcher holds, and the verification of updates against certificates.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,98 +12,114 @@
 use crate::transfer::{check_groups, PartRequest, Progress, Taken, Transfer, TransferFault};
 use crate::{quorum, Certified, Digest, Hand, MachineId, Number};
 
-/// Votes, or words to act, that a certificate may have: more than there are acceptors in any deployment.
-const MOST_VOTES: usize = MAX_GRANTS;
+/// The number of votes, or of activation approvals, that a certificate may have: more than there are
+/// acceptors in any deployment.
+const MAX_VOTES: usize = MAX_GRANTS;
 
-/// Why what a relay handed down is not taken. The relay could have known it.
+/// Why an update from a relay is rejected. A correct relay sends no such update.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum RevisionFault {
-    #[error("revision {0}: its votes don't show that it is certified")]
+    #[error("revision {0}: the votes do not certify it")]
     Certificate(Number),
-    #[error("revision {0}: the summary is not the one that is certified")]
+    #[error("revision {0}: the summary is not the certified one")]
     Summary(Number),
-    #[error("revision {0} is certified with two heads")]
+    #[error("revision {0}: two different heads are certified")]
     Contradiction(Number),
-    #[error("revision {0}: a delta that can't be applied: {1}")]
+    #[error("revision {0}: the delta cannot be applied: {1}")]
     Edits(Number, StateFault),
     #[error("revision {0}: the delta does not lead to the certified root")]
     Root(Number),
     #[error("revision {0}: {1}")]
     Transfer(Number, TransferFault),
-    #[error("a part of a snapshot where none was offered")]
+    #[error("a part of a snapshot that was not offered")]
     NoTransfer,
-    #[error("revision {0}: no quorum says that it may be acted on")]
+    #[error("revision {0}: no quorum of acceptors allows its activation")]
     NotAllowed(Number),
 }
 
-/// What became of something that was handed down.
+/// The result of handling an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Offered {
-    /// It is held already, or a later one is.
+pub(super) enum UpdateOutcome {
+    /// This revision or a later one is held already.
     Old,
-    /// A delta on a base that is not held.
+    /// The delta is on a base that is not held.
     NoBase,
-    /// Parts of a snapshot are to be asked for, or came and others are left.
+    /// Parts of a snapshot are still missing.
     Transferring,
-    /// Its state is complete and checked.
+    /// The state of the revision is complete and verified.
     Received(Box<StoredRevision>),
 }
 
-/// A snapshot that is certified, and of which parts may be had already.
+/// A certified snapshot whose parts are being fetched.
 struct Snapshot {
     certificate: Certified,
     summary: Summary,
     transfer: Transfer,
 }
 
-/// The highest revision that a quorum allowed to be acted on.
+/// The highest revision whose activation a quorum of acceptors allowed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Allowed {
+struct AllowedActivation {
     number: Number,
     digest: Digest,
 }
 
-/// The revision received last, and why this program can't act on it, if it can't.
-struct Received {
+/// The last received revision, and why this program cannot apply it, if it cannot.
+struct ReceivedRevision {
     revision: StoredRevision,
-    unfit: Option<String>,
+    unfit_reason: Option<String>,
 }
 
 /// The revisions that a watcher holds.
 pub(super) struct Revisions {
-    own: State,
+    /// The state of the program's own file.
+    file_state: State,
     active: Option<StoredRevision>,
-    received: Option<Received>,
+    /// The last received revision, if it is not active.
+    received: Option<ReceivedRevision>,
     snapshot: Option<Snapshot>,
-    allowed: Allowed,
+    allowed: AllowedActivation,
+    /// The highest revision known to be certified.
     certified: Number,
 }
 
 impl Revisions {
-    pub fn new(own: State, stored: Stored) -> Self {
+    pub fn new(file_state: State, stored: Stored) -> Self {
         let Stored { active, prepared, .. } = stored;
         let certified = prepared.as_ref().or(active.as_ref()).map_or(0, StoredRevision::number);
-        let received = prepared.map(|revision| Received { revision, unfit: None });
-        Self { own, active, received, snapshot: None, allowed: Allowed::default(), certified }
+        let received = prepared.map(|revision| ReceivedRevision { revision, unfit_reason: None });
+        Self {
+            file_state,
+            active,
+            received,
+            snapshot: None,
+            allowed: AllowedActivation::default(),
+            certified,
+        }
     }
 
-    /// The revision that is acted on.
+    /// The active revision; 0 is the program's own file.
     pub fn active(&self) -> Number {
         self.active.as_ref().map_or(0, StoredRevision::number)
     }
 
+    /// The state of the active revision.
     pub fn active_state(&self) -> &State {
-        self.active.as_ref().map_or(&self.own, |active| &active.state)
+        self.active.as_ref().map_or(&self.file_state, |active| &active.state)
     }
 
+    /// The prepared revision.
     pub fn prepared(&self) -> Option<&StoredRevision> {
-        self.received.as_ref().filter(|received| received.unfit.is_none()).map(|received| &received.revision)
+        self.received
+            .as_ref()
+            .filter(|received| received.unfit_reason.is_none())
+            .map(|received| &received.revision)
     }
 
-    /// The revision that was received last, if this program can't act on it, and why.
+    /// The last received revision and the reason, if this program cannot apply it.
     pub fn unfit(&self) -> Option<(Number, &str)> {
         let received = self.received.as_ref()?;
-        Some((received.revision.number(), received.unfit.as_deref()?))
+        Some((received.revision.number(), received.unfit_reason.as_deref()?))
     }
 
     /// The highest revision whose state is held.
@@ -111,31 +127,32 @@
         self.received.as_ref().map_or(self.active(), |received| received.revision.number())
     }
 
+    /// The state of the highest revision that is held.
     pub fn held_state(&self) -> &State {
         self.received.as_ref().map_or(self.active_state(), |received| &received.revision.state)
     }
 
-    /// The highest revision that is known to be certified.
+    /// The highest revision known to be certified.
     pub fn certified(&self) -> Number {
         self.certified
     }
 
-    /// The highest revision that is known to be allowed to be acted on.
+    /// The highest revision whose activation is known to be allowed.
     pub fn allowed(&self) -> Number {
         self.allowed.number
     }
 
-    /// A revision, certified, as edits on the state of another one.
-    pub fn take_delta(
+    /// Verifies a certified revision that is sent as edits of the state of another one.
+    pub fn apply_delta(
         &mut self, certificate: Certified, summary: Summary, base: (Number, Digest), edits: &[Edit],
-        hand: &impl Hand,
-    ) -> Result<Offered, RevisionFault> {
+        signer: &impl Hand,
+    ) -> Result<UpdateOutcome, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
-            return self.old(&certificate);
+            return self.check_known(&certificate);
         }
-        let Some(mut state) = self.state_at(base) else { return Ok(Offered::NoBase) };
-        check_certificate(&certificate, &summary, hand)?;
+        let Some(mut state) = self.state_at(base) else { return Ok(UpdateOutcome::NoBase) };
+        check_certificate(&certificate, &summary, signer)?;
         state.apply(edits).map_err(|fault| RevisionFault::Edits(number, fault))?;
         if state.root() != summary.root {
             return Err(RevisionFault::Root(number));
@@ -144,18 +161,19 @@
         if self.snapshot.as_ref().is_some_and(|snapshot| snapshot.certificate.number() <= number) {
             self.snapshot = None;
         }
-        Ok(Offered::Received(Box::new(StoredRevision { certificate, summary, state })))
+        Ok(UpdateOutcome::Received(Box::new(StoredRevision { certificate, summary, state })))
     }
 
-    /// A copy of the state of a revision that is held, by number and root.
+    /// A copy of the state of a held revision, by number and root.
     fn state_at(&self, (number, root): (Number, Digest)) -> Option<State> {
-        let held = [(self.held(), self.held_state()), (self.active(), self.active_state())];
-        let base = held.into_iter().find(|(held, state)| (*held, state.root()) == (number, root));
+        let candidates = [(self.held(), self.held_state()), (self.active(), self.active_state())];
+        let base =
+            candidates.into_iter().find(|(candidate, state)| (*candidate, state.root()) == (number, root));
         base.map(|(_, state)| state.clone())
     }
 
-    /// One that is not newer than what is held.
-    fn old(&self, certificate: &Certified) -> Result<Offered, RevisionFault> {
+    /// Checks a revision that is not newer than the held one.
+    fn check_known(&self, certificate: &Certified) -> Result<UpdateOutcome, RevisionFault> {
         let number = certificate.number();
         let revisions = [self.received.as_ref().map(|received| &received.revision), self.active.as_ref()];
         let contradicts = |held: &&StoredRevision| {
@@ -163,7 +181,7 @@
         };
         match revisions.into_iter().flatten().any(|held| contradicts(&held)) {
             true => Err(RevisionFault::Contradiction(number)),
-            false => Ok(Offered::Old),
+            false => Ok(UpdateOutcome::Old),
         }
     }
 
@@ -172,15 +190,16 @@
         self.snapshot.as_ref().map(|snapshot| snapshot.certificate.number())
     }
 
-    /// A certified revision of which parts can be fetched. What earlier snapshots brought stays of use.
-    pub fn take_snapshot(
-        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], hand: &impl Hand,
-    ) -> Result<Offered, RevisionFault> {
+    /// Verifies the offer of a certified snapshot and makes it the target of the transfer. Parts that were
+    /// fetched for earlier snapshots are kept.
+    pub fn begin_snapshot(
+        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], signer: &impl Hand,
+    ) -> Result<UpdateOutcome, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
-            return self.old(&certificate);
+            return self.check_known(&certificate);
         }
-        check_snapshot(&certificate, &summary, groups, hand)?;
+        check_snapshot(&certificate, &summary, groups, signer)?;
         let fault = |fault| RevisionFault::Transfer(number, fault);
         let transfer = match self.snapshot.as_ref() {
             Some(snapshot) => {
@@ -195,79 +214,88 @@
         Ok(self.finish_snapshot())
     }
 
-    pub fn take_group(&mut self, group: u8, buckets: Vec<(u16, Digest)>) -> Result<Offered, RevisionFault> {
-        self.take_part(|transfer| transfer.take_group(group, buckets))
+    /// Receives the bucket digests of a group.
+    pub fn receive_group(
+        &mut self, group: u8, buckets: Vec<(u16, Digest)>,
+    ) -> Result<UpdateOutcome, RevisionFault> {
+        self.receive_part(|transfer| transfer.take_group(group, buckets))
     }
 
-    pub fn take_bucket(&mut self, bucket: u16, entries: Vec<Entry>) -> Result<Offered, RevisionFault> {
-        self.take_part(|transfer| transfer.take_bucket(bucket, entries))
+    /// Receives the entries of a bucket.
+    pub fn receive_bucket(
+        &mut self, bucket: u16, entries: Vec<Entry>,
+    ) -> Result<UpdateOutcome, RevisionFault> {
+        self.receive_part(|transfer| transfer.take_bucket(bucket, entries))
     }
 
-    fn take_part(
-        &mut self, take: impl FnOnce(&mut Transfer) -> Result<Taken, TransferFault>,
-    ) -> Result<Offered, RevisionFault> {
+    fn receive_part(
+        &mut self, receive: impl FnOnce(&mut Transfer) -> Result<Taken, TransferFault>,
+    ) -> Result<UpdateOutcome, RevisionFault> {
         let snapshot = self.snapshot.as_mut().ok_or(RevisionFault::NoTransfer)?;
         let number = snapshot.certificate.number();
-        take(&mut snapshot.transfer).map_err(|fault| RevisionFault::Transfer(number, fault))?;
+        receive(&mut snapshot.transfer).map_err(|fault| RevisionFault::Transfer(number, fault))?;
         Ok(self.finish_snapshot())
     }
 
-    fn finish_snapshot(&mut self) -> Offered {
-        let Some(snapshot) = self.snapshot.take() else { return Offered::Old };
+    /// Completes the revision, if all parts of its snapshot were received.
+    fn finish_snapshot(&mut self) -> UpdateOutcome {
+        let Some(snapshot) = self.snapshot.take() else { return UpdateOutcome::Old };
         let Some(state) = snapshot.transfer.finished().cloned() else {
             self.snapshot = Some(snapshot);
-            return Offered::Transferring;
+            return UpdateOutcome::Transferring;
         };
         let Snapshot { certificate, summary, .. } = snapshot;
-        Offered::Received(Box::new(StoredRevision { certificate, summary, state }))
+        UpdateOutcome::Received(Box::new(StoredRevision { certificate, summary, state }))
     }
 
-    /// Parts to ask for now.
+    /// The parts to request now.
     pub fn next_requests(&mut self) -> Vec<PartRequest> {
         self.snapshot.as_mut().map_or_else(Vec::new, |snapshot| snapshot.transfer.next_requests())
     }
 
-    /// The connection that parts were asked for on is gone.
+    /// The connection on which parts were requested closed.
     pub fn disconnected(&mut self) {
         if let Some(snapshot) = &mut self.snapshot {
             snapshot.transfer.disconnected();
         }
     }
 
+    /// Progress of the current snapshot transfer.
     pub fn progress(&self) -> Option<Progress> {
         self.snapshot.as_ref().map(|snapshot| snapshot.transfer.progress())
     }
 
-    /// The state of a revision is complete: it takes the place of the one received before.
-    /// `unfit` says why this program can't act on it.
-    pub fn receive(&mut self, revision: StoredRevision, unfit: Option<String>) {
-        self.received = Some(Received { revision, unfit });
+    /// Replaces the last received revision. `unfit_reason` says why this program cannot apply it.
+    pub fn set_received(&mut self, revision: StoredRevision, unfit_reason: Option<String>) {
+        self.received = Some(ReceivedRevision { revision, unfit_reason });
     }
 
-    /// Acceptors say that a revision may be acted on.
+    /// Records that acceptors allow the activation of a revision.
     ///
     /// # Errors
-    /// Where no quorum of them does, or they name another revision with this number than the one held.
-    pub fn take_goes(&mut self, number: Number, goes: &[Go], hand: &impl Hand) -> Result<(), RevisionFault> {
+    /// If no quorum of them does, or their approvals name another revision with the number of the held one.
+    pub fn allow_activation(
+        &mut self, number: Number, approvals: &[Go], signer: &impl Hand,
+    ) -> Result<(), RevisionFault> {
         if number <= self.allowed.number.max(self.active()) {
             return Ok(());
         }
-        let digest = allowed_digest(number, goes, hand).ok_or(RevisionFault::NotAllowed(number))?;
+        let digest = allowed_digest(number, approvals, signer).ok_or(RevisionFault::NotAllowed(number))?;
         if self.received.as_ref().is_some_and(|received| {
             received.revision.number() == number && received.revision.certificate.digest() != digest
         }) {
             return Err(RevisionFault::Contradiction(number));
         }
-        self.allowed = Allowed { number, digest };
+        self.allowed = AllowedActivation { number, digest };
         Ok(())
     }
 
-    /// Acts on the prepared revision, if it is the one that is allowed. Tells its number then.
+    /// Activates the prepared revision, if that is allowed. Returns its number then.
     pub fn activate(&mut self) -> Option<Number> {
         let allowed = self.allowed;
-        let is_allowed = |received: &mut Received| {
+        let is_allowed = |received: &mut ReceivedRevision| {
             let certificate = &received.revision.certificate;
-            received.unfit.is_none()
+            received.unfit_reason.is_none()
                 && (certificate.number(), certificate.digest()) == (allowed.number, allowed.digest)
         };
         let received = self.received.take_if(is_allowed)?;
@@ -276,41 +304,42 @@
     }
 }
 
-/// Whether a snapshot that is offered is of a certified revision.
+/// Checks that an offered snapshot is that of a certified revision.
 ///
 /// # Errors
-/// Where it is not.
+/// If it is not.
 pub(super) fn check_snapshot(
-    certificate: &Certified, summary: &Summary, groups: &[Digest], hand: &impl Hand,
+    certificate: &Certified, summary: &Summary, groups: &[Digest], signer: &impl Hand,
 ) -> Result<(), RevisionFault> {
-    check_certificate(certificate, summary, hand)?;
+    check_certificate(certificate, summary, signer)?;
     let fault = |fault| RevisionFault::Transfer(certificate.number(), fault);
     check_groups(&summary.root, groups).map_err(fault)
 }
 
+/// Checks the summary and the votes of a certificate.
 fn check_certificate(
-    certificate: &Certified, summary: &Summary, hand: &impl Hand,
+    certificate: &Certified, summary: &Summary, signer: &impl Hand,
 ) -> Result<(), RevisionFault> {
     let number = certificate.number();
     if certificate.signed.head.check_text(&summary.text()).is_err() {
         return Err(RevisionFault::Summary(number));
     }
-    let bounded = certificate.votes.len() <= MOST_VOTES && certificate.goes.len() <= MOST_VOTES;
-    match bounded && certificate.holds(hand) {
+    let is_within_bounds = certificate.votes.len() <= MAX_VOTES && certificate.goes.len() <= MAX_VOTES;
+    match is_within_bounds && certificate.holds(signer) {
         true => Ok(()),
         false => Err(RevisionFault::Certificate(number)),
     }
 }
 
-/// The digest of the revision with this number that a quorum of acceptors allowed to be acted on.
-fn allowed_digest(number: Number, goes: &[Go], hand: &impl Hand) -> Option<Digest> {
+/// The digest of the revision with this number whose activation a quorum of acceptors allows.
+fn allowed_digest(number: Number, approvals: &[Go], signer: &impl Hand) -> Option<Digest> {
     let mut acceptors: BTreeMap<Digest, BTreeSet<MachineId>> = BTreeMap::new();
-    for go in goes.iter().take(MOST_VOTES).filter(|go| go.number == number) {
-        let named = acceptors.entry(go.digest).or_default();
-        if !named.contains(&go.keeper) && go.holds(hand) {
-            named.insert(go.keeper);
+    for approval in approvals.iter().take(MAX_VOTES).filter(|approval| approval.number == number) {
+        let approved_by = acceptors.entry(approval.digest).or_default();
+        if !approved_by.contains(&approval.keeper) && approval.holds(signer) {
+            approved_by.insert(approval.keeper);
         }
     }
-    let needed = quorum(hand.keepers().len());
-    acceptors.into_iter().find(|(_, named)| named.len() >= needed).map(|(digest, _)| digest)
+    let needed = quorum(signer.keepers().len());
+    acceptors.into_iter().find(|(_, approved_by)| approved_by.len() >= needed).map(|(digest, _)| digest)
 }
