--- a/crates/distribution/src/watcher/stored.rs
+++ b/crates/distribution/src/watcher/stored.rs
@@ -1,16 +1,17 @@
-//! What a watcher finds again after its process ended: one whole record, and small ones that were appended since.
+//! The state of a watcher that survives a restart: one complete record, and small records that were appended
+//! to it.
 //!
 //! | bytes | field |
 //! |---|---|
-//! | 4 | `bdw1`, the kind and its version |
+//! | 4 | `bdw1`, the format and its version |
 //! | 4 | length of the header, big-endian |
 //! | 32 | SHA-256 of the header |
-//! | rest of it | header in `postcard`'s encoding: certificates, summaries, lengths of the states |
-//! | as in the header | states, as [`State::write`] makes them: that of the active revision, that of the prepared one |
+//! | as in the length | header in `postcard`'s encoding: certificates, summaries, lengths of the states |
+//! | as in the header | the states of the active and of the prepared revision, as [`State::write`] encodes them |
 //! | any | appended records, each with its length (4), its SHA-256 (32) and its body in `postcard`'s encoding |
 //!
-//! The first record must be whole. Of the appended ones those before the first torn one count: what is lost with the
-//! others is fetched again, and a lease is needed before an old revision is acted on.
+//! The first record must be intact. Appended records are read up to the first torn one: what is lost after it
+//! is fetched again, and an old revision is not acted on without a lease.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -21,12 +22,12 @@
 use crate::state::{Edit, State, StateFault};
 use crate::{digest, Certified, Number};
 
-const MARK: &[u8; 4] = b"bdw1";
-/// Bytes of a seal: the SHA-256 of what it covers.
-const SEAL: usize = 32;
-/// Appended bytes at least, and at most, before all is written anew.
-const LEAST_APPENDED: usize = 64 * 1024;
-const MOST_APPENDED: usize = 4 * 1024 * 1024;
+const MAGIC: &[u8; 4] = b"bdw1";
+/// The length of a checksum, the SHA-256 of what it covers.
+const CHECKSUM_BYTES: usize = 32;
+/// The bounds of the number of appended bytes after which the complete record is rewritten.
+const MIN_APPENDED_BYTES: usize = 64 * 1024;
+const MAX_APPENDED_BYTES: usize = 4 * 1024 * 1024;
 
 /// A certified revision with its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,39 +43,41 @@
     }
 }
 
-/// All that outlives the process.
+/// The state of a watcher that survives a restart of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stored {
-    /// The revision that is acted on; none is the program's own file.
+    /// The active revision; `None` is the program's own file.
     pub active: Option<StoredRevision>,
-    /// The later one that it said to have.
+    /// The later revision that was reported as prepared.
     pub prepared: Option<StoredRevision>,
-    /// Whether it ever had a lease that showed its file to be what holds.
+    /// Whether a lease ever confirmed that the program's own file is current.
     pub sure: bool,
 }
 
-/// Why stored bytes are not taken: it is as if nothing were stored.
+/// Why stored bytes cannot be read. The watcher then starts as if nothing were stored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoredFault {
-    #[error("it is not what a watcher stores, or a newer version of it")]
+    #[error("not the stored state of a watcher, or of an unknown version")]
     Kind,
-    #[error("its first record is torn or changed: its seal does not fit")]
+    #[error("the first record is torn or corrupt: its checksum does not match")]
     Seal,
-    #[error("its first record's seal fits, and it can't be read")]
+    #[error("the first record matches its checksum but cannot be decoded")]
     Form,
     #[error("the state of revision {number}: {fault}")]
     State { number: Number, fault: StateFault },
-    #[error("the state of revision {0} is not the one that was certified")]
+    #[error("the state of revision {0} does not have the certified root")]
     Root(Number),
 }
 
+/// The header of the complete record.
 #[derive(Serialize, Deserialize)]
 struct Header {
     active: Option<RevisionHeader>,
     prepared: Option<RevisionHeader>,
-    sure: bool,
+    confirmed: bool,
 }
 
+/// The header of one stored revision.
 #[derive(Serialize, Deserialize)]
 struct RevisionHeader {
     certificate: Certified,
@@ -82,17 +85,18 @@
     state_length: u64,
 }
 
-/// What is appended.
+/// An appended record.
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
-    /// A revision was prepared; its state comes of the one that was stored last.
+    /// A revision was prepared; the edits apply to the last stored state.
     Prepared(Box<PreparedRecord>),
-    /// The prepared revision is acted on.
+    /// The prepared revision was activated.
     Activated { number: Number },
-    /// A lease showed the program's own file to be what holds.
-    Sure,
+    /// A lease confirmed that the program's own file is current.
+    Confirmed,
 }
 
+/// A prepared revision, as edits of the last stored state.
 #[derive(Debug, Serialize, Deserialize)]
 struct PreparedRecord {
     certificate: Certified,
@@ -101,50 +105,50 @@
 }
 
 impl Stored {
-    /// Reads all that was written and appended since. Records from the first torn one on are left out.
+    /// Decodes the complete record and the appended ones, up to the first torn record.
     ///
     /// # Errors
-    /// Where it is of another kind, or its first record is torn.
+    /// If the bytes are of another format, or the first record is torn.
     pub fn read(bytes: &[u8]) -> Result<Self, StoredFault> {
-        let rest = bytes.strip_prefix(MARK).ok_or(StoredFault::Kind)?;
-        let (header, rest) = take_sealed(rest).ok_or(StoredFault::Seal)?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(StoredFault::Kind)?;
+        let (header, rest) = split_record(rest).ok_or(StoredFault::Seal)?;
         let header: Header = postcard::from_bytes(header).map_err(|_| StoredFault::Form)?;
         let (active, rest) = read_revision(header.active, rest)?;
         let (prepared, mut rest) = read_revision(header.prepared, rest)?;
-        let mut stored = Self { active, prepared, sure: header.sure };
-        while let Some((body, behind)) = take_sealed(rest) {
+        let mut stored = Self { active, prepared, sure: header.confirmed };
+        while let Some((body, following)) = split_record(rest) {
             let Ok(record) = postcard::from_bytes(body) else { break };
-            if !stored.take_record(record) {
+            if !stored.apply_record(record) {
                 break;
             }
-            rest = behind;
+            rest = following;
         }
         Ok(stored)
     }
 
-    /// Encodes it as what [`StoreRequest::Replace`] carries.
+    /// Encodes the state as a complete record, for [`StoreRequest::Replace`].
     pub fn write(&self) -> Vec<u8> {
         let revisions = [&self.active, &self.prepared];
         let states = revisions.map(|revision| revision.as_ref().map(|revision| revision.state.write()));
-        let header_of = |place: usize| {
-            let (revision, state) = (revisions[place].as_ref()?, states[place].as_ref()?);
+        let header_of = |index: usize| {
+            let (revision, state) = (revisions[index].as_ref()?, states[index].as_ref()?);
             let (certificate, summary) = (revision.certificate.clone(), revision.summary);
             Some(RevisionHeader { certificate, summary, state_length: state.len() as u64 })
         };
-        let header = Header { active: header_of(0), prepared: header_of(1), sure: self.sure };
-        let mut bytes = MARK.to_vec();
-        push_sealed(&mut bytes, &postcard::to_stdvec(&header).unwrap_or_default());
+        let header = Header { active: header_of(0), prepared: header_of(1), confirmed: self.sure };
+        let mut bytes = MAGIC.to_vec();
+        push_record(&mut bytes, &postcard::to_stdvec(&header).unwrap_or_default());
         states.iter().flatten().for_each(|state| bytes.extend_from_slice(state));
         bytes
     }
 
-    /// The state that a next one is stored as edits on.
+    /// The state to which the edits of the next record apply.
     fn last_state(&self) -> Option<&State> {
         self.prepared.as_ref().or(self.active.as_ref()).map(|revision| &revision.state)
     }
 
-    /// Takes an appended record. Tells whether it fits what is there.
-    fn take_record(&mut self, record: Record) -> bool {
+    /// Applies an appended record. Returns whether it matches the records before it.
+    fn apply_record(&mut self, record: Record) -> bool {
         match record {
             Record::Prepared(prepared) => {
                 let PreparedRecord { certificate, summary, edits } = *prepared;
@@ -160,12 +164,13 @@
                 };
                 self.active = Some(prepared);
             }
-            Record::Sure => self.sure = true,
+            Record::Confirmed => self.sure = true,
         }
         true
     }
 }
 
+/// Decodes the state of a revision, and returns it with the bytes after it.
 fn read_revision(
     header: Option<RevisionHeader>, bytes: &[u8],
 ) -> Result<(Option<StoredRevision>, &[u8]), StoredFault> {
@@ -182,24 +187,26 @@
     Ok((Some(StoredRevision { certificate, summary, state }), rest))
 }
 
-fn push_sealed(bytes: &mut Vec<u8>, body: &[u8]) {
+/// Appends a record: its length, its checksum and its body.
+fn push_record(bytes: &mut Vec<u8>, body: &[u8]) {
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&digest(body));
     bytes.extend_from_slice(body);
 }
 
-/// The body of the first sealed record, and what is behind it.
-fn take_sealed(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
+/// Splits the first record with a valid checksum off the bytes. Returns its body and the bytes after it.
+fn split_record(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
-    let (seal, rest) = rest.split_first_chunk::<SEAL>()?;
+    let (checksum, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
     let (body, rest) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
-    (digest(body) == *seal).then_some((body, rest))
+    (digest(body) == *checksum).then_some((body, rest))
 }
 
-/// Keeps what is stored, and decides whether a change of it is appended or all is written anew.
+/// Tracks what is stored, and decides whether a change is appended or the complete record is rewritten.
 pub(super) struct Storage {
     stored: Stored,
-    /// Bytes of the whole record of this process, and those that were appended to it; none before the first.
+    /// The lengths of the complete record that this process wrote and of the records appended to it; `None`
+    /// before the first write.
     written: Option<(usize, usize)>,
 }
 
@@ -208,6 +215,7 @@
         Self { stored, written: None }
     }
 
+    /// Stores a prepared revision.
     pub fn prepared(&mut self, revision: StoredRevision) -> StoreRequest {
         let StoredRevision { certificate, summary, state } = &revision;
         let edits = self.stored.last_state().map(|last| difference(last, state));
@@ -218,7 +226,7 @@
         self.write(record)
     }
 
-    /// The prepared revision is acted on.
+    /// Stores that the prepared revision was activated.
     pub fn activated(&mut self, number: Number) -> StoreRequest {
         let record = Record::Activated { number };
         if let Some(prepared) = self.stored.prepared.take_if(|prepared| prepared.number() == number) {
@@ -227,19 +235,21 @@
         self.write(Some(record))
     }
 
-    pub fn sure(&mut self) -> StoreRequest {
+    /// Stores that a lease confirmed the program's own file.
+    pub fn confirmed(&mut self) -> StoreRequest {
         self.stored.sure = true;
-        self.write(Some(Record::Sure))
+        self.write(Some(Record::Confirmed))
     }
 
-    /// Appends the record, or writes all where that is shorter, or nothing was written yet.
+    /// Appends the record, or rewrites the complete record if too much was appended or nothing was written
+    /// yet.
     fn write(&mut self, record: Option<Record>) -> StoreRequest {
         let body = record.map(|record| postcard::to_stdvec(&record).unwrap_or_default());
-        if let (Some((whole, appended)), Some(body)) = (self.written.as_mut(), body) {
-            let most = (*whole).clamp(LEAST_APPENDED, MOST_APPENDED);
-            if *appended + body.len() <= most {
+        if let (Some((complete, appended)), Some(body)) = (self.written.as_mut(), body) {
+            let max_appended = (*complete).clamp(MIN_APPENDED_BYTES, MAX_APPENDED_BYTES);
+            if *appended + body.len() <= max_appended {
                 let mut bytes = Vec::new();
-                push_sealed(&mut bytes, &body);
+                push_record(&mut bytes, &body);
                 *appended += bytes.len();
                 return StoreRequest::Append(bytes);
             }
--- a/crates/distribution/src/watcher/updates.rs
+++ b/crates/distribution/src/watcher/updates.rs
@@ -1,11 +1,11 @@
-//! Deltas, snapshots and words to act, on their way from a relay to the revisions that are held.
+//! How a watcher handles deltas, snapshots and activation approvals from relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use badgerledge_revisions::word::Go;
 
-use super::revisions::{check_snapshot, Offered, RevisionFault, Revisions};
+use super::revisions::{check_snapshot, RevisionFault, Revisions, UpdateOutcome};
 use super::{RelayFault, StoredRevision, Watcher, WatcherOutput};
 use crate::change::Summary;
 use crate::message::ToRelay;
@@ -13,8 +13,8 @@
 use crate::transfer::PartRequest;
 use crate::{quorum, Certified, Digest, Hand, Number};
 
-/// Bytes at most of a reason why a revision can't be acted on.
-const LONGEST_REASON: usize = 1024;
+/// The maximum length of a reason why a revision cannot be applied.
+const MAX_REASON_BYTES: usize = 1024;
 
 /// A snapshot that a relay offers.
 #[derive(Clone, Debug)]
@@ -24,35 +24,38 @@
     pub groups: Vec<Digest>,
 }
 
-/// Where parts of a snapshot are asked for.
+/// The relays that offer snapshots, and the one from which parts are requested.
 #[derive(Debug, Default)]
-pub(super) struct Source {
-    /// The relay that is asked, and what it offered.
-    present: Option<(usize, SnapshotOffer)>,
-    /// What the other relay with an open connection offered.
+pub(super) struct SnapshotSource {
+    /// The relay from which parts are requested, and its offer.
+    current: Option<(usize, SnapshotOffer)>,
+    /// The offers of the other relays with open connections.
     others: BTreeMap<usize, SnapshotOffer>,
 }
 
-impl Source {
+impl SnapshotSource {
+    /// The relay from which parts are requested.
     pub fn relay(&self) -> Option<usize> {
-        self.present.as_ref().map(|(relay, _)| *relay)
+        self.current.as_ref().map(|(relay, _)| *relay)
     }
 
+    /// The revision whose parts are requested.
     fn number(&self) -> Option<Number> {
-        self.present.as_ref().map(|(_, offer)| offer.certificate.number())
+        self.current.as_ref().map(|(_, offer)| offer.certificate.number())
     }
 
-    fn change(&mut self, relay: usize, offer: SnapshotOffer) {
+    /// Requests parts from this relay from now on, and keeps the offer of the previous one.
+    fn switch_to(&mut self, relay: usize, offer: SnapshotOffer) {
         self.others.remove(&relay);
-        if let Some((before, offer)) = self.present.replace((relay, offer)) {
+        if let Some((before, offer)) = self.current.replace((relay, offer)) {
             if before != relay {
                 self.others.insert(before, offer);
             }
         }
     }
 
-    /// The highest offer of another relay; it is taken out.
-    fn take_other(&mut self) -> Option<(usize, SnapshotOffer)> {
+    /// Removes and returns the highest offer of another relay.
+    fn remove_highest_other(&mut self) -> Option<(usize, SnapshotOffer)> {
         let number = |(_, offer): &(&usize, &SnapshotOffer)| offer.certificate.number();
         let relay = self.others.iter().max_by_key(number).map(|(relay, _)| *relay)?;
         Some((relay, self.others.remove(&relay)?))
@@ -60,161 +63,173 @@
 }
 
 impl<H: Hand> Watcher<H> {
-    pub(super) fn take_delta(
+    /// Handles a delta.
+    pub(super) fn handle_delta(
         &mut self, now: Duration, relay: usize, (certificate, summary): (Certified, Summary),
         base: (Number, Digest), edits: &[Edit], out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        let (number, goes) = (certificate.number(), certificate.goes.clone());
-        let offered = self.revisions.take_delta(certificate, summary, base, edits, &self.hand)?;
-        if offered == Offered::NoBase {
-            self.links.restarted(relay)?;
-            self.say_hello(relay, out);
+        let (number, approvals) = (certificate.number(), certificate.goes.clone());
+        let outcome = self.revisions.apply_delta(certificate, summary, base, edits, &self.signer)?;
+        if outcome == UpdateOutcome::NoBase {
+            self.connections.on_update_failed(relay)?;
+            self.send_hello(relay, out);
             return Ok(());
         }
-        self.take_offered(now, relay, offered, out);
-        self.take_certified_goes(now, relay, number, &goes, out);
+        self.handle_outcome(now, relay, outcome, out);
+        self.handle_certified_approvals(now, relay, number, &approvals, out);
         Ok(())
     }
 
-    pub(super) fn take_snapshot(
+    /// Handles the offer of a snapshot.
+    pub(super) fn handle_snapshot(
         &mut self, now: Duration, relay: usize, offer: SnapshotOffer, out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
         let number = offer.certificate.number();
-        let source = self.source.relay();
-        let other_serves = source.is_some_and(|source| source != relay);
-        if other_serves && number > self.revisions.held() && self.revisions.transferring() >= Some(number) {
-            check_snapshot(&offer.certificate, &offer.summary, &offer.groups, &self.hand)?;
-            self.source.others.insert(relay, offer);
+        let source = self.snapshot_source.relay();
+        let is_from_other_relay = source.is_some_and(|source| source != relay);
+        if is_from_other_relay
+            && number > self.revisions.held()
+            && self.revisions.transferring() >= Some(number)
+        {
+            check_snapshot(&offer.certificate, &offer.summary, &offer.groups, &self.signer)?;
+            self.snapshot_source.others.insert(relay, offer);
             return Ok(());
         }
         let SnapshotOffer { certificate, summary, groups } = offer.clone();
-        let offered = self.revisions.take_snapshot(certificate, summary, &groups, &self.hand)?;
-        if offered == Offered::Transferring {
+        let outcome = self.revisions.begin_snapshot(certificate, summary, &groups, &self.signer)?;
+        if outcome == UpdateOutcome::Transferring {
             if source != Some(relay) {
                 self.revisions.disconnected();
-            } else if self.source.number() == Some(number) {
-                self.links.restarted(relay)?;
+            } else if self.snapshot_source.number() == Some(number) {
+                self.connections.on_update_failed(relay)?;
             }
-            let goes = offer.certificate.goes.clone();
-            self.source.change(relay, offer);
-            self.links.updated(now, relay);
-            self.take_certified_goes(now, relay, number, &goes, out);
+            let approvals = offer.certificate.goes.clone();
+            self.snapshot_source.switch_to(relay, offer);
+            self.connections.on_update_progress(now, relay);
+            self.handle_certified_approvals(now, relay, number, &approvals, out);
             return Ok(());
         }
-        self.take_offered(now, relay, offered, out);
-        self.take_certified_goes(now, relay, number, &offer.certificate.goes, out);
+        self.handle_outcome(now, relay, outcome, out);
+        self.handle_certified_approvals(now, relay, number, &offer.certificate.goes, out);
         Ok(())
     }
 
-    pub(super) fn take_part(
+    /// Handles a part of a snapshot, which `receive` passes to the transfer.
+    pub(super) fn handle_part(
         &mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>,
-        take: impl FnOnce(&mut Revisions) -> Result<Offered, RevisionFault>,
+        receive: impl FnOnce(&mut Revisions) -> Result<UpdateOutcome, RevisionFault>,
     ) -> Result<(), RelayFault> {
-        if self.source.relay() != Some(relay) {
-            // Parts may be on their way from a relay that was asked before.
-            return match self.links.was_asked_parts(relay) {
+        if self.snapshot_source.relay() != Some(relay) {
+            // Parts may still arrive from a relay from which they were requested before.
+            return match self.connections.were_parts_requested(relay) {
                 true => Ok(()),
                 false => Err(RevisionFault::NoTransfer.into()),
             };
         }
-        let offered = take(&mut self.revisions)?;
-        self.links.updated(now, relay);
-        self.take_offered(now, relay, offered, out);
+        let outcome = receive(&mut self.revisions)?;
+        self.connections.on_update_progress(now, relay);
+        self.handle_outcome(now, relay, outcome, out);
         Ok(())
     }
 
-    fn take_offered(&mut self, now: Duration, relay: usize, offered: Offered, out: &mut Vec<WatcherOutput>) {
-        match offered {
-            Offered::Old => self.say_held(relay, out),
-            Offered::Received(revision) => {
-                self.links.completed(now, relay);
-                self.receive(now, *revision, out);
+    fn handle_outcome(
+        &mut self, now: Duration, relay: usize, outcome: UpdateOutcome, out: &mut Vec<WatcherOutput>,
+    ) {
+        match outcome {
+            UpdateOutcome::Old => self.report_held(relay, out),
+            UpdateOutcome::Received(revision) => {
+                self.connections.on_update_completed(now, relay);
+                self.receive_revision(now, *revision, out);
             }
-            Offered::NoBase | Offered::Transferring => {}
+            UpdateOutcome::NoBase | UpdateOutcome::Transferring => {}
         }
     }
 
-    /// Tells a relay, which does not know it, what is held.
-    fn say_held(&self, relay: usize, out: &mut Vec<WatcherOutput>) {
+    /// Reports the held revision to a relay that does not know of it.
+    fn report_held(&self, relay: usize, out: &mut Vec<WatcherOutput>) {
         match self.revisions.unfit() {
-            Some(_) => self.say_unfit(relay, out),
+            Some(_) => self.report_unfit(relay, out),
             None => out.push(WatcherOutput::Send(relay, ToRelay::Prepared { number: self.revisions.held() })),
         }
     }
 
-    /// The state of a certified revision is complete.
-    fn receive(&mut self, now: Duration, revision: StoredRevision, out: &mut Vec<WatcherOutput>) {
+    /// Prepares a certified revision whose state is complete.
+    fn receive_revision(&mut self, now: Duration, revision: StoredRevision, out: &mut Vec<WatcherOutput>) {
         let number = revision.number();
         match (self.config.check)(&revision.state, number) {
             Ok(()) => {
                 out.push(WatcherOutput::Store(self.storage.prepared(revision.clone())));
-                self.revisions.receive(revision, None);
+                self.revisions.set_received(revision, None);
                 out.push(WatcherOutput::Changed);
             }
             Err(reason) => {
-                let reason = shortened(reason);
-                self.revisions.receive(revision, Some(reason.clone()));
+                let reason = truncate_reason(reason);
+                self.revisions.set_received(revision, Some(reason.clone()));
                 out.push(WatcherOutput::Unfit { number, reason });
             }
         }
-        self.links.open().for_each(|relay| self.say_held(relay, out));
+        self.connections.open().for_each(|relay| self.report_held(relay, out));
         self.activate(now, out);
     }
 
-    /// Words to act that came with a certificate: they count where they are enough.
-    fn take_certified_goes(
-        &mut self, now: Duration, relay: usize, number: Number, goes: &[Go], out: &mut Vec<WatcherOutput>,
+    /// Handles the activation approvals that a certificate carries. They are used only if they are a quorum.
+    fn handle_certified_approvals(
+        &mut self, now: Duration, relay: usize, number: Number, approvals: &[Go],
+        out: &mut Vec<WatcherOutput>,
     ) {
-        if goes.len() >= quorum(self.hand.keepers().len()) {
-            // Those that are not enough say nothing against the relay: the certificate held without them.
-            let _ = self.take_goes(now, relay, number, goes, out);
+        if approvals.len() >= quorum(self.signer.keepers().len()) {
+            // Invalid approvals are no reason to refuse the relay: the certificate is valid without them.
+            let _ = self.handle_approvals(now, relay, number, approvals, out);
         }
     }
 
-    pub(super) fn take_goes(
-        &mut self, now: Duration, relay: usize, number: Number, goes: &[Go], out: &mut Vec<WatcherOutput>,
+    /// Handles activation approvals.
+    pub(super) fn handle_approvals(
+        &mut self, now: Duration, relay: usize, number: Number, approvals: &[Go],
+        out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        let before = self.revisions.allowed();
-        self.revisions.take_goes(number, goes, &self.hand)?;
-        if self.revisions.allowed() > before {
-            self.links.updated(now, relay);
+        let allowed_before = self.revisions.allowed();
+        self.revisions.allow_activation(number, approvals, &self.signer)?;
+        if self.revisions.allowed() > allowed_before {
+            self.connections.on_update_progress(now, relay);
             self.activate(now, out);
         }
         Ok(())
     }
 
-    /// Acts on the prepared revision if that is allowed.
+    /// Activates the prepared revision, if that is allowed.
     fn activate(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
         let Some(number) = self.revisions.activate() else { return };
         out.push(WatcherOutput::Store(self.storage.activated(number)));
         out.push(WatcherOutput::Changed);
-        self.requests.activated();
-        // The program's own file does not matter any more.
-        self.sure = true;
-        if !self.requests.is_held(now) {
-            self.links.ask_soon(now);
+        self.lease_requests.on_activated();
+        // The program's own file is no longer relevant.
+        self.confirmed = true;
+        if !self.lease_requests.has_lease(now) {
+            self.connections.request_lease_soon(now);
         }
     }
 
-    /// Asks the relay that offered a snapshot for parts of it; another one where that one is gone.
-    pub(super) fn ask_parts(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
-        let (links, revisions) = (&self.links, &self.revisions);
-        self.source
-            .others
-            .retain(|relay, offer| links.is_open(*relay) && offer.certificate.number() > revisions.held());
-        let lost = self.source.relay().is_some_and(|relay| !self.links.is_open(relay));
-        if lost {
-            self.source.present = None;
+    /// Requests parts from the relay that offered the snapshot, or from another one if its connection closed.
+    pub(super) fn request_parts(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
+        let (connections, revisions) = (&self.connections, &self.revisions);
+        self.snapshot_source.others.retain(|relay, offer| {
+            connections.is_open(*relay) && offer.certificate.number() > revisions.held()
+        });
+        let is_source_lost =
+            self.snapshot_source.relay().is_some_and(|relay| !self.connections.is_open(relay));
+        if is_source_lost {
+            self.snapshot_source.current = None;
             self.revisions.disconnected();
         }
         if self.revisions.transferring().is_none() {
-            self.source.present = None;
-        } else if self.source.present.is_none() {
-            self.ask_another(now, out);
+            self.snapshot_source.current = None;
+        } else if self.snapshot_source.current.is_none() {
+            self.switch_source(now, out);
         }
-        let Some(relay) = self.source.relay() else { return };
+        let Some(relay) = self.snapshot_source.relay() else { return };
         for request in self.revisions.next_requests() {
-            self.links.asks_parts(relay);
+            self.connections.on_parts_requested(relay);
             let message = match request {
                 PartRequest::Groups(groups) => ToRelay::GetGroups { groups },
                 PartRequest::Buckets(buckets) => ToRelay::GetBuckets { buckets },
@@ -223,18 +238,18 @@
         }
     }
 
-    /// Goes on with what another relay offered.
-    fn ask_another(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
-        let Some((relay, offer)) = self.source.take_other() else { return };
-        if let Err(fault) = self.take_snapshot(now, relay, offer, out) {
-            self.refuse(now, relay, &fault, out);
+    /// Continues the transfer with the offer of another relay.
+    fn switch_source(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
+        let Some((relay, offer)) = self.snapshot_source.remove_highest_other() else { return };
+        if let Err(fault) = self.handle_snapshot(now, relay, offer, out) {
+            self.refuse_relay(now, relay, &fault, out);
         }
     }
 }
 
-/// A reason, cut to its bound.
-fn shortened(mut reason: String) -> String {
-    let mut end = reason.len().min(LONGEST_REASON);
+/// Truncates a reason to its maximum length.
+fn truncate_reason(mut reason: String) -> String {
+    let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
