--- a/crates/distribution/src/tests/watcher/lease_simulation.rs
+++ b/crates/distribution/src/tests/watcher/lease_simulation.rs
@@ -48,6 +48,7 @@
 /// An independent model of the lease of a watcher.
 #[derive(Default)]
 struct LeaseModel {
+    /// When each unanswered nonce was drawn.
     drawn_at: BTreeMap<Nonce, Duration>,
     until: Option<Duration>,
 }
@@ -81,11 +82,13 @@
     watcher: Option<Watcher<DigestHand>>,
     lease_model: LeaseModel,
     disk: Vec<u8>,
+    /// How often the process was started; part of the seed of its nonces.
     starts: u64,
     /// The rate of its clock, relative to true time.
     clock_rate: f64,
     /// The process is paused until this time.
     paused_until: Duration,
+    /// The number of the current connection to each relay; events of earlier connections are ignored.
     connections: [u32; RELAY_COUNT],
     is_open: [bool; RELAY_COUNT],
 }
@@ -100,6 +103,7 @@
 
 /// The lease requests that a relay forwards together, with the grants over their tree.
 struct GrantRound {
+    /// The watcher, its connection and its nonce, for each request.
     requests: Vec<(usize, u32, Nonce)>,
     tree: NonceTree,
     grants: Vec<Grant>,
@@ -114,11 +118,14 @@
     versions: Vec<Version>,
     /// The highest revision whose activation each acceptor has allowed.
     allowed: Vec<Number>,
+    /// Events by time and sequence number, with the watcher, the relay and the connection.
     events: BTreeMap<(Duration, u64), (usize, usize, u32, Event)>,
     sequence: u64,
+    /// For each relay, the watcher, its connection and its nonce for each pending request.
     pending_requests: Vec<Vec<(usize, u32, Nonce)>>,
     /// Proofs that relays recorded, to replay them.
     recorded_proofs: Vec<LeaseProof>,
+    /// Proofs over predicted nonces, by watcher and number of draws ahead.
     predicted_proofs: BTreeMap<(usize, u64), LeaseProof>,
     /// When each revision was first acted on.
     first_acted: BTreeMap<Number, Duration>,
@@ -414,11 +421,11 @@
             }
         }
         for index in 0..round.requests.len() {
-            let (index, _, nonce) = round.requests[index];
+            let (watcher_index, _, nonce) = round.requests[index];
             let (path, grants) = (round.tree.path(index), round.grants.clone());
             let proof = LeaseProof { nonce, index: index as u32, path, grants };
-            let proof = self.tamper(index, proof);
-            self.send_after_random_delay(index, relay, ToWatcher::Lease(proof));
+            let proof = self.tamper(watcher_index, proof);
+            self.send_after_random_delay(watcher_index, relay, ToWatcher::Lease(proof));
         }
     }
 
@@ -449,10 +456,10 @@
         }
         if self.disabled_rule == DisabledRule::PredictableNonces {
             self.predict_proofs(index);
-            let predicted_proofs = (0..64).find_map(|ahead| {
+            let prediction = (0..64).find_map(|ahead| {
                 self.predicted_proofs.get(&(index, ahead)).filter(|predicted| predicted.nonce == proof.nonce)
             });
-            return predicted_proofs.cloned().unwrap_or(proof);
+            return prediction.cloned().unwrap_or(proof);
         }
         proof
     }
--- a/crates/distribution/src/tests/watcher/simulation.rs
+++ b/crates/distribution/src/tests/watcher/simulation.rs
@@ -37,6 +37,7 @@
     /// The number of the current connection to each relay; events of earlier connections are ignored.
     connections: Vec<u32>,
     control_plane: ControlPlane,
+    /// Events by time and sequence number, with the connection.
     events: BTreeMap<(Duration, u64), (u32, Event)>,
     sequence: u64,
     rng: Chance,
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -72,6 +72,7 @@
     confirmed: bool,
     /// Since when a revision that is not held is known to be certified or allowed to be activated.
     update_wanted_since: Option<Duration>,
+    /// The relay that was refused last, and the reason.
     last_refusal: Option<(usize, String)>,
     /// The time of the last call.
     now: Duration,
@@ -132,6 +133,7 @@
         self.advance(now, out);
     }
 
+    /// Disconnects a relay because of an invalid message.
     fn refuse_relay(
         &mut self, now: Duration, relay: usize, fault: &RelayFault, out: &mut Vec<WatcherOutput>,
     ) {
@@ -307,6 +309,7 @@
         }
     }
 
+    /// Why decisions that depend on exclusive keys are withheld now.
     fn hold_reason(&self, now: Duration) -> Option<HoldReason> {
         if self.revisions.allowed() > self.revisions.active() {
             return Some(HoldReason::Behind);
--- a/crates/distribution/src/watcher/relay_connections.rs
+++ b/crates/distribution/src/watcher/relay_connections.rs
@@ -111,9 +111,11 @@
     since: Duration,
     /// The relay is not tried before this time.
     avoid_until: Duration,
+    /// Failures since the last reset, which the backoff depends on.
     failures: u32,
     /// The relay delivered grants before it was disconnected, and may serve if no other relay does.
     is_standby: bool,
+    /// The control machine that the relay claims to be.
     machine: Option<MachineId>,
     /// The highest revision that the relay claims to hold, and since when it does.
     claimed_revision: Number,
@@ -124,6 +126,7 @@
     granted_at: Option<Duration>,
     /// When the relay last started an update or delivered a part of one.
     updated_at: Option<Duration>,
+    /// When the next lease is requested on this connection.
     next_lease_request: Duration,
     /// Whether parts of a snapshot were ever requested from it.
     parts_requested: bool,
@@ -195,10 +198,13 @@
 pub(super) struct RelayConnections {
     connections: Vec<RelayConnection>,
     rng: Chance,
+    /// The serving relay.
     serving: Option<usize>,
+    /// The relay that is being tried.
     trying: Option<usize>,
     /// No relay is tried before this time.
     next_attempt: Duration,
+    /// Failed attempts since the last reset, which the backoff before any attempt depends on.
     failed_attempts: u32,
     /// Since when the current relay serves well.
     good_since: Duration,
@@ -206,6 +212,7 @@
     failback_candidate: Option<usize>,
     /// The random part of the delay before the next failback.
     failback_jitter: Duration,
+    /// The number of connections that were closed because of invalid messages.
     refusals: u64,
 }
 
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -77,7 +77,9 @@
     active: Option<StoredRevision>,
     /// The last received revision, if it is not active.
     received: Option<ReceivedRevision>,
+    /// The snapshot that is being fetched.
     snapshot: Option<Snapshot>,
+    /// The highest revision whose activation is allowed.
     allowed: AllowedActivation,
     /// The highest revision known to be certified.
     certified: Number,
--- a/crates/distribution/src/watcher/updates.rs
+++ b/crates/distribution/src/watcher/updates.rs
@@ -132,6 +132,7 @@
         Ok(())
     }
 
+    /// Reports or receives what an update led to.
     fn handle_outcome(
         &mut self, now: Duration, relay: usize, outcome: UpdateOutcome, out: &mut Vec<WatcherOutput>,
     ) {
