--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -149,8 +149,8 @@
                 self.connections.on_welcome(now, relay, machine, number)?;
             }
             ToWatcher::Busy { retry_after_ms } => {
-                let pause = Duration::from_millis(u64::from(retry_after_ms));
-                self.disconnect(now, relay, DisconnectReason::Busy(pause), out);
+                let backoff = Duration::from_millis(u64::from(retry_after_ms));
+                self.disconnect(now, relay, DisconnectReason::Busy(backoff), out);
             }
             ToWatcher::Delta { certificate, summary, base, base_root, edits } => {
                 self.connections.on_offer(now, relay, certificate.number())?;
@@ -247,6 +247,7 @@
         self.request_parts(now, out);
     }
 
+    /// What the selection of relays needs to know about updates.
     fn update_demand(&self) -> UpdateDemand {
         UpdateDemand {
             held: self.revisions.held(),
@@ -256,6 +257,7 @@
         }
     }
 
+    /// Disconnects a relay.
     fn disconnect(
         &mut self, now: Duration, relay: usize, reason: DisconnectReason, out: &mut Vec<WatcherOutput>,
     ) {
@@ -263,6 +265,7 @@
         out.push(WatcherOutput::Close(relay));
     }
 
+    /// Draws a nonce and requests a lease from a relay.
     fn request_lease(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
         let nonce = (self.config.nonce)();
         self.lease_requests.record_request(now, nonce);
@@ -274,6 +277,7 @@
         out.push(WatcherOutput::Send(relay, request));
     }
 
+    /// Reports the active and the held revision to a relay.
     fn send_hello(&mut self, relay: usize, out: &mut Vec<WatcherOutput>) {
         let hello = ToRelay::Hello {
             controller: self.config.controller,
@@ -285,6 +289,7 @@
         out.push(WatcherOutput::Send(relay, hello));
     }
 
+    /// Reports to a relay that this program cannot apply the last received revision, if so.
     fn report_unfit(&self, relay: usize, out: &mut Vec<WatcherOutput>) {
         if let Some((number, reason)) = self.revisions.unfit() {
             let unfit = ToRelay::Unfit { number, reason: reason.to_owned() };
@@ -295,7 +300,7 @@
     /// The next time at which [`Watcher::tend`] must be called. To be read again after each call of another
     /// method.
     pub fn next_due(&self) -> Duration {
-        self.connections.next_due(self.now, &self.update_demand())
+        self.connections.next_poll_at(self.now, &self.update_demand())
     }
 
     /// Which revision may govern decisions now. To be read immediately before each decision that depends on
--- a/crates/distribution/src/watcher/interface.rs
+++ b/crates/distribution/src/watcher/interface.rs
@@ -17,6 +17,7 @@
 
 /// Configuration of a watcher.
 pub struct WatcherConfig {
+    /// The number of this controller.
     pub controller: ControllerId,
     /// The number of relays, which are indexed in the order of preference (see [`super::relay_order`]).
     pub relays: usize,
@@ -26,7 +27,9 @@
     /// Whether a regional lease, which control machines of the region grant, is accepted while no quorum of
     /// acceptors answers.
     pub regional: bool,
+    /// Checks whether this program can apply a state.
     pub check: Check,
+    /// Draws the nonces of lease requests.
     pub nonce: DrawNonce,
 }
 
@@ -47,15 +50,14 @@
     Connect(usize),
     /// Close the connection to this relay, or stop opening it.
     Close(usize),
+    /// Send a message to this relay.
     Send(usize, ToRelay),
+    /// Write to the disk.
     Store(StoreRequest),
     /// The active or the prepared revision changed.
     Changed,
     /// This program cannot apply a certified revision.
-    Unfit {
-        number: Number,
-        reason: String,
-    },
+    Unfit { number: Number, reason: String },
 }
 
 /// Why a watcher withholds decisions that depend on exclusive keys.
--- a/crates/distribution/src/watcher/relay_connections.rs
+++ b/crates/distribution/src/watcher/relay_connections.rs
@@ -438,10 +438,12 @@
         actions.push(ConnectionAction::Close(relay));
     }
 
+    /// Whether the relay counts as silent or lagging.
     fn is_suspect(&self, now: Duration, relay: usize, demand: &UpdateDemand) -> bool {
         self.connections.get(relay).is_some_and(|connection| now >= connection.suspect_at(relay, demand))
     }
 
+    /// Whether the relay counts as silent.
     fn is_silent(&self, now: Duration, relay: usize) -> bool {
         self.connections.get(relay).is_some_and(|connection| now >= connection.silent_at())
     }
@@ -602,7 +604,7 @@
     }
 
     /// The next time at which [`RelayConnections::poll`] must be called.
-    pub fn next_due(&self, now: Duration, demand: &UpdateDemand) -> Duration {
+    pub fn next_poll_at(&self, now: Duration, demand: &UpdateDemand) -> Duration {
         let connected = || [self.serving, self.trying].into_iter().flatten();
         let connections = connected().filter_map(|relay| self.connections.get(relay));
         let lease_requests = connections
@@ -614,8 +616,9 @@
             self.trying.filter(|_| self.serving.is_some()).and_then(|relay| self.connections.get(relay));
         let tried =
             tried.filter(|connection| connection.phase == Phase::Welcomed).map(RelayConnection::silent_at);
-        let dues = lease_requests.chain(timeouts).chain(tried).chain(self.next_evaluation_at(now, demand));
-        dues.chain(self.next_attempt_at(now, demand)).min().unwrap_or(Duration::MAX)
+        let due_times =
+            lease_requests.chain(timeouts).chain(tried).chain(self.next_evaluation_at(now, demand));
+        due_times.chain(self.next_attempt_at(now, demand)).min().unwrap_or(Duration::MAX)
     }
 
     /// When the serving relay becomes suspect, or a failback is due.
--- a/crates/distribution/src/watcher/stored.rs
+++ b/crates/distribution/src/watcher/stored.rs
@@ -25,7 +25,7 @@
 const MAGIC: &[u8; 4] = b"bdw1";
 /// The length of a checksum, the SHA-256 of what it covers.
 const CHECKSUM_BYTES: usize = 32;
-/// The bounds of the number of appended bytes after which the complete record is rewritten.
+/// The complete record is rewritten when the appended bytes exceed its own length, within these bounds.
 const MIN_APPENDED_BYTES: usize = 64 * 1024;
 const MAX_APPENDED_BYTES: usize = 4 * 1024 * 1024;
 
@@ -38,6 +38,7 @@
 }
 
 impl StoredRevision {
+    /// The number of the revision.
     pub fn number(&self) -> Number {
         self.certificate.number()
     }
