--- a/crates/failure_reports/src/credit.rs
+++ b/crates/failure_reports/src/credit.rs
@@ -1,14 +1,14 @@
-//! How far a member is believed: by the share of its reports that agreed with what was seen here.
+//! Credit of a member: the fraction of its reports that agreed with local observations.
 
-/// Agreements and contradictions that a member begins with, before any report of it was put to the test.
-const PRIOR: (f64, f64) = (3.0, 1.0);
-/// Agreements and contradictions are halved after so many, so that a member that turns to lies loses credit soon,
-/// and one that was behind a bad link gets it back.
+/// Initial counts of agreements and contradictions, before any report of the member has been judged.
+const INITIAL_COUNTS: (f64, f64) = (3.0, 1.0);
+/// Both counts are halved when their sum exceeds this, so that a member that becomes faulty loses credit
+/// soon, and one that was behind a bad link regains it.
 const MAX_JUDGEMENTS: f64 = 16.0;
-/// Under this share of agreements a member's reports count nothing at all.
+/// Reports of a member with a lower fraction of agreements have no weight.
 pub const MIN_CREDIT: f64 = 0.35;
 
-/// How a member's reports agreed with what was seen here.
+/// How a member's reports agreed with local observations.
 #[derive(Clone, Copy, Debug)]
 pub struct Credit {
     agreed: f64,
@@ -17,12 +17,12 @@
 
 impl Default for Credit {
     fn default() -> Self {
-        Self { agreed: PRIOR.0, contradicted: PRIOR.1 }
+        Self { agreed: INITIAL_COUNTS.0, contradicted: INITIAL_COUNTS.1 }
     }
 }
 
 impl Credit {
-    /// Counts one report that was put to the test.
+    /// Counts one report that was judged.
     pub fn count(&mut self, agreed: bool) {
         *if agreed { &mut self.agreed } else { &mut self.contradicted } += 1.0;
         if self.agreed + self.contradicted > MAX_JUDGEMENTS {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// What a report of this member weighs, of 1.
+    /// The weight of a report by this member, from 0 to 1.
     pub fn weight(self) -> f64 {
-        let share = self.agreed / (self.agreed + self.contradicted);
-        if share < MIN_CREDIT {
+        let agreed_fraction = self.agreed / (self.agreed + self.contradicted);
+        if agreed_fraction < MIN_CREDIT {
             0.0
         } else {
-            share
+            agreed_fraction
         }
     }
 }
--- a/crates/failure_reports/src/lib.rs
+++ b/crates/failure_reports/src/lib.rs
@@ -1,12 +1,14 @@
-//! Reports by other controllers of streamers that fail, weighed against what was seen here. No I/O, no clock, no wire.
+//! Reports by other controllers on failing streamers, weighed against local observations. The crate does no
+//! I/O, reads no clock and has no wire format but that of an item.
 //!
-//! A controller publishes what it saw itself: joins lost on a streamer, with how many and how long ago
-//! ([`FailureReports::items`]). What others publish is weighed by how many report it, how their earlier reports agreed
-//! with what was then seen here, and how old it is. One member's report alone never sets a streamer aside; a join that
-//! works here clears all reports before it. Beside losses it shares strain: joins turned away for want of room, streams
-//! that come short, links asked for more than they give; a sign of ease here clears that. The only thing that comes of
-//! it is that others are asked first for a while, which breaks no rule whoever lies: see `docs/gossip.md` for what a
-//! majority of liars can do.
+//! A controller publishes its own observations: joins lost on a streamer, with their number and time
+//! ([`FailureReports::items`]). Reports of others are weighed by the number of members that make them, by how
+//! their earlier reports agreed with local observations, and by age. A single member's report never sets a
+//! streamer aside, and a join that succeeds locally clears all earlier reports. Besides losses, strain is
+//! shared: joins refused for lack of capacity, streams that deliver less than requested, overloaded links; a
+//! local observation that the streamer is at ease clears it. The only effect is that other streamers are
+//! tried first for a while, which violates no rule whatever faulty members report: see `docs/gossip.md` for
+//! the effect of a majority of faulty members.
 
 mod credit;
 mod item;
@@ -23,23 +25,25 @@
 use crate::credit::Credit;
 pub use crate::item::Kind;
 
-/// A streamer, and what is wrong with it.
+/// A streamer and the kind of failure.
 pub type Trouble = (StreamerId, Kind);
 
-/// A report fades to nothing within this: a streamer that was silent for longer is on the list as gone, or works.
+/// Age at which a report has no weight left: a streamer that was silent for longer is off the list, or works.
 const REPORT_LIFETIME: Duration = Duration::from_secs(8);
-/// Own losses are published for this long after the last of them.
-const PUBLISHED_FOR: Duration = Duration::from_secs(4);
-/// What it takes to believe: two members of good credit, both fresh, or more that are older or of less.
+/// How long own losses are published after the last of them.
+const PUBLICATION_PERIOD: Duration = Duration::from_secs(4);
+/// Total weight at which a failure is believed: two fresh reports by members of good credit, or more reports
+/// that are older or by members of less credit.
 const BELIEF_THRESHOLD: f64 = 1.2;
-/// A belief that reports go on backing is returned again after this: within the time that the module sets a streamer aside.
-const ALERT_EVERY: Duration = Duration::from_secs(3);
-/// Streamers of which something is held at most; of more, what is oldest goes.
+/// Interval after which a failure that is still reported is returned again; shorter than the time for which
+/// the module sets a streamer aside.
+const ALERT_INTERVAL: Duration = Duration::from_secs(3);
+/// Maximum number of entries in each table; beyond it the oldest one is evicted.
 const MAX_STREAMERS: usize = 4096;
-/// Members whose reports are held of one streamer: more would add nothing.
+/// Maximum number of members whose reports on one streamer are kept; more would add nothing.
 const MAX_REPORTERS: usize = 8;
 
-/// What was seen here of one streamer.
+/// Local observations of one streamer.
 #[derive(Clone, Copy, Debug, Default)]
 struct Observation {
     lost: u32,
@@ -47,136 +51,145 @@
     last_good: Option<Duration>,
 }
 
-/// One member's report of one streamer.
+/// One member's report on one streamer.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     author: Member,
-    seen: Duration,
-    /// It has already counted for or against its author.
+    observed_at: Duration,
+    /// Whether it has already counted for or against its author.
     judged: bool,
 }
 
-/// What was seen here, what others reported, and how far each of them is believed.
+/// Local observations, reports of others, and the credit of each member.
 #[derive(Clone, Debug, Default)]
 pub struct FailureReports {
     observations: BTreeMap<Trouble, Observation>,
     reports: BTreeMap<Trouble, Vec<Report>>,
     credits: BTreeMap<Member, Credit>,
-    /// When a streamer was last returned as believed to be in trouble, and how many times in a row.
+    /// When each failure was last returned as believed, and how many times in a row.
     alerts: BTreeMap<Trouble, (Duration, u32)>,
 }
 
 impl FailureReports {
-    /// A join here came to something: it plays, or was lost in silence or by its streamer's end.
-    pub fn observe_join(&mut self, now: Duration, streamer: StreamerId, well: bool) {
-        self.observe(now, (streamer, Kind::Lost), well);
+    /// Records the outcome of a local join: it plays, or was lost because the streamer was silent or ended.
+    pub fn observe_join(&mut self, now: Duration, streamer: StreamerId, succeeded: bool) {
+        self.observe(now, (streamer, Kind::Lost), succeeded);
     }
 
-    /// A streamer here turned a join away, delivered short or had a full link; or is at ease.
-    pub fn observe_strain(&mut self, now: Duration, streamer: StreamerId, well: bool) {
-        self.observe(now, (streamer, Kind::Strained), well);
+    /// Records that a streamer refused a join, delivered less than requested or had a full link; or, with
+    /// `is_good`, that it is at ease.
+    pub fn observe_strain(&mut self, now: Duration, streamer: StreamerId, at_ease: bool) {
+        self.observe(now, (streamer, Kind::Strained), at_ease);
     }
 
-    /// Notes what was seen here of a streamer, and judges by it the reports that hold.
-    fn observe(&mut self, now: Duration, of: Trouble, well: bool) {
-        make_room(&mut self.observations, |own| own.last_lost.max(own.last_good));
-        let own = self.observations.entry(of).or_default();
-        if well {
-            *own = Observation { last_good: Some(now), ..Observation::default() };
+    /// Records a local observation of a streamer, and judges current reports by it.
+    fn observe(&mut self, now: Duration, failure: Trouble, is_good: bool) {
+        make_room(&mut self.observations, |observation| observation.last_lost.max(observation.last_good));
+        let observation = self.observations.entry(failure).or_default();
+        if is_good {
+            *observation = Observation { last_good: Some(now), ..Observation::default() };
         } else {
-            (own.lost, own.last_lost) = (own.lost.saturating_add(1), Some(now));
+            (observation.lost, observation.last_lost) = (observation.lost.saturating_add(1), Some(now));
         }
-        for report in self.reports.get_mut(&of).into_iter().flatten() {
-            // A report is put to the test once, by what is seen while it holds.
-            if !report.judged && now < report.seen + REPORT_LIFETIME {
+        for report in self.reports.get_mut(&failure).into_iter().flatten() {
+            // A report is judged once, by an observation made while it is current.
+            if !report.judged && now < report.observed_at + REPORT_LIFETIME {
                 report.judged = true;
-                self.credits.entry(report.author).or_default().count(!well);
+                self.credits.entry(report.author).or_default().count(!is_good);
             }
         }
-        if well {
-            self.reports.remove(&of);
-            self.alerts.remove(&of);
+        if is_good {
+            self.reports.remove(&failure);
+            self.alerts.remove(&failure);
         }
     }
 
-    /// Takes a member's bulletin of that age. Returns the streamers that are now believed to be in trouble.
+    /// Takes a member's bulletin of the given age. Returns the failures that are now believed.
     pub fn take_bulletin(
         &mut self, now: Duration, author: Member, age: Duration, items: &[[u8; ITEM_BYTES]],
     ) -> Vec<Trouble> {
         let mut believed = Vec::new();
         for item in items {
-            let Some((of, since)) = item::read(item) else { continue };
-            let seen = now.saturating_sub(age + since);
-            if now >= seen + REPORT_LIFETIME || self.cleared(of, seen) {
+            let Some((failure, elapsed)) = item::read(item) else { continue };
+            let observed_at = now.saturating_sub(age + elapsed);
+            if now >= observed_at + REPORT_LIFETIME || self.is_cleared(failure, observed_at) {
                 continue;
             }
-            self.add_report(of, Report { author, seen, judged: false });
-            if self.believes_of(now, of) && self.alert_is_due(now, of) {
-                believed.push(of);
+            self.add_report(failure, Report { author, observed_at, judged: false });
+            if self.believes_failure(now, failure) && self.alert_is_due(now, failure) {
+                believed.push(failure);
             }
         }
         believed
     }
 
-    /// Whether a belief is to be returned now: when it begins, and again while reports go on coming.
-    fn alert_is_due(&mut self, now: Duration, of: Trouble) -> bool {
-        make_room(&mut self.alerts, |(last, _)| Some(*last));
-        let (last, times) = self.alerts.entry(of).or_insert((Duration::ZERO, 0));
-        let due = *times == 0 || now >= *last + ALERT_EVERY;
+    /// Whether a believed failure is to be returned now: when it becomes believed, and repeatedly while
+    /// reports continue.
+    fn alert_is_due(&mut self, now: Duration, failure: Trouble) -> bool {
+        make_room(&mut self.alerts, |(last_alert, _)| Some(*last_alert));
+        let (last_alert, alerts) = self.alerts.entry(failure).or_insert((Duration::ZERO, 0));
+        let due = *alerts == 0 || now >= *last_alert + ALERT_INTERVAL;
         if due {
-            (*last, *times) = (now, *times + 1);
+            (*last_alert, *alerts) = (now, *alerts + 1);
         }
         due
     }
 
-    /// Whether a join worked here after that time.
-    fn cleared(&self, of: Trouble, seen: Duration) -> bool {
-        self.observations.get(&of).and_then(|own| own.last_good).is_some_and(|good| good >= seen)
+    /// Whether a join has succeeded locally since that time.
+    fn is_cleared(&self, failure: Trouble, observed_at: Duration) -> bool {
+        self.observations
+            .get(&failure)
+            .and_then(|observation| observation.last_good)
+            .is_some_and(|last_good| last_good >= observed_at)
     }
 
-    /// Keeps a report: the latest of each member, and of the members those that reported last.
-    fn add_report(&mut self, of: Trouble, report: Report) {
-        make_room(&mut self.reports, |reports| reports.iter().map(|report| report.seen).max());
-        let reports = self.reports.entry(of).or_default();
-        if let Some(held) = reports.iter_mut().find(|held| held.author == report.author) {
-            // Published again it is the same report, unless what it tells of is later.
-            held.judged &= report.seen <= held.seen + REPORT_LIFETIME;
-            held.seen = held.seen.max(report.seen);
+    /// Stores a report: the latest of each member, and of the members those with the latest reports.
+    fn add_report(&mut self, failure: Trouble, report: Report) {
+        make_room(&mut self.reports, |reports| reports.iter().map(|report| report.observed_at).max());
+        let reports = self.reports.entry(failure).or_default();
+        if let Some(known) = reports.iter_mut().find(|known| known.author == report.author) {
+            // A repetition is the same report, unless what it reports was observed after the earlier one
+            // expired.
+            known.judged &= report.observed_at <= known.observed_at + REPORT_LIFETIME;
+            known.observed_at = known.observed_at.max(report.observed_at);
         } else if reports.len() < MAX_REPORTERS {
             reports.push(report);
-        } else if let Some(oldest) = reports.iter_mut().min_by_key(|held| held.seen) {
-            if oldest.seen < report.seen {
+        } else if let Some(oldest) = reports.iter_mut().min_by_key(|known| known.observed_at) {
+            if oldest.observed_at < report.observed_at {
                 *oldest = report;
             }
         }
     }
 
-    /// Whether a streamer is believed to be in trouble. Never by one member's report alone; what was seen here counts
-    /// as one more.
+    /// Whether a streamer is believed to be failing. A single member's report is never enough; a local
+    /// observation counts as one more report.
     pub fn believes(&self, now: Duration, streamer: StreamerId) -> bool {
-        self.believes_of(now, (streamer, Kind::Lost))
+        self.believes_failure(now, (streamer, Kind::Lost))
     }
 
-    fn believes_of(&self, now: Duration, of: Trouble) -> bool {
-        let fresh =
-            |seen: Duration| 1.0 - now.saturating_sub(seen).as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
-        let reports = self.reports.get(&of).into_iter().flatten();
-        let weighed = reports.map(|report| self.credit(report.author).weight() * fresh(report.seen));
-        let own = self.observations.get(&of).and_then(|own| own.last_lost).map(fresh);
-        let all: Vec<f64> = weighed.chain(own).filter(|weight| *weight > 0.0).collect();
-        all.len() >= 2 && all.iter().sum::<f64>() >= BELIEF_THRESHOLD
+    fn believes_failure(&self, now: Duration, failure: Trouble) -> bool {
+        let freshness = |observed_at: Duration| {
+            1.0 - now.saturating_sub(observed_at).as_secs_f64() / REPORT_LIFETIME.as_secs_f64()
+        };
+        let reports = self.reports.get(&failure).into_iter().flatten();
+        let weights =
+            reports.map(|report| self.credit(report.author).weight() * freshness(report.observed_at));
+        let own_loss =
+            self.observations.get(&failure).and_then(|observation| observation.last_lost).map(freshness);
+        let weights: Vec<f64> = weights.chain(own_loss).filter(|weight| *weight > 0.0).collect();
+        weights.len() >= 2 && weights.iter().sum::<f64>() >= BELIEF_THRESHOLD
     }
 
     fn credit(&self, member: Member) -> Credit {
         self.credits.get(&member).copied().unwrap_or_default()
     }
 
-    /// What a member's reports weigh here, of 1.
+    /// The weight of a member's reports, from 0 to 1.
     pub fn weight(&self, member: Member) -> f64 {
         self.credit(member).weight()
     }
 
-    /// A member is gone from the ring: nothing that it reported counts.
+    /// Removes a member that is no longer in the ring, with its reports.
     pub fn forget(&mut self, member: Member) {
         self.credits.remove(&member);
         self.reports.values_mut().for_each(|reports| reports.retain(|report| report.author != member));
@@ -188,29 +201,33 @@
         self.fresh_losses(now).into_iter().map(|(_, (streamer, _), _)| streamer).collect()
     }
 
-    /// What to publish: the streamers on which joins were lost here of late and none has worked since, the gravest
-    /// first. Nobody else's reports are repeated as one's own.
+    /// The items to publish: streamers on which joins were lost locally of late and none has succeeded since,
+    /// the most severe first. Reports of others are not repeated.
     pub fn items(&self, now: Duration) -> Vec<[u8; ITEM_BYTES]> {
-        self.fresh_losses(now).into_iter().map(|(_, of, since)| item::write(of, since)).collect()
+        self.fresh_losses(now)
+            .into_iter()
+            .map(|(_, failure, elapsed)| item::write(failure, elapsed))
+            .collect()
     }
 
-    /// The gravest first; a loss is graver than any strain.
+    /// Own recent losses, the most severe first; any loss is more severe than strain.
     fn fresh_losses(&self, now: Duration) -> Vec<(u32, Trouble, Duration)> {
-        let lost = |(of, own): (&Trouble, &Observation)| {
-            let since = now.saturating_sub(own.last_lost?);
-            (since < PUBLISHED_FOR).then_some((own.lost, *of, since))
+        let recent_loss = |(failure, observation): (&Trouble, &Observation)| {
+            let elapsed = now.saturating_sub(observation.last_lost?);
+            (elapsed < PUBLICATION_PERIOD).then_some((observation.lost, *failure, elapsed))
         };
-        let mut all: Vec<(u32, Trouble, Duration)> = self.observations.iter().filter_map(lost).collect();
-        all.sort_by(|a, b| a.1 .1.cmp(&b.1 .1).then(b.cmp(a)));
-        all.truncate(MAX_ITEMS);
-        all
+        let mut losses: Vec<(u32, Trouble, Duration)> =
+            self.observations.iter().filter_map(recent_loss).collect();
+        losses.sort_by(|a, b| a.1 .1.cmp(&b.1 .1).then(b.cmp(a)));
+        losses.truncate(MAX_ITEMS);
+        losses
     }
 }
 
-/// Makes room in a table that is full: what is oldest goes.
-fn make_room<K: Ord + Copy, T>(table: &mut BTreeMap<K, T>, last: impl Fn(&T) -> Option<Duration>) {
+/// Evicts the oldest entry of a table that is full.
+fn make_room<K: Ord + Copy, T>(table: &mut BTreeMap<K, T>, last_at: impl Fn(&T) -> Option<Duration>) {
     if table.len() >= MAX_STREAMERS {
-        let oldest = table.iter().min_by_key(|(_, held)| last(held)).map(|(of, _)| *of);
-        oldest.map(|of| table.remove(&of));
+        let oldest = table.iter().min_by_key(|(_, entry)| last_at(entry)).map(|(key, _)| *key);
+        oldest.map(|key| table.remove(&key));
     }
 }
--- a/crates/failure_reports/src/tests.rs
+++ b/crates/failure_reports/src/tests.rs
@@ -1,3 +1,5 @@
+//! Unit tests and generated runs of the weighing of reports.
+
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -10,56 +12,56 @@
 const A: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 const B: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 2);
 
-fn write(streamer: SocketAddrV4, since: Duration) -> [u8; 8] {
-    item::write((streamer, Kind::Lost), since)
+fn write(streamer: SocketAddrV4, elapsed: Duration) -> [u8; 8] {
+    item::write((streamer, Kind::Lost), elapsed)
 }
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
 #[test]
-fn one_members_word_never_sets_a_streamer_aside_however_often_it_is_said() {
+fn reports_of_a_single_member_are_never_believed() {
     let mut reports = FailureReports::default();
     for n in 0..1000 {
         let now = T0 + ms(n * 100);
-        // In new words each time: fresher, and of other streamers too.
-        let said = [write(A, ms(n % 3 * 100)), write(B, Duration::ZERO), write(A, Duration::ZERO)];
-        assert!(reports.take_bulletin(now, 7, ms(n % 400), &said).is_empty());
+        // The content differs each time: more recent observations, and other streamers too.
+        let items = [write(A, ms(n % 3 * 100)), write(B, Duration::ZERO), write(A, Duration::ZERO)];
+        assert!(reports.take_bulletin(now, 7, ms(n % 400), &items).is_empty());
         assert!(!reports.believes(now, A) && !reports.believes(now, B));
     }
 }
 
 #[test]
-fn two_members_are_believed_until_their_words_fade() {
+fn reports_of_two_members_are_believed_until_they_expire() {
     let mut reports = FailureReports::default();
     assert!(reports.take_bulletin(T0, 1, ms(200), &[write(A, ms(300))]).is_empty());
     assert_eq!(reports.take_bulletin(T0, 2, ms(200), &[write(A, ms(100))]), [(A, Kind::Lost)]);
     assert!(reports.believes(T0 + ms(500), A));
     assert!(!reports.believes(T0 + REPORT_LIFETIME, A));
-    // Told late, it is as old as it is.
+    // A late bulletin counts with its age.
     let mut late = FailureReports::default();
     late.take_bulletin(T0, 1, ms(5000), &[write(A, ms(3000))]);
     assert!(late.take_bulletin(T0, 2, ms(5000), &[write(A, ms(3000))]).is_empty());
 }
 
 #[test]
-fn a_belief_is_told_again_while_words_go_on_coming_but_not_with_each() {
+fn a_believed_failure_is_returned_again_at_intervals() {
     let mut reports = FailureReports::default();
-    let mut told = Vec::new();
+    let mut returned_at = Vec::new();
     for n in 0..100u64 {
         let now = T0 + ms(n * 100);
         let author = 1 + (n % 4) as u16;
-        told.extend(
+        returned_at.extend(
             reports.take_bulletin(now, author, Duration::ZERO, &[write(A, Duration::ZERO)]).iter().map(|_| n),
         );
     }
-    // With the second word, and then every three seconds.
-    assert_eq!(told, [1, 31, 61, 91]);
+    // With the second report, and then every three seconds.
+    assert_eq!(returned_at, [1, 31, 61, 91]);
 }
 
 #[test]
-fn ones_own_loss_and_one_word_are_believed() {
+fn an_own_loss_and_one_report_are_believed() {
     let mut reports = FailureReports::default();
     reports.observe_join(T0, A, false);
     assert!(!reports.believes(T0, A));
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn a_join_that_works_clears_what_was_said_before_it_at_once() {
+fn a_successful_join_clears_earlier_reports() {
     let mut reports = FailureReports::default();
     for member in 1..9 {
         reports.take_bulletin(T0, member, Duration::ZERO, &[write(A, Duration::ZERO)]);
@@ -75,14 +77,14 @@
     assert!(reports.believes(T0, A));
     reports.observe_join(T0 + ms(100), A, true);
     assert!(!reports.believes(T0 + ms(100), A));
-    // The same words again, on their way since before it.
+    // The same reports again, which were on their way since before the join.
     for member in 1..9 {
         assert!(reports.take_bulletin(T0 + ms(300), member, ms(300), &[write(A, Duration::ZERO)]).is_empty());
     }
 }
 
 #[test]
-fn members_whose_words_are_contradicted_are_no_longer_heard_and_come_back_by_agreeing() {
+fn contradicted_members_lose_credit_and_regain_it_by_agreeing() {
     let mut reports = FailureReports::default();
     for n in 0..12 {
         let now = T0 + Duration::from_secs(20 * n);
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn one_word_is_put_to_the_test_once() {
+fn a_report_is_judged_once() {
     let mut reports = FailureReports::default();
     reports.take_bulletin(T0, 1, Duration::ZERO, &[write(A, Duration::ZERO)]);
     let first = reports.weight(1);
@@ -125,15 +127,15 @@
     assert!(reports.items(T0 + ms(700)).is_empty());
 }
 
-/// Whatever one liar says, with however many words, and whatever honest members say of other streamers: a streamer of
-/// which only the liar speaks is never believed to be in trouble.
+/// Whatever one faulty member reports, however often, and whatever correct members report on other streamers:
+/// a streamer that only the faulty member reports is never believed to be failing.
 #[test]
-fn a_liar_alone_does_no_harm_on_generated_runs() {
+fn a_faulty_member_alone_is_never_believed_on_generated_runs() {
     fn harmless(steps: Vec<(u8, u16, bool)>) -> bool {
         let (mut reports, mut now) = (FailureReports::default(), T0);
-        steps.iter().all(|(member, wait, liar)| {
+        steps.iter().all(|(member, wait, is_faulty)| {
             now += ms(u64::from(wait % 700));
-            if *liar {
+            if *is_faulty {
                 reports.take_bulletin(
                     now,
                     99,
@@ -156,18 +158,21 @@
     QuickCheck::new().rng(gen).tests(500).quickcheck(harmless as fn(Vec<(u8, u16, bool)>) -> bool);
 }
 
-/// Strain is a matter of its own: it is believed by two, cleared by ease here and not by a join that works, and a loss goes
-/// before it where not all fits.
+/// Strain is independent of losses: two reports make it believed, and it is cleared by a local observation of
+/// ease but not by a join that succeeds. Losses take precedence where not all items fit.
 #[test]
-fn strain_is_told_beside_losses() {
+fn strain_is_reported_beside_losses() {
     let mut reports = FailureReports::default();
-    let said = [item::write((A, Kind::Strained), Duration::ZERO)];
-    assert!(reports.take_bulletin(T0, 1, Duration::ZERO, &said).is_empty());
+    let items = [item::write((A, Kind::Strained), Duration::ZERO)];
+    assert!(reports.take_bulletin(T0, 1, Duration::ZERO, &items).is_empty());
     reports.observe_join(T0, A, true);
-    assert_eq!(reports.take_bulletin(T0 + ms(10), 2, Duration::ZERO, &said), [(A, Kind::Strained)]);
-    assert!(!reports.believes(T0 + ms(10), A), "no join is said to be lost");
+    assert_eq!(reports.take_bulletin(T0 + ms(10), 2, Duration::ZERO, &items), [(A, Kind::Strained)]);
+    assert!(!reports.believes(T0 + ms(10), A), "strain is not a loss");
     reports.observe_strain(T0 + ms(20), A, true);
-    assert!(reports.take_bulletin(T0 + ms(30), 3, ms(100), &said).is_empty(), "it was seen at ease since");
+    assert!(
+        reports.take_bulletin(T0 + ms(30), 3, ms(100), &items).is_empty(),
+        "it was observed at ease since"
+    );
     (0..20).for_each(|n| reports.observe_strain(T0, SocketAddrV4::new(Ipv4Addr::LOCALHOST, 100 + n), false));
     reports.observe_join(T0, B, false);
     let items = reports.items(T0);
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -5,29 +5,30 @@
 //! | 3 | `bg` and the version, 1 |
 //! | 1 | kind |
 //! | 2 | from, a member's number |
-//! | 2 | to, a member's number; 65,535 to whoever is there, taken from pings alone |
-//! | 4 | the sender's life |
-//! | 4 | counter, from 1 in each life |
+//! | 2 | to, a member's number; 65,535 for any recipient, accepted for pings only |
+//! | 4 | incarnation of the sender's process |
+//! | 4 | counter, from 1 in each process incarnation |
 //! | to the end less 64 | body |
 //! | 64 | signature |
 
 use thiserror::Error;
 
-use crate::statement::{four, Signature, SIGNATURE_BYTES};
+use crate::statement::{be_u32, Signature, SIGNATURE_BYTES};
 use crate::Member;
 
-/// Payload bytes of a datagram at most.
+/// Maximum payload of a datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 const MAGIC: [u8; 3] = [b'b', b'g', 1];
 const HEADER_BYTES: usize = 16;
-/// What a body holds at most.
+/// Maximum length of a body in bytes.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - SIGNATURE_BYTES;
-/// To whoever is there: a seed whose number is not known.
+/// The recipient of a ping to a seed whose number is not known.
 pub const ANYONE: Member = Member::MAX;
 
-/// Kinds of datagrams. Bodies: ping, ack and nack have the probe's number (2) and statements; ask has the number, the
-/// member to be probed (2) and statements; digest has the place to begin in the ring (2), a count (1) and a byte for
-/// each member; news has statements; a message is another subsystem's, as it is.
+/// Kinds of datagrams. Bodies: ping, ack and nack have the probe's number (2) and statements; ask has the
+/// number, the member to be probed (2) and statements; digest has the first member of the range in the ring
+/// (2), a count (1) and a byte for each member; news has statements; a message belongs to another subsystem
+/// and is passed on unchanged.
 pub const PING: u8 = 1;
 pub const ACK: u8 = 2;
 pub const ASK: u8 = 3;
@@ -57,7 +58,7 @@
     Unsigned,
 }
 
-/// The header's fields.
+/// The fields of the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub kind: u8,
@@ -67,7 +68,7 @@
     pub counter: u32,
 }
 
-/// Begins a datagram.
+/// The encoded header, to which the body and the signature are appended.
 pub fn begin(header: &Header) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend(MAGIC);
@@ -79,10 +80,10 @@
     bytes
 }
 
-/// A datagram in parts: the header, the body, what is signed and the signature.
+/// The parts of a datagram: the header, the body, the signed bytes and the signature.
 pub type Parts<'a> = (Header, &'a [u8], &'a [u8], Signature);
 
-/// Takes a datagram apart; nothing of it is believed yet.
+/// Splits a datagram into its parts, without verifying the signature.
 pub fn open(bytes: &[u8]) -> Result<Parts<'_>, Fault> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Fault::Oversize);
@@ -95,13 +96,13 @@
     }
     let (signed, signature) = bytes.split_at(bytes.len() - SIGNATURE_BYTES);
     let signature = signature.try_into().map_err(|_| Fault::Malformed)?;
-    let pair = |at: usize| Member::from_be_bytes([bytes[at], bytes[at + 1]]);
+    let member = |offset: usize| Member::from_be_bytes([bytes[offset], bytes[offset + 1]]);
     let header = Header {
         kind: bytes[3],
-        from: pair(4),
-        to: pair(6),
-        life: four(&bytes[8..12]),
-        counter: four(&bytes[12..16]),
+        from: member(4),
+        to: member(6),
+        life: be_u32(&bytes[8..12]),
+        counter: be_u32(&bytes[12..16]),
     };
     Ok((header, &signed[HEADER_BYTES..], signed, signature))
 }
--- a/crates/gossip/src/health.rs
+++ b/crates/gossip/src/health.rs
@@ -1,37 +1,42 @@
-//! Local health (Lifeguard, section 4.1): a member that misses much suspects itself first.
+//! Local health (Lifeguard, section 4.1): a member that misses many answers suspects itself before others.
 
 use std::time::Duration;
 
-/// Points at most: timeouts grow to this many times and one.
-const MAX_POINTS: u32 = 8;
-/// Woken so much later than asked for, a member was stalled, and what it missed says nothing about others.
-const STALL: Duration = Duration::from_millis(400);
+/// Maximum score; timeouts are multiplied by the score plus one.
+const MAX_SCORE: u32 = 8;
+/// If a member wakes this much later than requested, its process was stalled, and the answers that it missed
+/// are not held against others.
+const MAX_WAKE_UP_DELAY: Duration = Duration::from_millis(400);
 
+/// The local health score: 0 is healthy.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     points: u32,
 }
 
 impl Health {
+    /// Lowers the score by one.
     pub fn improve(&mut self) {
         self.points = self.points.saturating_sub(1);
     }
 
-    pub fn worsen(&mut self, by: u32) {
-        self.points = (self.points + by).min(MAX_POINTS);
+    /// Raises the score by `by`, up to the maximum.
+    pub fn worsen(&mut self, amount: u32) {
+        self.points = (self.points + amount).min(MAX_SCORE);
     }
 
+    /// The current score.
     pub fn points(&self) -> u32 {
         self.points
     }
 
-    /// A timeout, longer while the member does not trust itself.
-    pub fn stretch(&self, span: Duration) -> Duration {
-        span * (self.points + 1)
+    /// A timeout, extended in proportion to the score.
+    pub fn stretch(&self, timeout: Duration) -> Duration {
+        timeout * (self.points + 1)
     }
 
-    /// Whether a wake came so late that the member must have stood still.
+    /// How late a wake-up was, if the process must have been stalled.
     pub fn stalled(due: Duration, now: Duration) -> Option<Duration> {
-        now.checked_sub(due).filter(|late| *late > STALL)
+        now.checked_sub(due).filter(|late| *late > MAX_WAKE_UP_DELAY)
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,10 +1,11 @@
-//! Membership of controllers by gossip. No I/O, no clock, no keys: time, datagrams, chance and signatures come from
-//! outside, so that a thousand members run in one test.
+//! Gossip membership of controllers. The crate does no I/O, reads no clock and holds no keys: time,
+//! datagrams, randomness and signatures come from the caller, so that a thousand members can run in one test.
 //!
-//! The protocol is SWIM (Das, Gupta and Motivala, DSN 2002) with the local health and the suspicion that is
-//! shortened by independent accusers of Lifeguard (Dadgar, Phillips and Currey, 2017). It departs from both where a
-//! member may lie: what is passed on is a *statement* signed by the member that made it (see [`statement`]), each
-//! member decides alone that another is dead ([`View`]), and only a member itself raises its incarnation.
+//! The protocol is SWIM (Das, Gupta and Motivala, DSN 2002) with the local health and the suspicion timeouts
+//! shortened by independent accusers of Lifeguard (Dadgar, Phillips and Currey, 2017). It departs from both
+//! in order to tolerate faulty members: what is forwarded is a *statement* signed by the member that made it
+//! (see [`statement`]), each member decides by itself that another is dead ([`View`]), and only a member
+//! itself raises its incarnation.
 
 mod budget;
 pub mod envelope;
@@ -30,5 +31,5 @@
 
 /// A member's number in the ring of keys.
 pub type Member = u16;
-/// Members of a ring at most: twice the largest size that is rehearsed.
+/// Maximum number of members of a ring: twice the largest size that is tested.
 pub const MAX_MEMBERS: usize = 2048;
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,4 +1,4 @@
-//! One member: what it holds, and when it is due to do something. Each of the modules below has one part of the
+//! The state machine of one gossip member and its timers. Each of the submodules implements one part of the
 //! protocol.
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use crate::rate_limits::RateLimits;
 use crate::statement::{incarnation, life_of, Keyring};
 use crate::token_bucket::TokenBucket;
-use crate::view::{Known, MemberState, View, PERIOD};
+use crate::view::{MemberEntry, MemberState, View, PROBE_PERIOD};
 use crate::window::Window;
 use crate::Member;
 
@@ -29,28 +29,30 @@
 
 pub use events::{Counts, Event, Transport};
 
-/// News go to one member drawn by chance this often while there are any: about what the ceiling allows, so that what
-/// many have to say at once takes no longer than it must.
-const NEWS_EVERY: Duration = Duration::from_millis(40);
-/// What is held is compared with one other member's this often; sooner while it differed last time.
-const COMPARE_EVERY: Duration = Duration::from_secs(5);
-/// A member that seems dead, or a seed, is tried again this often, so that a split heals.
-const TRY_GONE_EVERY: Duration = Duration::from_secs(3);
-/// Seeds are tried this often while nobody is known.
-const SEEDS_EVERY: Duration = Duration::from_millis(700);
-/// A member of a stale life is told so, so often in a second at most for all of them.
-const TOLD_STALE: f64 = 8.0;
-
-/// A member of the gossip.
+/// Interval at which queued statements are sent to a random member; about what the byte budget allows, so
+/// that many members with something to announce at once are not delayed further.
+const SPREAD_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval between comparisons of the view with another member; shorter after a comparison that found a
+/// difference.
+const COMPARISON_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which a dead member, or a seed, is contacted again, so that partitions heal.
+const DEAD_CONTACT_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which seeds are contacted while no other member is known.
+const SEED_CONTACT_INTERVAL: Duration = Duration::from_millis(700);
+/// Maximum rate of notices to members with a stale process incarnation, per second and for all of them
+/// together.
+const STALE_NOTICES_PER_SECOND: f64 = 8.0;
+
+/// The state machine of one member.
 pub struct Gossip<H> {
     keyring: H,
-    me: Member,
+    local_id: Member,
     incarnation: u64,
-    at: SocketAddrV4,
+    address: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     view: View,
     windows: BTreeMap<Member, Window>,
-    /// The member at each address, from the records held.
+    /// The member at each address, from the known records.
     addresses: BTreeMap<SocketAddrV4, Member>,
     outbox: Outbox,
     probes: Probes,
@@ -58,39 +60,40 @@
     budget: Budget,
     rate_limits: RateLimits,
     counter: u32,
-    chance: Chance,
+    rng: Chance,
     bulletins: BTreeMap<Member, (u32, u32)>,
     bulletin_number: u32,
     next_period: Duration,
-    next_news: Duration,
-    next_compare: Duration,
-    compared_to: usize,
-    next_gone: Duration,
-    next_seeds: Duration,
-    refuted: Duration,
+    next_spread_at: Duration,
+    next_comparison_at: Duration,
+    comparison_start: usize,
+    next_dead_contact_at: Duration,
+    next_seed_contact_at: Duration,
+    last_refutation_at: Duration,
     refute_at: Option<Duration>,
-    told_stale: TokenBucket,
-    /// When `tick` asked to be called.
+    stale_notices: TokenBucket,
+    /// When `tick` requested to be called next.
     due: Duration,
     pub counts: Counts,
 }
 
 impl<H: Keyring> Gossip<H> {
-    /// A member in a life that is later than all it had before. `seeds` are addresses of some others.
+    /// Creates a member. `life` must be later than in all earlier processes of this member; `seeds` are
+    /// addresses of some other members.
     pub fn new(
-        me: Member, keyring: H, life: u32, at: SocketAddrV4, seeds: Vec<SocketAddrV4>, now: Duration,
-        seed: u64,
+        local_id: Member, keyring: H, life: u32, address: SocketAddrV4, seeds: Vec<SocketAddrV4>,
+        now: Duration, seed: u64,
     ) -> Self {
-        let mut chance = Chance(seed);
-        // Members that start in one second do not go on in step.
-        let first = now + PERIOD.mul_f64(chance.share());
+        let mut rng = Chance(seed);
+        // A random offset, so that members started in the same second do not act in step.
+        let first_period = now + PROBE_PERIOD.mul_f64(rng.share());
         let mut gossip = Self {
             keyring,
-            me,
+            local_id,
             incarnation: incarnation(life, 0),
-            at,
+            address,
             seeds,
-            view: View::new(me),
+            view: View::new(local_id),
             windows: BTreeMap::new(),
             addresses: BTreeMap::new(),
             outbox: Outbox::default(),
@@ -99,61 +102,66 @@
             budget: Budget::new(now),
             rate_limits: RateLimits::new(now),
             counter: 0,
-            chance,
+            rng,
             bulletins: BTreeMap::new(),
             bulletin_number: 0,
-            next_period: first,
-            next_news: now,
-            next_compare: first,
-            compared_to: 0,
-            next_gone: first + TRY_GONE_EVERY,
-            next_seeds: now,
-            refuted: Duration::ZERO,
+            next_period: first_period,
+            next_spread_at: now,
+            next_comparison_at: first_period,
+            comparison_start: 0,
+            next_dead_contact_at: first_period + DEAD_CONTACT_INTERVAL,
+            next_seed_contact_at: now,
+            last_refutation_at: Duration::ZERO,
             refute_at: None,
-            told_stale: TokenBucket::new(TOLD_STALE, TOLD_STALE, now),
+            stale_notices: TokenBucket::new(STALE_NOTICES_PER_SECOND, STALE_NOTICES_PER_SECOND, now),
             due: now,
             counts: Counts::default(),
         };
-        gossip.view.expect(gossip.keyring.ring().len());
-        gossip.say_alive(now, false);
+        gossip.view.set_ring_size(gossip.keyring.ring().len());
+        gossip.publish_record(now, false);
         gossip
     }
 
-    /// What this member holds of all others.
+    /// What this member knows of the others.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The keys that it signs and checks with.
+    /// The keys that it signs and verifies with.
     pub fn keyring(&self) -> &H {
         &self.keyring
     }
 
-    /// Its own number.
+    /// The number of this member.
     pub fn member(&self) -> Member {
-        self.me
+        self.local_id
     }
 
-    /// The life that it was started in.
+    /// The process incarnation of this member.
     pub fn life(&self) -> u32 {
         life_of(self.incarnation)
     }
 
-    /// Its local health: 0 where it does not seem to be slow itself.
+    /// The local health score: 0 unless this member itself appears to be slow.
     pub fn health(&self) -> u32 {
         self.health.points()
     }
 
-    /// Takes another ring and key: members whose keys are gone are forgotten, with all that they said.
+    /// Replaces the ring and the own key. Members without a key in the new ring are removed with all their
+    /// statements.
     pub fn replace_keyring(&mut self, keyring: H, now: Duration) {
         self.keyring = keyring;
-        self.view.expect(self.keyring.ring().len());
-        let gone: Vec<Member> =
-            self.view.members().map(|(member, _)| member).filter(|m| !self.keyring.knows(*m)).collect();
-        for member in gone {
+        self.view.set_ring_size(self.keyring.ring().len());
+        let removed: Vec<Member> = self
+            .view
+            .members()
+            .map(|(member, _)| member)
+            .filter(|member| !self.keyring.knows(*member))
+            .collect();
+        for member in removed {
             self.forget(member);
         }
-        // Signed anew, with the key that holds now.
+        // Signs the own record again, with the new key.
         self.refute(now);
     }
 
@@ -163,22 +171,22 @@
         self.windows.remove(&member);
         self.bulletins.remove(&member);
         self.rate_limits.forget(member);
-        self.addresses.retain(|_, at| *at != member);
+        self.addresses.retain(|_, known_member| *known_member != member);
     }
 
-    /// When [`Gossip::tick`] wants to be called at the latest.
+    /// When [`Gossip::tick`] must be called at the latest.
     pub fn next_due(&self) -> Duration {
-        let news = (!self.outbox.is_empty()).then_some(self.next_news);
-        let alone = self.is_alone().then_some(self.next_seeds);
+        let spread = (!self.outbox.is_empty()).then_some(self.next_spread_at);
+        let seed_contact = self.is_alone().then_some(self.next_seed_contact_at);
         [
             self.refute_at,
             Some(self.next_period),
-            Some(self.next_compare),
-            Some(self.next_gone),
-            news,
-            alone,
+            Some(self.next_comparison_at),
+            Some(self.next_dead_contact_at),
+            spread,
+            seed_contact,
             self.probes.next_due(),
-            self.view.next_end(),
+            self.view.next_suspicion_end(),
         ]
         .into_iter()
         .flatten()
@@ -186,21 +194,21 @@
         .unwrap_or(self.next_period)
     }
 
-    /// Whether nobody else is known to take part.
+    /// Whether no other member is known to be alive.
     fn is_alone(&self) -> bool {
         self.view.taking_part() < 2
     }
 
-    /// Does what is due.
+    /// Performs the actions that are due at `now`.
     pub fn tick(&mut self, now: Duration, out: &mut impl Transport, events: &mut Vec<Event>) {
         if let Some(late) = Health::stalled(self.due, now) {
-            self.stood_still(late);
+            self.handle_stall(late);
         }
         if self.refute_at.is_some_and(|at| at <= now) {
             self.refute(now);
         }
-        self.probe_steps(now, out);
-        self.nack_expired(now, out);
+        self.ask_helpers(now, out);
+        self.send_expired_nacks(now, out);
         for member in self.view.end_suspicions(now) {
             events.push(Event::StateChanged(member, MemberState::Dead));
         }
@@ -208,26 +216,26 @@
             self.end_probe(now, events);
             self.begin_probe(now, out);
         }
-        if now >= self.next_seeds && self.is_alone() {
-            self.next_seeds = now + SEEDS_EVERY.mul_f64(0.5 + self.chance.share());
-            self.try_seed(now, out);
+        if now >= self.next_seed_contact_at && self.is_alone() {
+            self.next_seed_contact_at = now + SEED_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.contact_seed(now, out);
         }
-        if now >= self.next_gone {
-            self.next_gone = now + TRY_GONE_EVERY.mul_f64(0.5 + self.chance.share());
-            self.try_gone(now, out);
+        if now >= self.next_dead_contact_at {
+            self.next_dead_contact_at = now + DEAD_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.contact_dead_member(now, out);
         }
-        if now >= self.next_compare {
-            self.next_compare = now + COMPARE_EVERY.mul_f64(0.5 + self.chance.share());
-            self.compare(now, out);
+        if now >= self.next_comparison_at {
+            self.next_comparison_at = now + COMPARISON_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.start_comparison(now, out);
         }
-        if now >= self.next_news && !self.outbox.is_empty() {
-            self.next_news = now + NEWS_EVERY.mul_f64(0.5 + self.chance.share());
-            self.spread(now, out);
+        if now >= self.next_spread_at && !self.outbox.is_empty() {
+            self.next_spread_at = now + SPREAD_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.send_statements(now, out);
         }
         self.due = self.next_due().max(now);
     }
 }
 
-fn takes_part(known: Option<&Known>) -> bool {
+fn takes_part(known: Option<&MemberEntry>) -> bool {
     known.is_some_and(|known| known.state.takes_part())
 }
--- a/crates/gossip/src/member/dissemination.rs
+++ b/crates/gossip/src/member/dissemination.rs
@@ -1,4 +1,5 @@
-//! What this member publishes, what it passes on, and the statements that come to it.
+//! Dissemination: the bulletins that this member publishes, the statements that it forwards, and those that
+//! it receives.
 
 use std::time::Duration;
 
@@ -9,53 +10,60 @@
 use crate::{Member, MAX_DATAGRAM_BYTES};
 
 impl<H: Keyring> Gossip<H> {
-    /// Publishes what this member holds against streamers: its latest findings on all of them.
+    /// Publishes this member's latest findings on all streamers.
     pub fn publish(&mut self, now: Duration, items: Vec<[u8; ITEM_BYTES]>) {
         self.bulletin_number += 1;
         let items = items.into_iter().take(MAX_ITEMS).collect();
-        let bulletin = Bulletin { author: self.me, life: self.life(), number: self.bulletin_number, items };
+        let bulletin =
+            Bulletin { author: self.local_id, life: self.life(), number: self.bulletin_number, items };
         self.counts.signed += 1;
-        self.outbox.put(Claim::Bulletin(bulletin).sign(&self.keyring), Rank::News, now);
+        self.outbox.put(Claim::Bulletin(bulletin).sign(&self.keyring), Rank::Normal, now);
     }
 
-    /// Sends another subsystem's message to a member, as far as the ceiling allows. Tells whether it went.
+    /// Sends another subsystem's message to a member, if the byte budget allows it. Returns whether it was
+    /// sent.
     pub fn send_message(
         &mut self, now: Duration, to: Member, message: &[u8], out: &mut impl Transport,
     ) -> bool {
         message.len() <= MAX_BODY_BYTES && self.send(now, MESSAGE, to, message, false, out)
     }
 
-    /// Sends the most urgent statements to one member drawn by chance.
-    pub(super) fn spread(&mut self, now: Duration, out: &mut impl Transport) {
+    /// Sends the most urgent statements to a random member.
+    pub(super) fn send_statements(&mut self, now: Duration, out: &mut impl Transport) {
         if !self.budget.spares(now, MAX_DATAGRAM_BYTES) {
             self.counts.held_back += 1;
             return;
         }
-        if let Some(to) = self.some_members(1, None).first().copied() {
+        if let Some(to) = self.random_members(1, None).first().copied() {
             self.send(now, NEWS, to, &[], true, out);
         }
     }
 
-    /// Takes statements up to the first that is none, or whose signature is not checked since the rate is used up. Tells
-    /// whether any of them holds something of this member that is over.
+    /// Takes statements up to the first that can't be decoded, or whose signature may not be checked because
+    /// the rate limit is reached. Returns whether any of them contains an outdated incarnation of this
+    /// member.
     pub(super) fn take_statements(
         &mut self, now: Duration, source: Option<Member>, mut bytes: &[u8], events: &mut Vec<Event>,
     ) -> bool {
-        let mut behind = false;
+        let mut is_outdated = false;
         while let Some((statement, age, used)) = Statement::read(bytes) {
             bytes = &bytes[used..];
-            behind |= match &statement.claim {
-                Claim::Record(r) => r.subject == self.me && r.incarnation < self.incarnation,
-                Claim::Accusation(a) => a.subject == self.me && a.incarnation < self.incarnation,
+            is_outdated |= match &statement.claim {
+                Claim::Record(record) => {
+                    record.subject == self.local_id && record.incarnation < self.incarnation
+                }
+                Claim::Accusation(accusation) => {
+                    accusation.subject == self.local_id && accusation.incarnation < self.incarnation
+                }
                 Claim::Bulletin(_) => false,
             };
-            // Known ones cost nothing.
+            // Statements that are already known need no signature check.
             if !self.is_new(&statement.claim) {
                 continue;
             }
             if !self.rate_limits.admit_signatures(now, source, 1) {
                 *self.counts.dropped.entry(Fault::RateLimited).or_default() += 1;
-                return behind;
+                return is_outdated;
             }
             self.counts.checked += 1;
             if !self.keyring.knows(statement.claim.author()) || !statement.is_signed(&self.keyring) {
@@ -68,36 +76,39 @@
                 Claim::Bulletin(bulletin) => self.take_bulletin(now, bulletin, age, statement, events),
             }
         }
-        behind
+        is_outdated
     }
 
-    /// Whether a statement could change anything here: only then is its signature checked.
+    /// Whether a statement could change anything here; only then is its signature checked.
     fn is_new(&self, claim: &Claim) -> bool {
         match claim {
             Claim::Record(record) => self.view.get(record.subject).is_none_or(|known| {
                 (record.incarnation, record.left) > (known.record.incarnation, known.record.left)
             }),
             Claim::Accusation(accusation) => self.view.could_change(accusation),
-            Claim::Bulletin(b) => {
-                b.author != self.me
-                    && self.bulletins.get(&b.author).is_none_or(|held| *held < (b.life, b.number))
+            Claim::Bulletin(bulletin) => {
+                bulletin.author != self.local_id
+                    && self
+                        .bulletins
+                        .get(&bulletin.author)
+                        .is_none_or(|latest| *latest < (bulletin.life, bulletin.number))
             }
         }
     }
 
-    /// Takes what a member publishes on streamers.
+    /// Takes a member's bulletin on streamers.
     fn take_bulletin(
         &mut self, now: Duration, bulletin: Bulletin, age: Duration, statement: Statement,
         events: &mut Vec<Event>,
     ) {
         let Some(known) = self.view.get(bulletin.author) else { return };
-        // A life that is over says nothing of now.
+        // Bulletins of an earlier process incarnation are outdated.
         if bulletin.life != life_of(known.record.incarnation) {
             return;
         }
         self.bulletins.insert(bulletin.author, (bulletin.life, bulletin.number));
-        let seen = now.saturating_sub(age);
-        self.outbox.put(statement, Rank::News, seen);
+        let observed_at = now.saturating_sub(age);
+        self.outbox.put(statement, Rank::Normal, observed_at);
         events.push(Event::Bulletin(bulletin, age));
     }
 }
--- a/crates/gossip/src/member/events.rs
+++ b/crates/gossip/src/member/events.rs
@@ -1,4 +1,4 @@
-//! What a member gives to those who use it: datagrams to be sent, events, and counts.
+//! The outputs of a gossip member: datagrams to be sent, events, and counters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,7 +9,7 @@
 use crate::view::MemberState;
 use crate::Member;
 
-/// What a member does to the world.
+/// Sends the datagrams of a member.
 pub trait Transport {
     /// Sends a datagram to an address.
     fn send(&mut self, to: SocketAddrV4, bytes: &[u8]);
@@ -21,18 +21,18 @@
     }
 }
 
-/// What a member learned, for those who use it.
+/// Something that a member learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Another member's state has changed.
     StateChanged(Member, MemberState),
-    /// A bulletin by a member that takes part, how old, and that member's items.
+    /// A bulletin by a member that takes part, and its age.
     Bulletin(Bulletin, Duration),
     /// Another subsystem's message, from this member.
     Message(Member, Vec<u8>),
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
@@ -42,7 +42,7 @@
     pub accusations: u64,
     pub refutations: u64,
     pub stalls: u64,
-    /// Datagrams that did not go since the ceiling was reached.
+    /// Datagrams not sent because the byte budget was exhausted.
     pub held_back: u64,
     pub signed: u64,
     pub checked: u64,
--- a/crates/gossip/src/member/joining.rs
+++ b/crates/gossip/src/member/joining.rs
@@ -1,64 +1,65 @@
-//! How a member comes in, leaves and comes back: its own record, records of others, seeds, and the healing of splits.
+//! Joining, leaving and rejoining: the own record, records of others, seeds, and the healing of partitions.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::probing::HELPERS;
+use super::probing::HELPER_COUNT;
 use super::{takes_part, Event, Gossip, Transport};
 use crate::envelope::{ANYONE, NEWS};
 use crate::outbox::Rank;
 use crate::probe::shuffle;
 use crate::statement::{incarnation, life_of, Claim, Keyring, Record, Statement, LAST_INCARNATION};
-use crate::view::{Change, Known, MemberState};
+use crate::view::{Change, MemberEntry, MemberState};
 use crate::Member;
 
 impl<H: Keyring> Gossip<H> {
-    /// Says that this member is alive, or that it leaves, and takes it down itself.
-    pub(super) fn say_alive(&mut self, now: Duration, left: bool) {
-        let record = Record { subject: self.me, incarnation: self.incarnation, left, at: self.at };
+    /// Publishes that this member is alive, or that it leaves, and records it in its own view.
+    pub(super) fn publish_record(&mut self, now: Duration, left: bool) {
+        let record = Record { subject: self.local_id, incarnation: self.incarnation, left, at: self.address };
         self.counts.signed += 1;
         let statement = Claim::Record(record).sign(&self.keyring);
         self.view.record(now, record, &statement.signature);
         self.outbox.put(statement, Rank::Refutation, now);
     }
 
-    /// Says good-bye to some members, who pass it on.
+    /// Announces to some members that this one leaves; they forward it.
     pub fn leave(&mut self, now: Duration, out: &mut impl Transport) {
         self.incarnation = (self.incarnation + 1).min(LAST_INCARNATION);
-        self.say_alive(now, true);
-        for to in self.some_members(HELPERS * 2, None) {
+        self.publish_record(now, true);
+        for to in self.random_members(HELPER_COUNT * 2, None) {
             self.send(now, NEWS, to, &[], true, out);
         }
     }
 
-    /// The records of all members, to be stored.
+    /// The records of all known members, to be stored.
     pub fn records(&self) -> Vec<Statement> {
-        let record = |(member, _): (Member, &Known)| self.view.statements(member).into_iter().next();
+        let record = |(member, _): (Member, &MemberEntry)| self.view.statements(member).into_iter().next();
         self.view.members().filter_map(record).collect()
     }
 
-    /// Takes records that an earlier process stored: seeds need not be there for a rebirth.
+    /// Takes records stored by an earlier process, so that a restart does not depend on seeds.
     pub fn restore_records(&mut self, now: Duration, stored: Vec<Statement>, events: &mut Vec<Event>) {
         for statement in stored {
             let Claim::Record(record) = statement.claim else { continue };
-            let theirs = record.subject != self.me && self.keyring.knows(record.subject);
-            if theirs && statement.is_signed(&self.keyring) {
+            let is_valid = record.subject != self.local_id && self.keyring.knows(record.subject);
+            if is_valid && statement.is_signed(&self.keyring) {
                 self.take_record(now, record, statement, events);
                 self.outbox.forget(record.subject);
             }
         }
     }
 
-    /// Takes a member's record of itself: that it takes part, where, or that it has left.
+    /// Takes a member's record of itself: its address, and whether it is alive or has left.
     pub(super) fn take_record(
         &mut self, now: Duration, record: Record, statement: Statement, events: &mut Vec<Event>,
     ) {
-        if record.subject == self.me {
-            // Said in an earlier life, of which nothing was stored: this life has to be later.
+        if record.subject == self.local_id {
+            // The record is from an earlier process that stored nothing, so the incarnation of this one must
+            // become later.
             let next = incarnation(life_of(record.incarnation).saturating_add(1), 0);
             self.incarnation = self.incarnation.max(next).max(record.incarnation);
             self.counter = 0;
-            return self.say_alive(now, false);
+            return self.publish_record(now, false);
         }
         let change = self.view.record(now, record, &statement.signature);
         if change == Change::Nothing {
@@ -68,9 +69,9 @@
         self.addresses.insert(record.at, record.subject);
         match change {
             Change::Joined => {
-                self.probes.insert(record.subject, &mut self.chance);
+                self.probes.insert(record.subject, &mut self.rng);
                 events.push(Event::StateChanged(record.subject, MemberState::Alive));
-                self.outbox.put(statement, Rank::News, now);
+                self.outbox.put(statement, Rank::Normal, now);
             }
             Change::Refuted => {
                 events.push(Event::StateChanged(record.subject, MemberState::Alive));
@@ -78,49 +79,52 @@
             }
             Change::Left => {
                 events.push(Event::StateChanged(record.subject, MemberState::Left));
-                self.outbox.put(statement, Rank::News, now);
+                self.outbox.put(statement, Rank::Normal, now);
             }
-            _ => self.outbox.put(statement, Rank::News, now),
+            _ => self.outbox.put(statement, Rank::Normal, now),
         }
     }
 
-    /// Pings a seed drawn by chance.
-    pub(super) fn try_seed(&mut self, now: Duration, out: &mut impl Transport) {
-        let others: Vec<SocketAddrV4> = self.seeds.iter().copied().filter(|seed| *seed != self.at).collect();
+    /// Pings a random seed.
+    pub(super) fn contact_seed(&mut self, now: Duration, out: &mut impl Transport) {
+        let others: Vec<SocketAddrV4> =
+            self.seeds.iter().copied().filter(|seed| *seed != self.address).collect();
         if others.is_empty() {
             return;
         }
-        let seed = others[(self.chance.share() * others.len() as f64) as usize % others.len()];
+        let seed = others[(self.rng.share() * others.len() as f64) as usize % others.len()];
         self.ping_at(now, ANYONE, seed, out);
     }
 
-    /// Tries a member that seems dead, or else a seed: after a split each side holds the other for dead.
-    pub(super) fn try_gone(&mut self, now: Duration, out: &mut impl Transport) {
-        let gone = |(member, known): (Member, &Known)| (known.state == MemberState::Dead).then_some(member);
-        let mut gone: Vec<Member> = self.view.members().filter_map(gone).collect();
-        shuffle(&mut gone, &mut self.chance);
-        match gone.first().and_then(|member| Some((*member, self.view.get(*member)?.record.at))) {
+    /// Contacts a dead member, or else a seed: after a partition each side takes the other for dead.
+    pub(super) fn contact_dead_member(&mut self, now: Duration, out: &mut impl Transport) {
+        let dead =
+            |(member, known): (Member, &MemberEntry)| (known.state == MemberState::Dead).then_some(member);
+        let mut dead: Vec<Member> = self.view.members().filter_map(dead).collect();
+        shuffle(&mut dead, &mut self.rng);
+        match dead.first().and_then(|member| Some((*member, self.view.get(*member)?.record.at))) {
             Some((member, at)) => self.ping_at(now, member, at, out),
-            None => self.try_unheard_seed(now, out),
+            None => self.contact_absent_seed(now, out),
         }
     }
 
     /// Pings the first seed at whose address no known member takes part.
-    fn try_unheard_seed(&mut self, now: Duration, out: &mut impl Transport) {
+    fn contact_absent_seed(&mut self, now: Duration, out: &mut impl Transport) {
         let known = |seed: &SocketAddrV4| {
             self.addresses.get(seed).is_some_and(|member| takes_part(self.view.get(*member)))
         };
-        let unheard = self.seeds.iter().copied().find(|seed| *seed != self.at && !known(seed));
+        let unheard = self.seeds.iter().copied().find(|seed| *seed != self.address && !known(seed));
         if let Some(seed) = unheard {
             self.ping_at(now, ANYONE, seed, out);
         }
     }
 
-    /// A member that was born with an old life learns from its own record that it had a later one.
-    pub(super) fn tell_stale(
+    /// Sends a member that was started with an outdated process incarnation its own record, so that it learns
+    /// of the later one.
+    pub(super) fn send_stale_notice(
         &mut self, now: Duration, member: Member, at: SocketAddrV4, out: &mut impl Transport,
     ) {
-        if !self.told_stale.take(now, 1.0) {
+        if !self.stale_notices.take(now, 1.0) {
             return;
         }
         let mut body = Vec::new();
--- a/crates/gossip/src/member/sending.rs
+++ b/crates/gossip/src/member/sending.rs
@@ -1,4 +1,4 @@
-//! Datagrams on their way out: to whom, within the ceiling, with as many statements as fit.
+//! Sending of datagrams: choice of recipients, byte budget, and added statements.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -7,48 +7,50 @@
 use crate::envelope::{self, Header, ANYONE, MAX_DATAGRAM_BYTES, PING};
 use crate::probe::shuffle;
 use crate::statement::{Keyring, SIGNATURE_BYTES};
-use crate::view::{Known, MemberState};
+use crate::view::{MemberEntry, MemberState};
 use crate::Member;
 
 impl<H: Keyring> Gossip<H> {
-    /// Some other members that take part, drawn by chance.
-    pub(super) fn some_members(&mut self, count: usize, but: Option<Member>) -> Vec<Member> {
-        let part = |(member, known): (Member, &Known)| {
-            let ours = member != self.me && Some(member) != but && known.state == MemberState::Alive;
-            ours.then_some(member)
+    /// Up to `count` random members that are alive, except this one and `but`.
+    pub(super) fn random_members(&mut self, count: usize, excluded: Option<Member>) -> Vec<Member> {
+        let candidate = |(member, known): (Member, &MemberEntry)| {
+            let is_candidate =
+                member != self.local_id && Some(member) != excluded && known.state == MemberState::Alive;
+            is_candidate.then_some(member)
         };
-        // Each of all is among the chosen with the same chance (reservoir sampling).
+        // Each member is chosen with the same probability (reservoir sampling).
         let mut chosen = Vec::with_capacity(count);
-        for (seen, member) in self.view.members().filter_map(part).enumerate() {
+        for (seen, member) in self.view.members().filter_map(candidate).enumerate() {
             if chosen.len() < count {
                 chosen.push(member);
             } else {
-                let at = (self.chance.share() * (seen + 1) as f64) as usize;
-                chosen.get_mut(at).into_iter().for_each(|place| *place = member);
+                let index = (self.rng.share() * (seen + 1) as f64) as usize;
+                chosen.get_mut(index).into_iter().for_each(|slot| *slot = member);
             }
         }
-        shuffle(&mut chosen, &mut self.chance);
+        shuffle(&mut chosen, &mut self.rng);
         chosen
     }
 
-    /// Sends a datagram to a member at the address of its record. Tells whether it went.
+    /// Sends a datagram to a member at the address in its record. Returns whether it was sent.
     pub(super) fn send(
-        &mut self, now: Duration, kind: u8, to: Member, body: &[u8], statements: bool,
+        &mut self, now: Duration, kind: u8, to: Member, body: &[u8], with_statements: bool,
         out: &mut impl Transport,
     ) -> bool {
         let Some(at) = self.view.get(to).map(|known| known.record.at) else { return false };
-        self.send_at(now, kind, (to, at), body, statements, out)
+        self.send_at(now, kind, (to, at), body, with_statements, out)
     }
 
-    /// Sends a datagram to a member at an address. Tells whether it went.
+    /// Sends a datagram to a member at an address. Returns whether it was sent.
     pub(super) fn send_at(
-        &mut self, now: Duration, kind: u8, to: (Member, SocketAddrV4), body: &[u8], statements: bool,
+        &mut self, now: Duration, kind: u8, to: (Member, SocketAddrV4), body: &[u8], with_statements: bool,
         out: &mut impl Transport,
     ) -> bool {
-        let header = Header { kind, from: self.me, to: to.0, life: self.life(), counter: self.counter + 1 };
+        let header =
+            Header { kind, from: self.local_id, to: to.0, life: self.life(), counter: self.counter + 1 };
         let mut bytes = envelope::begin(&header);
         bytes.extend(body);
-        if statements {
+        if with_statements {
             self.add_statements(now, to.0, kind, &mut bytes);
         }
         if !self.budget.take(now, bytes.len() + SIGNATURE_BYTES) {
@@ -64,13 +66,17 @@
         true
     }
 
-    /// First what the receiver itself has to know, then what is most urgent, as much as fits.
+    /// Adds statements as far as there is room: first those that the recipient itself must receive, then the
+    /// most urgent ones.
     fn add_statements(&mut self, now: Duration, to: Member, kind: u8, bytes: &mut Vec<u8>) {
         let room = |bytes: &Vec<u8>| MAX_DATAGRAM_BYTES - SIGNATURE_BYTES - bytes.len();
         let accused = self.view.get(to).is_some_and(|known| known.state != MemberState::Alive);
-        let own = (to == ANYONE || kind == PING && accused).then(|| self.view.statements(self.me));
-        let theirs = accused.then(|| self.view.statements(to));
-        for statement in theirs.into_iter().flatten().rev().chain(own.into_iter().flatten()) {
+        let own_statements =
+            (to == ANYONE || kind == PING && accused).then(|| self.view.statements(self.local_id));
+        let recipient_statements = accused.then(|| self.view.statements(to));
+        for statement in
+            recipient_statements.into_iter().flatten().rev().chain(own_statements.into_iter().flatten())
+        {
             if statement.size() <= room(bytes) {
                 statement.write(Duration::ZERO, bytes);
             }
--- a/crates/gossip/src/outbox.rs
+++ b/crates/gossip/src/outbox.rs
@@ -1,51 +1,53 @@
-//! Statements that wait to be passed on, in a bounded queue: refutations before news, and of each what was sent least
-//! first. Repeats, which are answers to a comparison, do not wait here: they go when the ceiling spares them, or never.
+//! Bounded queue of statements to be sent to other members: refutations before other statements, and within
+//! each rank the least sent first. Answers to a comparison are not queued: they are sent if the byte budget
+//! allows, or dropped.
 
 use std::time::Duration;
 
 use crate::statement::{Claim, Statement};
 use crate::Member;
 
-/// How urgent a statement is; the first goes first.
+/// The urgency of a statement; the first variant goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// It clears a member that others hold for suspect or dead.
+    /// It clears a member that others consider suspect or dead.
     Refutation,
-    News,
+    Normal,
 }
 
-struct Waiting {
+struct QueuedStatement {
     statement: Statement,
     rank: Rank,
-    sent: u32,
-    /// When what it says was seen, for its age.
-    seen: Duration,
+    times_sent: u32,
+    /// When the content was observed, for the age of a bulletin.
+    observed_at: Duration,
 }
 
-/// Statements that wait at most; of more, the one that was sent most and matters least goes.
-const MAX_WAITING: usize = 512;
-/// News are passed on so often for every factor of ten in the number of members: few miss them, and comparing mends
-/// that (SWIM section 4.1 uses a multiple of the logarithm).
-const NEWS_TIMES: f64 = 2.0;
-/// Refutations twice as often: one that is missed ends in a false death.
-const REFUTATION_TIMES: f64 = 4.0;
+/// Maximum number of queued statements; beyond it the least urgent and most often sent one is dropped.
+const MAX_QUEUED: usize = 512;
+/// How often a statement is sent, for every factor of ten in the number of members. Few members miss it, and
+/// comparisons correct that (SWIM section 4.1 uses a multiple of the logarithm).
+const NORMAL_SENDS_PER_DECADE: f64 = 2.0;
+/// Refutations are sent twice as often: a member that misses one takes a live member for dead.
+const REFUTATION_SENDS_PER_DECADE: f64 = 4.0;
 
 impl Rank {
-    fn times(self) -> f64 {
+    fn sends_per_decade(self) -> f64 {
         match self {
-            Rank::Refutation => REFUTATION_TIMES,
-            Rank::News => NEWS_TIMES,
+            Rank::Refutation => REFUTATION_SENDS_PER_DECADE,
+            Rank::Normal => NORMAL_SENDS_PER_DECADE,
         }
     }
 }
 
+/// The queue.
 #[derive(Default)]
 pub struct Outbox {
-    waiting: Vec<Waiting>,
+    queued: Vec<QueuedStatement>,
 }
 
-/// What a statement is about: a later one takes the place of the one before.
-fn about(claim: &Claim) -> (u8, Member, Member) {
+/// Identifies what a statement is about; a later statement replaces an earlier one with the same identity.
+fn subject_of(claim: &Claim) -> (u8, Member, Member) {
     match claim {
         Claim::Record(record) => (0, record.subject, 0),
         Claim::Accusation(accusation) => (1, accusation.subject, accusation.author),
@@ -54,54 +56,61 @@
 }
 
 impl Outbox {
-    pub fn put(&mut self, statement: Statement, rank: Rank, seen: Duration) {
-        let about_it = about(&statement.claim);
+    /// Queues a statement, replacing an earlier one about the same thing.
+    pub fn put(&mut self, statement: Statement, rank: Rank, observed_at: Duration) {
+        let subject = subject_of(&statement.claim);
         if let Claim::Record(record) = &statement.claim {
-            // What was said against an earlier incarnation is answered.
-            self.waiting.retain(|w| {
-                !matches!(&w.statement.claim, Claim::Accusation(a)
+            // The record refutes accusations against earlier incarnations.
+            self.queued.retain(|queued| {
+                !matches!(&queued.statement.claim, Claim::Accusation(a)
                 if a.subject == record.subject && a.incarnation < record.incarnation)
             });
         }
-        let same = |w: &Waiting| about(&w.statement.claim) == about_it;
-        if self.waiting.iter().any(|w| same(w) && w.statement == statement && w.rank <= rank) {
+        let is_same_subject = |queued: &QueuedStatement| subject_of(&queued.statement.claim) == subject;
+        if self
+            .queued
+            .iter()
+            .any(|queued| is_same_subject(queued) && queued.statement == statement && queued.rank <= rank)
+        {
             return;
         }
-        self.waiting.retain(|w| !same(w));
-        if self.waiting.len() >= MAX_WAITING {
-            let last = (0..MAX_WAITING).max_by_key(|at| (self.waiting[*at].rank, self.waiting[*at].sent));
-            last.map(|at| self.waiting.swap_remove(at));
+        self.queued.retain(|queued| !is_same_subject(queued));
+        if self.queued.len() >= MAX_QUEUED {
+            let evicted = (0..MAX_QUEUED)
+                .max_by_key(|index| (self.queued[*index].rank, self.queued[*index].times_sent));
+            evicted.map(|index| self.queued.swap_remove(index));
         }
-        self.waiting.push(Waiting { statement, rank, sent: 0, seen });
+        self.queued.push(QueuedStatement { statement, rank, times_sent: 0, observed_at });
     }
 
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Drops all that these members said: their keys hold no more.
+    /// Drops all statements of a member whose key is no longer valid.
     pub fn forget(&mut self, author: Member) {
-        self.waiting.retain(|w| w.statement.claim.author() != author);
+        self.queued.retain(|queued| queued.statement.claim.author() != author);
     }
 
-    /// Fills a datagram with what is most urgent and was sent least, as far as there is room.
+    /// Appends the most urgent and least sent statements to a datagram, as far as `room` allows.
     pub fn fill(&mut self, now: Duration, members: usize, room: usize, out: &mut Vec<u8>) {
-        let tens = (members as f64 + 1.0).log10().max(1.0);
+        let decades = (members as f64 + 1.0).log10().max(1.0);
         let end = out.len() + room;
-        let mut put: Vec<usize> = Vec::new();
+        let mut added: Vec<usize> = Vec::new();
         while end.saturating_sub(out.len()) >= MIN_STATEMENT_BYTES {
             let left = end - out.len();
-            let fits = |at: &usize| self.waiting[*at].statement.size() <= left && !put.contains(at);
-            let first = |at: &usize| (self.waiting[*at].rank, self.waiting[*at].sent);
-            let Some(at) = (0..self.waiting.len()).filter(fits).min_by_key(first) else { break };
-            let waiting = &mut self.waiting[at];
-            waiting.statement.write(now.saturating_sub(waiting.seen), out);
-            waiting.sent += 1;
-            put.push(at);
+            let fits = |index: &usize| self.queued[*index].statement.size() <= left && !added.contains(index);
+            let urgency = |index: &usize| (self.queued[*index].rank, self.queued[*index].times_sent);
+            let Some(index) = (0..self.queued.len()).filter(fits).min_by_key(urgency) else { break };
+            let queued = &mut self.queued[index];
+            queued.statement.write(now.saturating_sub(queued.observed_at), out);
+            queued.times_sent += 1;
+            added.push(index);
         }
-        self.waiting.retain(|waiting| f64::from(waiting.sent) < waiting.rank.times() * tens);
+        self.queued.retain(|queued| f64::from(queued.times_sent) < queued.rank.sends_per_decade() * decades);
     }
 }
 
-/// Bytes of the shortest statement.
+/// Length of the shortest statement.
 const MIN_STATEMENT_BYTES: usize = 75;
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,4 +1,5 @@
-//! Whom to probe, and what has come of it (SWIM section 4.3: a round-robin in an order drawn anew each time).
+//! The order of probes and the state of the current ones (SWIM section 4.3: round-robin in an order shuffled
+//! for each round).
 
 use std::time::Duration;
 
@@ -6,53 +7,55 @@
 
 use crate::Member;
 
-/// A probe that is out.
+/// A probe that is in progress.
 #[derive(Clone, Debug)]
 pub struct Probe {
     pub target: Member,
     pub number: u16,
-    /// When others are asked to probe it too, and when it is over.
-    pub ask_at: Duration,
-    pub over_at: Duration,
-    /// Helpers that were asked, and those that said that they had no answer either.
+    /// When helpers are asked to probe the member too, and when the probe ends.
+    pub ask_helpers_at: Duration,
+    pub ends_at: Duration,
+    /// Helpers that were asked, and those that reported that they received no answer either.
     pub helpers: Vec<Member>,
     pub nacks: Vec<Member>,
-    pub asked: bool,
+    pub helpers_asked: bool,
     pub answered: bool,
 }
 
-/// A probe on another's behalf (SWIM's ping-req).
+/// A probe on behalf of another member (SWIM's ping-req).
 #[derive(Clone, Debug)]
 pub struct IndirectProbe {
     pub number: u16,
     pub target: Member,
-    pub asker: Member,
-    pub asker_number: u16,
+    pub requester: Member,
+    pub requester_number: u16,
     pub nack_at: Duration,
 }
 
-/// Indirect probes at a time: more than honest members ask for while half of them are dead; of more, nothing is done.
+/// Maximum number of concurrent indirect probes: more than correct members request while half of them are
+/// dead. Further requests are ignored.
 const MAX_INDIRECT_PROBES: usize = 64;
 
-/// The order of probes.
+/// The order of probes, the current probe, and indirect probes for others.
 #[derive(Default)]
 pub struct Probes {
     order: Vec<Member>,
-    pub out: Option<Probe>,
+    pub current: Option<Probe>,
     indirect: Vec<IndirectProbe>,
     number: u16,
 }
 
 impl Probes {
+    /// A new probe number.
     pub fn next_number(&mut self) -> u16 {
         self.number = self.number.wrapping_add(1);
         self.number
     }
 
-    /// The next one in turn of those that take part.
+    /// The next member in the order that `takes_part` accepts; `members_of_next_round` returns the members of the next round.
     pub fn next_target(
-        &mut self, mut takes_part: impl FnMut(Member) -> bool, all: impl Fn() -> Vec<Member>,
-        chance: &mut Chance,
+        &mut self, mut takes_part: impl FnMut(Member) -> bool,
+        members_of_next_round: impl Fn() -> Vec<Member>, rng: &mut Chance,
     ) -> Option<Member> {
         for _ in 0..2 {
             while let Some(member) = self.order.pop() {
@@ -60,56 +63,61 @@
                     return Some(member);
                 }
             }
-            self.order = all();
-            shuffle(&mut self.order, chance);
+            self.order = members_of_next_round();
+            shuffle(&mut self.order, rng);
         }
         None
     }
 
-    /// Puts a member that came new at a random place of this turn.
-    pub fn insert(&mut self, member: Member, chance: &mut Chance) {
+    /// Inserts a new member at a random position of the current round.
+    pub fn insert(&mut self, member: Member, rng: &mut Chance) {
         if !self.order.contains(&member) {
-            let at = (chance.share() * (self.order.len() + 1) as f64) as usize;
-            self.order.insert(at.min(self.order.len()), member);
+            let position = (rng.share() * (self.order.len() + 1) as f64) as usize;
+            self.order.insert(position.min(self.order.len()), member);
         }
     }
 
-    /// Takes one on, if there is room. Tells whether it did.
+    /// Accepts an indirect probe if there is room. Returns whether it was accepted.
     pub fn add_indirect(&mut self, probe: IndirectProbe) -> bool {
-        let room = self.indirect.len() < MAX_INDIRECT_PROBES;
-        if room {
+        let has_room = self.indirect.len() < MAX_INDIRECT_PROBES;
+        if has_room {
             self.indirect.push(probe);
         }
-        room
+        has_room
     }
 
-    /// The indirect probe that an answer belongs to, which is then over.
+    /// Removes and returns the indirect probe that an answer belongs to.
     pub fn take_answered_indirect(&mut self, target: Member, number: u16) -> Option<IndirectProbe> {
-        let at = self.indirect.iter().position(|probe| probe.target == target && probe.number == number)?;
-        Some(self.indirect.swap_remove(at))
+        let index =
+            self.indirect.iter().position(|probe| probe.target == target && probe.number == number)?;
+        Some(self.indirect.swap_remove(index))
     }
 
-    /// Indirect probes whose time is over without an answer.
+    /// Removes and returns the indirect probes that have expired without an answer.
     pub fn take_expired_indirect(&mut self, now: Duration) -> Vec<IndirectProbe> {
-        let (over, rest) =
+        let (expired, pending) =
             std::mem::take(&mut self.indirect).into_iter().partition(|probe| probe.nack_at <= now);
-        self.indirect = rest;
-        over
+        self.indirect = pending;
+        expired
     }
 
+    /// When the next step of a probe is due.
     pub fn next_due(&self) -> Option<Duration> {
-        let own =
-            self.out
-                .as_ref()
-                .map(|probe| if probe.asked || probe.answered { probe.over_at } else { probe.ask_at });
+        let own = self.current.as_ref().map(|probe| {
+            if probe.helpers_asked || probe.answered {
+                probe.ends_at
+            } else {
+                probe.ask_helpers_at
+            }
+        });
         self.indirect.iter().map(|indirect| indirect.nack_at).chain(own).min()
     }
 }
 
-/// In an order drawn by chance (Fisher and Yates).
-pub fn shuffle(members: &mut [Member], chance: &mut Chance) {
+/// Shuffles the members (Fisher and Yates).
+pub fn shuffle(members: &mut [Member], rng: &mut Chance) {
     for last in (1..members.len()).rev() {
-        let other = (chance.share() * (last + 1) as f64) as usize;
+        let other = (rng.share() * (last + 1) as f64) as usize;
         members.swap(last, other.min(last));
     }
 }
--- a/crates/gossip/src/statement.rs
+++ b/crates/gossip/src/statement.rs
@@ -1,21 +1,22 @@
-//! Statements: what a member says and signs, and others pass on as it is.
+//! Statements: what a member signs about itself, other members or streamers, and others forward unchanged.
 //!
 //! | kind | bytes | fields before the signature |
 //! |---|---|---|
 //! | 1 alive, 2 left | 79 | kind, subject (2), incarnation (6), IPv4 address (4), port (2) |
 //! | 3 accusation | 75 | kind, subject (2), incarnation (6), author (2) |
-//! | 4 bulletin | 77 + 8 each | kind, author (2), life (4), number (4), items (1), then 8 bytes each; the age (1) comes after the signature and is not signed |
+//! | 4 bulletin | 77 + 8 each | kind, author (2), process incarnation (4), number (4), items (1), then 8 bytes each; the age (1) follows the signature and is not signed |
 //!
-//! Numbers are big-endian. The signature covers all bytes before it. The first byte keeps a statement from being
-//! taken for a datagram, whose first byte is `b`.
+//! Numbers are big-endian. The signature covers all bytes before it. The first byte distinguishes a statement
+//! from a datagram, whose first byte is `b`.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
 use crate::Member;
 
-/// Bytes of an Ed25519 signature (RFC 8032 section 5.1.6).
+/// Length of an Ed25519 signature in bytes (RFC 8032 section 5.1.6).
 pub const SIGNATURE_BYTES: usize = 64;
+/// An Ed25519 signature.
 pub type Signature = [u8; SIGNATURE_BYTES];
 
 const ALIVE: u8 = 1;
@@ -25,18 +26,18 @@
 const RECORD_BYTES: usize = 15;
 const ACCUSATION_BYTES: usize = 11;
 const BULLETIN_BYTES: usize = 12;
-/// Bytes of one item of a bulletin: address (4), port (2), kind (1), value (1).
+/// Length of a bulletin's item in bytes: address (4), port (2), kind (1), value (1).
 pub const ITEM_BYTES: usize = 8;
-/// Items of a bulletin at most: as many as fit into a datagram of their own.
+/// Maximum number of items of a bulletin: as many as fit into one datagram.
 pub const MAX_ITEMS: usize = 11;
-/// What an age of one stands for; ages stop growing at 255 of it.
+/// Unit of the age of a bulletin; the largest encoded age is 255 units.
 pub const AGE_STEP: Duration = Duration::from_millis(200);
 
-/// The keys of all members: signs as this member, and checks what others signed.
+/// The keys of the ring: signs as the local member, and verifies the signatures of all members.
 pub trait Keyring {
-    /// Signs as this member.
+    /// Signs as the local member.
     fn sign(&self, bytes: &[u8]) -> Signature;
-    /// Whether the member signed these bytes, with a key that holds now.
+    /// Whether the member signed these bytes with a key that is valid now.
     fn signed(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool;
     /// Whether the member has a key.
     fn knows(&self, member: Member) -> bool;
@@ -44,17 +45,18 @@
     fn ring(&self) -> &[Member];
 }
 
-/// What a member says of itself: that it is alive at an address, or has left.
+/// A member's record of itself: that it is alive at an address, or has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Record {
     pub subject: Member,
-    /// The life in the upper 32 of 48 bits, refutations since its start in the lower 16.
+    /// The process incarnation in the upper 32 of 48 bits, and the number of refutations since its start in
+    /// the lower 16.
     pub incarnation: u64,
     pub left: bool,
     pub at: SocketAddrV4,
 }
 
-/// What a member says of another that did not answer it.
+/// A member's statement that another one did not answer its probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Accusation {
     pub subject: Member,
@@ -62,7 +64,7 @@
     pub author: Member,
 }
 
-/// What a member says of streamers: a later one takes the place of all before it.
+/// A member's report on streamers; a later one replaces all earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bulletin {
     pub author: Member,
@@ -71,7 +73,7 @@
     pub items: Vec<[u8; ITEM_BYTES]>,
 }
 
-/// What a statement says, and its signature covers.
+/// The signed content of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
     Record(Record),
@@ -79,25 +81,28 @@
     Bulletin(Bulletin),
 }
 
-/// A statement with its signature.
+/// A claim with its author's signature.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     pub claim: Claim,
     pub signature: Signature,
 }
 
+/// The incarnation of a process after a number of refutations.
 pub fn incarnation(life: u32, refutations: u16) -> u64 {
     u64::from(life) << 16 | u64::from(refutations)
 }
 
-/// The highest incarnation that a statement holds.
+/// The highest incarnation that can be encoded.
 pub const LAST_INCARNATION: u64 = (1 << 48) - 1;
 
+/// The process incarnation within an incarnation.
 pub fn life_of(incarnation: u64) -> u32 {
     (incarnation >> 16) as u32
 }
 
 impl Claim {
+    /// The member that signs the claim.
     pub fn author(&self) -> Member {
         match self {
             Claim::Record(record) => record.subject,
@@ -110,31 +115,32 @@
     pub fn bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(BULLETIN_BYTES + MAX_ITEMS * ITEM_BYTES);
         match self {
-            Claim::Record(r) => {
-                bytes.push(if r.left { LEFT } else { ALIVE });
-                bytes.extend(r.subject.to_be_bytes());
-                bytes.extend(&r.incarnation.to_be_bytes()[2..]);
-                bytes.extend(r.at.ip().octets());
-                bytes.extend(r.at.port().to_be_bytes());
+            Claim::Record(record) => {
+                bytes.push(if record.left { LEFT } else { ALIVE });
+                bytes.extend(record.subject.to_be_bytes());
+                bytes.extend(&record.incarnation.to_be_bytes()[2..]);
+                bytes.extend(record.at.ip().octets());
+                bytes.extend(record.at.port().to_be_bytes());
             }
-            Claim::Accusation(a) => {
+            Claim::Accusation(accusation) => {
                 bytes.push(ACCUSED);
-                bytes.extend(a.subject.to_be_bytes());
-                bytes.extend(&a.incarnation.to_be_bytes()[2..]);
-                bytes.extend(a.author.to_be_bytes());
+                bytes.extend(accusation.subject.to_be_bytes());
+                bytes.extend(&accusation.incarnation.to_be_bytes()[2..]);
+                bytes.extend(accusation.author.to_be_bytes());
             }
-            Claim::Bulletin(b) => {
+            Claim::Bulletin(bulletin) => {
                 bytes.push(BULLETIN);
-                bytes.extend(b.author.to_be_bytes());
-                bytes.extend(b.life.to_be_bytes());
-                bytes.extend(b.number.to_be_bytes());
-                bytes.push(b.items.len() as u8);
-                b.items.iter().for_each(|item| bytes.extend(item));
+                bytes.extend(bulletin.author.to_be_bytes());
+                bytes.extend(bulletin.life.to_be_bytes());
+                bytes.extend(bulletin.number.to_be_bytes());
+                bytes.push(bulletin.items.len() as u8);
+                bulletin.items.iter().for_each(|item| bytes.extend(item));
             }
         }
         bytes
     }
 
+    /// Signs the claim as the local member.
     pub fn sign(self, keyring: &impl Keyring) -> Statement {
         let signature = keyring.sign(&self.bytes());
         Statement { claim: self, signature }
@@ -142,21 +148,22 @@
 }
 
 impl Statement {
-    /// Bytes on the wire.
+    /// Encoded length in bytes.
     pub fn size(&self) -> usize {
         SIGNATURE_BYTES
             + match &self.claim {
                 Claim::Record(_) => RECORD_BYTES,
                 Claim::Accusation(_) => ACCUSATION_BYTES,
-                Claim::Bulletin(b) => BULLETIN_BYTES + b.items.len() * ITEM_BYTES + 1,
+                Claim::Bulletin(bulletin) => BULLETIN_BYTES + bulletin.items.len() * ITEM_BYTES + 1,
             }
     }
 
+    /// Whether the signature is the author's.
     pub fn is_signed(&self, keyring: &impl Keyring) -> bool {
         keyring.signed(self.claim.author(), &self.claim.bytes(), &self.signature)
     }
 
-    /// Appends it to a datagram. A bulletin goes with its age.
+    /// Appends the encoded statement to a datagram; a bulletin is followed by its age.
     pub fn write(&self, age: Duration, out: &mut Vec<u8>) {
         out.extend(self.claim.bytes());
         out.extend(self.signature);
@@ -165,7 +172,8 @@
         }
     }
 
-    /// Reads one at the front: it, its age, and the bytes that it takes. Nothing where there is none.
+    /// Decodes a statement at the front of `bytes`. Returns it with its age and its length, or `None` if
+    /// there is none.
     pub fn read(bytes: &[u8]) -> Option<(Self, Duration, usize)> {
         let claim = read_claim(bytes)?;
         let signed = claim.bytes().len();
@@ -184,28 +192,32 @@
 fn read_claim(bytes: &[u8]) -> Option<Claim> {
     match *bytes.first()? {
         kind @ (ALIVE | LEFT) => {
-            let b: &[u8; RECORD_BYTES] = bytes.get(..RECORD_BYTES)?.try_into().ok()?;
-            let at = SocketAddrV4::new(Ipv4Addr::new(b[9], b[10], b[11], b[12]), two(&b[13..15]));
-            let (subject, incarnation) = (two(&b[1..3]), six(&b[3..9]));
+            let fixed: &[u8; RECORD_BYTES] = bytes.get(..RECORD_BYTES)?.try_into().ok()?;
+            let at = SocketAddrV4::new(
+                Ipv4Addr::new(fixed[9], fixed[10], fixed[11], fixed[12]),
+                be_u16(&fixed[13..15]),
+            );
+            let (subject, incarnation) = (be_u16(&fixed[1..3]), be_u48(&fixed[3..9]));
             Some(Claim::Record(Record { subject, incarnation, left: kind == LEFT, at }))
         }
         ACCUSED => {
-            let b: &[u8; ACCUSATION_BYTES] = bytes.get(..ACCUSATION_BYTES)?.try_into().ok()?;
-            let (subject, incarnation, author) = (two(&b[1..3]), six(&b[3..9]), two(&b[9..11]));
+            let fixed: &[u8; ACCUSATION_BYTES] = bytes.get(..ACCUSATION_BYTES)?.try_into().ok()?;
+            let (subject, incarnation, author) =
+                (be_u16(&fixed[1..3]), be_u48(&fixed[3..9]), be_u16(&fixed[9..11]));
             Some(Claim::Accusation(Accusation { subject, incarnation, author }))
         }
         BULLETIN => {
-            let b: &[u8; BULLETIN_BYTES] = bytes.get(..BULLETIN_BYTES)?.try_into().ok()?;
-            let count = usize::from(b[11]);
+            let fixed: &[u8; BULLETIN_BYTES] = bytes.get(..BULLETIN_BYTES)?.try_into().ok()?;
+            let count = usize::from(fixed[11]);
             if count > MAX_ITEMS {
                 return None;
             }
             let items = bytes.get(BULLETIN_BYTES..BULLETIN_BYTES + count * ITEM_BYTES)?;
             let items = items.chunks_exact(ITEM_BYTES).filter_map(|item| item.try_into().ok()).collect();
             Some(Claim::Bulletin(Bulletin {
-                author: two(&b[1..3]),
-                life: four(&b[3..7]),
-                number: four(&b[7..11]),
+                author: be_u16(&fixed[1..3]),
+                life: be_u32(&fixed[3..7]),
+                number: be_u32(&fixed[7..11]),
                 items,
             }))
         }
@@ -213,14 +225,15 @@
     }
 }
 
-fn two(bytes: &[u8]) -> u16 {
+fn be_u16(bytes: &[u8]) -> u16 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u16::from(*byte))
 }
 
-pub(crate) fn four(bytes: &[u8]) -> u32 {
+/// A big-endian number of four bytes.
+pub(crate) fn be_u32(bytes: &[u8]) -> u32 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u32::from(*byte))
 }
 
-fn six(bytes: &[u8]) -> u64 {
+fn be_u48(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
--- a/crates/gossip/src/window.rs
+++ b/crates/gossip/src/window.rs
@@ -1,13 +1,13 @@
-//! The window against replay, as RFC 4303 section 3.4.3 has it.
+//! Anti-replay window, as in RFC 4303 section 3.4.3.
 
-/// Counters under the highest that may still come: more than two seconds of a member's datagrams at its ceiling, so
-/// that what is late or reordered by less is taken, and what comes twice never.
-const WIDTH: u32 = 64;
+/// Number of counters below the highest that are still accepted: more than two seconds of a member's
+/// datagrams at its byte limit. Datagrams delayed or reordered by less are accepted, duplicates never.
+const WINDOW_SIZE: u32 = 64;
 
-/// What has come of one member.
+/// The counters received from one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Window {
-    /// The member's life: it grows with each start.
+    /// The member's process incarnation, which grows with each start.
     life: u32,
     highest: u32,
     /// Bit n stands for the counter `highest - n`.
@@ -15,33 +15,34 @@
 }
 
 impl Window {
+    /// The process incarnation that the counters belong to.
     pub fn life(&self) -> u32 {
         self.life
     }
 
-    /// Whether a message may still be taken: it was not yet, and is not too old.
+    /// Whether a datagram with this counter may be accepted: it is neither a duplicate nor too old.
     pub fn accepts(&self, life: u32, counter: u32) -> bool {
         if life != self.life {
             return life > self.life;
         }
         match self.highest.checked_sub(counter) {
             None => true,
-            Some(back) => back < WIDTH && self.seen & (1 << back) == 0,
+            Some(distance) => distance < WINDOW_SIZE && self.seen & (1 << distance) == 0,
         }
     }
 
-    /// Notes one that was taken.
+    /// Records an accepted counter.
     pub fn record(&mut self, life: u32, counter: u32) {
         if life > self.life {
             *self = Self { life, highest: counter, seen: 1 };
             return;
         }
-        if let Some(back) = self.highest.checked_sub(counter) {
-            self.seen |= 1u64.checked_shl(back).unwrap_or(0);
+        if let Some(distance) = self.highest.checked_sub(counter) {
+            self.seen |= 1u64.checked_shl(distance).unwrap_or(0);
             return;
         }
-        let on = counter - self.highest;
-        self.seen = self.seen.checked_shl(on).unwrap_or(0) | 1;
+        let advance = counter - self.highest;
+        self.seen = self.seen.checked_shl(advance).unwrap_or(0) | 1;
         self.highest = counter;
     }
 }
--- a/crates/revisions/src/certify.rs
+++ b/crates/revisions/src/certify.rs
@@ -1,300 +1,324 @@
-//! The keepers' part and the proposers': how a revision is certified, and when the word to act on it is given.
+//! The proposer's and the acceptor's message handling: how a revision becomes certified, and when its
+//! activation is granted.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::keeper::Reply;
+use crate::acceptor::Reply;
 use crate::member::{Given, Revisions};
-use crate::propose::{Proposal, AGAIN};
+use crate::proposal::{Proposal, RESEND_INTERVAL};
 use crate::word::{Go, Vote, Word};
 use crate::{Ballot, Digest, Hand, Head, Keeper, Member, Number, Refused, Regime, Signed};
 
-/// A keeper proposes what it accepted itself, if it is not certified so long after: its proposer may be gone. Twice
-/// the longest ballot, and a part by chance, so that keepers do not outbid each other.
-const RESCUE: Duration = Duration::from_secs(8);
+/// An acceptor proposes what it accepted itself if it is not certified after this, since its proposer may
+/// have died. It is more than twice the longest ballot; a random addition of up to the same length keeps
+/// acceptors from outbidding each other.
+const TAKEOVER_DELAY: Duration = Duration::from_secs(8);
 
 impl<H: Hand> Revisions<H> {
-    /// Whether a head is an author's, and the next one, before its text is taken in.
+    /// Whether a head is signed by its author and has the next number; checked before its text is received.
     ///
     /// # Errors
-    /// Where it can't become the next one.
+    /// If it can't become the next revision.
     pub fn may_be_next(&self, signed: &Signed) -> Result<(), Refused> {
         let Head { number, before, author, .. } = signed.head;
-        if self.hand.keepers().is_empty() {
+        if self.signer.keepers().is_empty() {
             return Err(Refused::NoKeepers);
         }
-        if !signed.is_signed(&self.hand) {
+        if !signed.is_signed(&self.signer) {
             return Err(Refused::Author(author));
         }
-        let (next, follows) = self.next();
+        let (next, predecessor) = self.next();
         if number != next {
             return Err(Refused::Number(number, next));
         }
-        if before != follows {
+        if before != predecessor {
             return Err(Refused::Before(next - 1));
         }
         Ok(())
     }
 
-    /// An author's revision, pushed here by its operator.
+    /// Takes an author's revision that an operator pushes to this member, and proposes it.
     ///
     /// # Errors
-    /// Where it can't become the next one; nothing has changed then.
+    /// If it can't become the next revision; nothing has changed then.
     pub fn push(
         &mut self, now: Duration, signed: Signed, text: Arc<[u8]>, out: &mut Vec<Given>,
     ) -> Result<(), Refused> {
         self.may_be_next(&signed)?;
         signed.head.check_text(&text)?;
-        (self.terms.check)(&text).map_err(Refused::Text)?;
-        self.keep_text(signed.head.text, text);
-        self.learned.take_head(signed, &self.hand);
-        let fresh = self.proposal.as_ref().is_none_or(|proposal| proposal.wanted != signed);
-        if fresh {
+        (self.config.check)(&text).map_err(Refused::Text)?;
+        self.cache_text(signed.head.text, text);
+        self.learner.add_head(signed, &self.signer);
+        let is_new = self.proposal.as_ref().is_none_or(|proposal| proposal.pushed != signed);
+        if is_new {
             self.propose(now, signed, 1, out);
         }
         Ok(())
     }
 
     fn propose(&mut self, now: Duration, signed: Signed, round: u32, out: &mut Vec<Given>) {
-        self.round = round.max(self.round.saturating_add(1));
-        let ballot = Ballot { round: self.round, by: self.terms.me, life: self.terms.life };
-        let proposal = Proposal::new(signed, ballot, now, &mut self.chance);
+        self.highest_round = round.max(self.highest_round.saturating_add(1));
+        let ballot = Ballot { round: self.highest_round, by: self.config.me, life: self.config.life };
+        let proposal = Proposal::new(signed, ballot, now, &mut self.rng);
         self.proposal = Some(proposal);
-        self.pursue(now, out);
+        self.send_proposal_requests(now, out);
     }
 
-    /// Says again what the proposal's present step is to say.
-    pub(crate) fn pursue(&mut self, now: Duration, out: &mut Vec<Given>) {
-        if self.proposal.as_ref().is_some_and(|proposal| proposal.number() <= self.learned.number()) {
+    /// Sends the requests of the proposal's current phase, or starts a higher ballot when the current one has
+    /// expired.
+    pub(crate) fn send_proposal_requests(&mut self, now: Duration, out: &mut Vec<Given>) {
+        if self.proposal.as_ref().is_some_and(|proposal| proposal.number() <= self.learner.number()) {
             self.proposal = None;
         }
         let Some(proposal) = &mut self.proposal else { return };
-        if now >= proposal.over_at {
+        if now >= proposal.ballot_ends_at {
             let ballot = proposal.ballot;
-            proposal.higher(ballot, now, &mut self.chance);
-            self.round = self.round.max(proposal.ballot.round);
+            proposal.raise_ballot(ballot, now, &mut self.rng);
+            self.highest_round = self.highest_round.max(proposal.ballot.round);
         }
-        proposal.again_at = now + AGAIN;
+        proposal.resend_at = now + RESEND_INTERVAL;
         let (number, ballot, chosen) = (proposal.number(), proposal.ballot, proposal.chosen);
-        let accepted_by = proposal.accepted_by.filter(|by| *by != self.terms.me);
-        let head = chosen.and_then(|digest| self.learned.head(&digest).copied());
-        if let (Some(signed), Some(by)) = (head, accepted_by) {
-            // Who votes for it asks for its text here.
+        let accepted_by = proposal.accepted_by.filter(|member| *member != self.config.me);
+        let head = chosen.and_then(|digest| self.learner.head(&digest).copied());
+        if let (Some(signed), Some(holder)) = (head, accepted_by) {
+            // Acceptors that are to vote for the text fetch it from this member.
             if !self.texts.contains_key(&signed.head.text) {
-                out.push(Given::Fetch(signed, by));
+                out.push(Given::Fetch(signed, holder));
             }
         }
-        // Where its author's key holds no more, a keeper's vote shows that it did.
-        // Under a gate it shows that what the text stands for was in order.
-        let vote = head.filter(|signed| self.gate.is_some() || !signed.is_signed(&self.hand));
-        let vote = vote.and_then(|signed| self.learned.votes_for(&signed.head.digest()).next().copied());
-        for keeper in self.hand.keepers().to_vec() {
+        // If the author's key has been revoked, an acceptor's vote proves that it was valid before. With a
+        // driver gate, a vote proves that the acceptor's driver had verified what the text stands for.
+        let vote = head.filter(|signed| self.gate.is_some() || !signed.is_signed(&self.signer));
+        let vote = vote.and_then(|signed| self.learner.votes_for(&signed.head.digest()).next().copied());
+        for keeper in self.signer.keepers().to_vec() {
             match chosen {
-                None => self.say(now, keeper, Word::Prepare { number, ballot }, out),
+                None => self.send(now, keeper, Word::Prepare { number, ballot }, out),
                 Some(digest) => {
                     if let Some(signed) = head {
-                        vote.into_iter().for_each(|vote| self.say(now, keeper, Word::Vote(vote), out));
-                        self.say(now, keeper, Word::Head(signed), out);
-                        self.say(now, keeper, Word::Accept { number, ballot, digest }, out);
+                        vote.into_iter().for_each(|vote| self.send(now, keeper, Word::Vote(vote), out));
+                        self.send(now, keeper, Word::Head(signed), out);
+                        self.send(now, keeper, Word::Accept { number, ballot, digest }, out);
                     }
                 }
             }
         }
     }
 
-    pub(crate) fn asked_to_promise(
+    /// Handles a proposer's prepare request.
+    pub(crate) fn handle_prepare(
         &mut self, now: Duration, from: Member, number: Number, ballot: Ballot, out: &mut Vec<Given>,
     ) {
-        // A ballot is its maker's alone.
-        let reply =
-            self.keeper.as_mut().filter(|_| ballot.by == from).and_then(|k| k.prepare(number, ballot));
-        if let Some(Reply::Promise { accepted: Some((of, digest)), .. }) = reply {
-            if let Some(signed) = self.learned.head(&digest).copied() {
-                // The vote first: it makes the head count where its author's key holds no more.
-                let vote = Vote::sign(&self.hand, self.terms.me, number, of, digest);
-                self.say(now, from, Word::Vote(vote), out);
-                self.say(now, from, Word::Head(signed), out);
+        // Only its proposer may use a ballot.
+        let reply = self
+            .acceptor
+            .as_mut()
+            .filter(|_| ballot.by == from)
+            .and_then(|acceptor| acceptor.prepare(number, ballot));
+        if let Some(Reply::Promise { accepted: Some((accepted_ballot, digest)), .. }) = reply {
+            if let Some(signed) = self.learner.head(&digest).copied() {
+                // The vote goes first: it makes the head valid for members that regard its author's key as
+                // revoked.
+                let vote = Vote::sign(&self.signer, self.config.me, number, accepted_ballot, digest);
+                self.send(now, from, Word::Vote(vote), out);
+                self.send(now, from, Word::Head(signed), out);
             }
         }
-        self.reply(now, from, reply, out);
+        self.send_reply(now, from, reply, out);
     }
 
-    pub(crate) fn asked_to_accept(
+    /// Handles a proposer's accept request.
+    pub(crate) fn handle_accept(
         &mut self, now: Duration, from: Member, (number, ballot, digest): (Number, Ballot, Digest),
         out: &mut Vec<Given>,
     ) {
-        let Some(signed) = self.learned.head(&digest).copied() else { return };
-        let follows = signed.head.number == number && signed.head.before == self.learned.digest();
-        let over = number <= self.learned.number();
-        if ballot.by != from || self.keeper.is_none() || !(follows || over) {
+        let Some(signed) = self.learner.head(&digest).copied() else { return };
+        let follows = signed.head.number == number && signed.head.before == self.learner.digest();
+        let already_certified = number <= self.learner.number();
+        if ballot.by != from || self.acceptor.is_none() || !(follows || already_certified) {
             return;
         }
-        // A keeper votes for what it holds and could act on: what is certified is never a text that nobody has.
+        // An acceptor votes only for a text that it has and could activate, so that no text is certified that
+        // nobody has.
         match self.texts.get(&signed.head.text).cloned() {
-            None if !over => out.push(Given::Fetch(signed, from)),
-            Some(text) if !over && (self.terms.check)(&text).is_err() => {}
-            Some(_) if !over && !self.lets_vote(&signed) => {}
+            None if !already_certified => out.push(Given::Fetch(signed, from)),
+            Some(text) if !already_certified && (self.config.check)(&text).is_err() => {}
+            Some(_) if !already_certified && !self.may_vote_for(&signed) => {}
             text => {
                 if let Some(text) = text {
                     out.push(Given::StoreText(signed.head.text, text));
                 }
-                let reply = self.keeper.as_mut().and_then(|keeper| keeper.accept(number, ballot, digest));
+                let reply =
+                    self.acceptor.as_mut().and_then(|acceptor| acceptor.accept(number, ballot, digest));
                 if matches!(reply, Some(Reply::Vote { .. })) {
-                    let wait = RESCUE + self.chance.span(RESCUE);
-                    self.next_rescue = Some(now + wait);
+                    let delay = TAKEOVER_DELAY + self.rng.span(TAKEOVER_DELAY);
+                    self.takeover_at = Some(now + delay);
                 }
-                self.reply(now, from, reply, out);
+                self.send_reply(now, from, reply, out);
             }
         }
     }
 
-    fn reply(&mut self, now: Duration, to: Member, reply: Option<Reply>, out: &mut Vec<Given>) {
-        let word = match reply {
+    fn send_reply(&mut self, now: Duration, to: Member, reply: Option<Reply>, out: &mut Vec<Given>) {
+        let message = match reply {
             None => return,
-            Some(Reply::Over { .. }) => return self.give(now, to, out),
+            Some(Reply::Over { .. }) => return self.send_catch_up(now, to, out),
             Some(Reply::Higher { number, ballot }) => Word::Higher { number, ballot },
             Some(Reply::Promise { number, ballot, accepted }) => {
-                self.store(out);
+                self.persist(out);
                 Word::Promise { number, ballot, accepted }
             }
             Some(Reply::Vote { number, ballot, digest }) => {
-                self.store(out);
-                Word::Vote(Vote::sign(&self.hand, self.terms.me, number, ballot, digest))
+                self.persist(out);
+                Word::Vote(Vote::sign(&self.signer, self.config.me, number, ballot, digest))
             }
         };
-        self.say(now, to, word, out);
+        self.send(now, to, message, out);
     }
 
-    pub(crate) fn heard_promise(
+    /// Handles an acceptor's promise.
+    pub(crate) fn handle_promise(
         &mut self, now: Duration, from: Member, (number, ballot): (Number, Ballot),
         accepted: Option<(Ballot, Digest)>, out: &mut Vec<Given>,
     ) {
-        let keepers = self.hand.keepers();
-        let count = keepers.len();
-        let ours = keepers.contains(&from);
-        let proposal = self.proposal.as_mut().filter(|proposal| ours && proposal.number() == number);
-        if proposal.is_some_and(|proposal| proposal.promised(from, ballot, accepted, count)) {
-            self.pursue(now, out);
+        let acceptors = self.signer.keepers();
+        let count = acceptors.len();
+        let from_acceptor = acceptors.contains(&from);
+        let proposal = self.proposal.as_mut().filter(|proposal| from_acceptor && proposal.number() == number);
+        if proposal.is_some_and(|proposal| proposal.record_promise(from, ballot, accepted, count)) {
+            self.send_proposal_requests(now, out);
         }
     }
 
-    pub(crate) fn heard_higher(&mut self, now: Duration, number: Number, seen: Ballot) {
+    /// Handles the notice that an acceptor has promised a higher ballot.
+    pub(crate) fn handle_higher_ballot(&mut self, now: Duration, number: Number, seen: Ballot) {
         let Some(proposal) = self.proposal.as_mut().filter(|proposal| proposal.number() == number) else {
             return;
         };
         if seen > proposal.ballot {
-            // Not at once: whoever is ahead may be about to succeed.
-            let again = proposal.over_at;
-            proposal.higher(seen, now, &mut self.chance);
-            self.round = self.round.max(proposal.ballot.round);
-            proposal.again_at = again.max(now + AGAIN);
-            proposal.over_at += proposal.again_at.saturating_sub(now);
+            // The higher ballot is not started at once: the proposer that is ahead may be about to succeed.
+            let previous_end = proposal.ballot_ends_at;
+            proposal.raise_ballot(seen, now, &mut self.rng);
+            self.highest_round = self.highest_round.max(proposal.ballot.round);
+            proposal.resend_at = previous_end.max(now + RESEND_INTERVAL);
+            proposal.ballot_ends_at += proposal.resend_at.saturating_sub(now);
         }
     }
 
-    /// Looks whether votes now show a certificate.
-    pub(crate) fn certify(&mut self, now: Duration, out: &mut Vec<Given>) {
-        if !self.learned.certify(&self.hand) {
+    /// Checks whether the known votes now form a certificate.
+    pub(crate) fn check_certified(&mut self, now: Duration, out: &mut Vec<Given>) {
+        if !self.learner.update_latest(&self.signer) {
             return;
         }
-        let number = self.learned.number();
+        let number = self.learner.number();
         if self.proposal.as_ref().is_some_and(|proposal| proposal.number() == number) {
-            self.tell_certified(now, out);
+            self.broadcast_certificate(now, out);
         }
-        self.certified_now(now, out);
+        self.on_certified(now, out);
     }
 
-    /// Goes on from a number that has just become known certified.
-    pub(crate) fn certified_now(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let number = self.learned.number();
-        self.gate.iter_mut().for_each(|gate| gate.certified(now));
-        if let Some(keeper) = &mut self.keeper {
-            keeper.certified(number);
-            self.store(out);
+    /// Continues after a number has become known certified.
+    pub(crate) fn on_certified(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let number = self.learner.number();
+        self.gate.iter_mut().for_each(|gate| gate.on_certified(now));
+        if let Some(acceptor) = &mut self.acceptor {
+            acceptor.on_certified(number);
+            self.persist(out);
         }
-        self.next_rescue = None;
-        self.news(now);
+        self.takeover_at = None;
+        self.use_short_interval(now);
         self.prepare(now, out);
-        self.fetch(now, out);
+        self.fetch_text(now, out);
     }
 
-    /// A keeper whose vote led to nothing takes the proposal on.
-    pub(crate) fn rescue(&mut self, now: Duration, out: &mut Vec<Given>) {
-        self.next_rescue = None;
-        let accepted = self.keeper.as_ref().and_then(|keeper| {
-            let kept = keeper.kept();
-            kept.accepted.map(|(ballot, digest)| (ballot.max(kept.promised), digest))
+    /// An acceptor that voted for a proposal which did not complete takes it over.
+    pub(crate) fn take_over_proposal(&mut self, now: Duration, out: &mut Vec<Given>) {
+        self.takeover_at = None;
+        let accepted = self.acceptor.as_ref().and_then(|acceptor| {
+            let state = acceptor.kept();
+            state.accepted.map(|(ballot, digest)| (ballot.max(state.promised), digest))
         });
         let Some((ballot, digest)) = accepted else { return };
-        if let Some(signed) = self.learned.head(&digest).copied().filter(|_| self.proposal.is_none()) {
+        if let Some(signed) = self.learner.head(&digest).copied().filter(|_| self.proposal.is_none()) {
             self.propose(now, signed, ballot.round.saturating_add(1), out);
         }
     }
 
-    /// Members that a keeper waits for before it gives the word: those that have not said to have the certified one,
-    /// and are not excused.
+    /// Members that an acceptor waits for before it grants the activation: those that have not reported the
+    /// certified revision as prepared, and are not excluded.
     pub fn waited_for(&self, now: Duration) -> Vec<Member> {
-        let number = self.learned.number();
-        let waits = |member: &Member| {
-            let has = if *member == self.terms.me {
+        let number = self.learner.number();
+        let is_waited_for = |member: &Member| {
+            let has_prepared = if *member == self.config.me {
                 number == 0 || self.is_prepared(number)
             } else {
-                self.positions
-                    .get(member)
-                    .is_some_and(|p| p.certified >= number && (p.has_text || number == 0))
+                self.positions.get(member).is_some_and(|position| {
+                    position.certified >= number && (position.has_text || number == 0)
+                })
             };
-            let off = self.gone.get(member).is_some_and(|gone| gone.gone);
-            let hold = self.terms.regime == Regime::Hold && *member != self.terms.me;
-            let late = self.gate.as_ref().is_some_and(|gate| gate.is_over(now));
-            let excused = off || hold && (late || self.granted.is_over(*member, now, self.lease));
-            !(has || excused) || !off && self.waits_for_relay_lease(now, *member)
+            let is_removed = self.removals.get(member).is_some_and(|removal| removal.gone);
+            let may_exclude = self.config.regime == Regime::Hold && *member != self.config.me;
+            let gate_expired = self.gate.as_ref().is_some_and(|gate| gate.is_expired(now));
+            let is_excluded = is_removed
+                || may_exclude
+                    && (gate_expired || self.granted_leases.is_expired(*member, now, self.lease_duration));
+            !(has_prepared || is_excluded) || !is_removed && self.awaits_relay_lease(now, *member)
         };
-        self.hand.members().iter().copied().filter(waits).collect()
+        self.signer.members().iter().copied().filter(is_waited_for).collect()
     }
 
-    /// Gives the word to act on the certified one, once nobody is waited for.
-    pub(crate) fn consider_go(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let Some(top) = &self.learned.top else { return };
-        let (number, digest) = (top.number(), top.digest());
-        let able = |keeper: &&mut Keeper| !keeper.is_asking() && keeper.kept().gone_on < number;
-        if self.keeper.as_mut().filter(able).is_none() || !self.waited_for(now).is_empty() {
+    /// Grants the activation of the certified revision once no member is waited for.
+    pub(crate) fn grant_activation_if_ready(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let Some(latest) = &self.learner.latest else { return };
+        let (number, digest) = (latest.number(), latest.digest());
+        let can_grant =
+            |acceptor: &&mut Keeper| !acceptor.is_asking() && acceptor.kept().activation_granted < number;
+        if self.acceptor.as_mut().filter(can_grant).is_none() || !self.waited_for(now).is_empty() {
             return;
         }
-        if !self.keepers_are_able(now, out) {
+        if !self.quorum_is_ready(now, out) {
             return;
         }
-        if let Some(keeper) = &mut self.keeper {
-            keeper.go_on(number);
+        if let Some(acceptor) = &mut self.acceptor {
+            acceptor.grant_activation(number);
         }
-        let go = Go::sign(&self.hand, self.terms.me, number, digest);
-        self.learned.take_go(go, &self.hand);
-        self.store(out);
-        self.tell_go(now, go, out);
-        self.news(now);
-        self.act(now, out);
+        let grant = Go::sign(&self.signer, self.config.me, number, digest);
+        self.learner.add_activation_grant(grant, &self.signer);
+        self.persist(out);
+        self.send_activation_grant(now, grant, out);
+        self.use_short_interval(now);
+        self.activate(now, out);
     }
 
-    /// A keeper that was born without its disk asks the others.
-    pub(crate) fn ask_back(&mut self, now: Duration, out: &mut Vec<Given>) {
-        self.next_recall = now + AGAIN;
-        if !self.keeper.as_ref().is_some_and(Keeper::is_asking) {
+    /// Asks the other acceptors for the highest number that they know of, if this one was restarted without
+    /// its disk.
+    pub(crate) fn request_recovery(&mut self, now: Duration, out: &mut Vec<Given>) {
+        self.next_recovery_request_at = now + RESEND_INTERVAL;
+        if !self.acceptor.as_ref().is_some_and(Keeper::is_asking) {
             return;
         }
-        for keeper in self.hand.keepers().to_vec() {
-            if keeper != self.terms.me {
-                self.say(now, keeper, Word::Recall { nonce: u64::from(self.terms.life) }, out);
+        for keeper in self.signer.keepers().to_vec() {
+            if keeper != self.config.me {
+                self.send(now, keeper, Word::Recall { nonce: u64::from(self.config.life) }, out);
             }
         }
     }
 
-    pub(crate) fn recalled(&mut self, by: Member, nonce: u64, highest: Number, out: &mut Vec<Given>) {
-        let count = self.hand.keepers().len();
-        let ours = self.hand.keepers().contains(&by) && nonce == u64::from(self.terms.life);
-        let settled = self.keeper.as_mut().filter(|_| ours).is_some_and(|k| k.answered(by, highest, count));
-        if settled {
-            let certified = self.learned.number();
-            self.keeper.iter_mut().for_each(|keeper| keeper.certified(certified));
-            self.store(out);
+    /// Handles another acceptor's answer to a recovery request.
+    pub(crate) fn handle_recovery_answer(
+        &mut self, from: Member, nonce: u64, highest: Number, out: &mut Vec<Given>,
+    ) {
+        let count = self.signer.keepers().len();
+        let is_valid = self.signer.keepers().contains(&from) && nonce == u64::from(self.config.life);
+        let recovered = self
+            .acceptor
+            .as_mut()
+            .filter(|_| is_valid)
+            .is_some_and(|acceptor| acceptor.add_recovery_answer(from, highest, count));
+        if recovered {
+            let certified = self.learner.number();
+            self.acceptor.iter_mut().for_each(|acceptor| acceptor.on_certified(certified));
+            self.persist(out);
         }
     }
 }
--- a/crates/revisions/src/gate.rs
+++ b/crates/revisions/src/gate.rs
@@ -1,188 +1,199 @@
-//! What a member's driver decides beside the protocol, where the text of a revision stands for more than itself: a
-//! summary of a batch, say, that a keeper must hold and have checked before it votes, and that others wait for below
-//! this member. Without a gate ([`Revisions::gated`] was never called) nothing here has an effect.
+//! Conditions that a member's driver adds to the protocol if the text of a revision stands for more than
+//! itself: for example, if the text is the summary of a batch that an acceptor must have and have verified
+//! before it votes, and that the watchers below this member must have prepared. Nothing here has an effect
+//! unless [`Revisions::gated`] was called.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::dissemination::LEASE_RETRY_INTERVAL;
 use crate::member::{Given, Revisions};
-use crate::spread::ASK_AGAIN;
 use crate::word::{Go, Word};
 use crate::{Certified, Digest, Hand, Keeper, Member, Number, Signed};
 
-/// Texts that may be voted for at one time at most: more than there are proposers at once.
-const VOTABLE: usize = 64;
+/// Maximum number of texts that may be voted for at one time; more than there are concurrent proposers.
+const MAX_VOTABLE_TEXTS: usize = 64;
 
-/// What the driver has said.
+/// The conditions set by the driver.
 #[derive(Debug, Default)]
 pub struct Gate {
-    /// Texts that a keeper may vote for, as the next number.
-    votable: BTreeSet<Digest>,
-    /// Texts that it may vote for where a keeper voted for them before: they may be certified already.
-    votable_again: BTreeSet<Digest>,
-    /// The highest number for which all that hangs below this member is ready.
+    /// Texts that this acceptor may vote for, for the next number.
+    votable_texts: BTreeSet<Digest>,
+    /// Texts that it may vote for only if an acceptor has voted for them before, since they may be certified
+    /// already.
+    votable_if_voted: BTreeSet<Digest>,
+    /// The highest number that all watchers below this member have prepared.
     ready: Number,
-    /// Since when it is.
+    /// When that number was reached.
     ready_since: Duration,
-    /// A keeper waits for other members no longer than this after it learned that a revision is certified.
-    patience: Duration,
+    /// How long an acceptor waits for other members, counted from when it learned that a revision is
+    /// certified.
+    max_wait: Duration,
     /// When the highest certified number became known here.
     certified_at: Duration,
 }
 
 impl Gate {
-    /// Whether a keeper may vote for a text, which another keeper has voted for or not.
-    pub(crate) fn lets_vote(&self, text: &Digest, voted: bool) -> bool {
-        self.votable.contains(text) || voted && self.votable_again.contains(text)
+    /// Whether an acceptor may vote for a text; `voted` says whether another acceptor has voted for it.
+    pub(crate) fn may_vote_for(&self, text: &Digest, voted: bool) -> bool {
+        self.votable_texts.contains(text) || voted && self.votable_if_voted.contains(text)
     }
 
+    /// Whether all below this member are ready for a number.
     pub(crate) fn is_ready(&self, number: Number) -> bool {
         self.ready >= number
     }
 
+    /// When the highest ready number was reached.
     pub(crate) fn ready_since(&self) -> Duration {
         self.ready_since
     }
 
-    /// Whether others are waited for no longer.
-    pub(crate) fn is_over(&self, now: Duration) -> bool {
-        now > self.certified_at + self.patience
+    /// Whether the time for which other members are waited for has passed.
+    pub(crate) fn is_expired(&self, now: Duration) -> bool {
+        now > self.certified_at + self.max_wait
     }
 
-    /// Another number is open now.
-    pub(crate) fn certified(&mut self, now: Duration) {
+    /// A number was certified, so the permitted texts were for the previous number.
+    pub(crate) fn on_certified(&mut self, now: Duration) {
         self.forget_votable();
         self.certified_at = now;
     }
 
     fn forget_votable(&mut self) {
-        self.votable.clear();
-        self.votable_again.clear();
+        self.votable_texts.clear();
+        self.votable_if_voted.clear();
     }
 }
 
 impl<H: Hand> Revisions<H> {
-    /// Whether the driver lets this keeper vote for a head.
-    pub(crate) fn lets_vote(&self, signed: &Signed) -> bool {
+    /// Whether the driver permits this acceptor to vote for a head.
+    pub(crate) fn may_vote_for(&self, signed: &Signed) -> bool {
         let Some(gate) = &self.gate else { return true };
         let digest = signed.head.digest();
-        let voted = self.learned.votes_for(&digest).next().is_some();
-        gate.lets_vote(&signed.head.text, voted)
+        let voted = self.learner.votes_for(&digest).next().is_some();
+        gate.may_vote_for(&signed.head.text, voted)
     }
 
-    /// From now on a keeper votes only for texts that [`Revisions::let_vote`] named, this member is prepared only once
-    /// [`Revisions::subtree_ready`] said so, and what keepers decide is sent to all members at once. Under
-    /// [`crate::Regime::Hold`] a keeper waits for other members no longer than `patience`: the bound rests on leases alone.
-    pub fn gated(&mut self, now: Duration, patience: Duration) {
-        self.gate = Some(Gate { patience, certified_at: now, ready: self.active, ..Gate::default() });
+    /// Enables the gate. From now on an acceptor votes only for texts that [`Revisions::let_vote`] permitted,
+    /// this member counts as prepared only once [`Revisions::subtree_ready`] was called, and certificates and
+    /// activation grants are sent to all members at once. Under [`crate::Regime::Hold`] an acceptor waits for
+    /// other members no longer than `max_wait`; the bound depends on the leases alone.
+    pub fn gated(&mut self, now: Duration, max_wait: Duration) {
+        self.gate = Some(Gate { max_wait, certified_at: now, ready: self.active, ..Gate::default() });
     }
 
-    /// A keeper may vote for this text as that of the next number. It is asked again by the proposer. `again`: only if
-    /// another keeper has voted for it already.
+    /// Permits this acceptor to vote for a text for the next number; the proposer will ask again. With
+    /// `again` it may vote only if another acceptor has voted for the text already.
     pub fn let_vote(&mut self, text: Digest, again: bool) {
         let Some(gate) = &mut self.gate else { return };
-        let texts = if again { &mut gate.votable_again } else { &mut gate.votable };
-        if texts.len() < VOTABLE {
+        let texts = if again { &mut gate.votable_if_voted } else { &mut gate.votable_texts };
+        if texts.len() < MAX_VOTABLE_TEXTS {
             texts.insert(text);
         }
     }
 
-    /// Whether this text was named to [`Revisions::let_vote`] for the next number.
+    /// Whether [`Revisions::let_vote`] permitted this text for the next number.
     pub fn lets_vote_for(&self, text: &Digest) -> bool {
-        self.gate.as_ref().is_some_and(|gate| gate.lets_vote(text, true))
+        self.gate.as_ref().is_some_and(|gate| gate.may_vote_for(text, true))
     }
 
-    /// Takes back all that [`Revisions::let_vote`] named: it was looked at by another ring.
+    /// Revokes all permissions of [`Revisions::let_vote`]: the driver verified the texts by an earlier ring.
     pub fn forget_votable(&mut self) {
         self.gate.iter_mut().for_each(Gate::forget_votable);
     }
 
-    /// The driver holds what this text stands for.
+    /// Takes a text that the driver made itself and whose content it holds.
     pub fn take_own_text(&mut self, now: Duration, text: Arc<[u8]>, out: &mut Vec<Given>) {
-        let of = crate::digest(&text);
-        if !self.texts.contains_key(&of) {
-            self.keep_text(of, text);
+        let digest = crate::digest(&text);
+        if !self.texts.contains_key(&digest) {
+            self.cache_text(digest, text);
         }
         self.prepare(now, out);
     }
 
-    /// All that hangs below this member is ready for a number, or has been waited for long enough.
+    /// Reports that all below this member are ready for a number, or have been waited for long enough.
     pub fn subtree_ready(&mut self, now: Duration, number: Number, out: &mut Vec<Given>) {
         let Some(gate) = self.gate.as_mut().filter(|gate| gate.ready < number) else { return };
         (gate.ready, gate.ready_since) = (number, now);
-        if self.prepared == Some(self.learned.number()) {
-            (self.next_ask, self.ask_again) = (now, ASK_AGAIN);
-            self.news(now);
+        if self.prepared == Some(self.learner.number()) {
+            (self.next_lease_request_at, self.lease_retry_interval) = (now, LEASE_RETRY_INTERVAL);
+            self.use_short_interval(now);
         }
-        self.consider_go(now, out);
-        self.act(now, out);
+        self.grant_activation_if_ready(now, out);
+        self.activate(now, out);
     }
 
-    /// The highest revision that is known certified, with the words to act on it that are known.
+    /// The latest certified revision, with the activation grants known so far.
     pub fn top(&self) -> Option<&Certified> {
-        self.learned.top.as_ref()
+        self.learner.latest.as_ref()
     }
 
-    /// Whether a quorum of keepers has given the word to act on [`Revisions::top`].
+    /// Whether a quorum of acceptors has granted the activation of [`Revisions::top`].
     pub fn may_act(&self) -> bool {
-        self.learned.may_act(&self.hand)
+        self.learner.may_act(&self.signer)
     }
 
-    /// The highest number that this keeper has given the word to act on: what a lease that it grants now must name. Nothing
-    /// for who is no keeper, or does not know what its former self did.
+    /// The highest number whose activation this acceptor has granted; a lease that it grants now must name
+    /// it. `None` if this member is no acceptor, or is still recovering its state.
     pub fn grantable(&self) -> Option<Number> {
-        let keeper = self.acceptor().filter(|keeper| !keeper.is_asking())?;
-        Some(keeper.kept().gone_on)
+        let acceptor = self.acceptor().filter(|acceptor| !acceptor.is_asking())?;
+        Some(acceptor.kept().activation_granted)
     }
 
-    /// What this member keeps as a keeper, if it is one.
+    /// The acceptor state of this member, if the ring lists it as an acceptor.
     pub fn acceptor(&self) -> Option<&Keeper> {
-        self.keeper.as_ref().filter(|_| self.hand.keepers().contains(&self.terms.me))
+        self.acceptor.as_ref().filter(|_| self.signer.keepers().contains(&self.config.me))
     }
 
-    /// A certificate that came another way than by words, for instance with the state that it names.
+    /// Takes a certificate that arrived by another path than messages, for example with the state that it
+    /// certifies.
     pub fn take_certified(&mut self, now: Duration, certified: Certified, out: &mut Vec<Given>) -> bool {
-        if certified.number() <= self.learned.number() || !certified.holds(&self.hand) {
+        if certified.number() <= self.learner.number() || !certified.holds(&self.signer) {
             return false;
         }
-        self.learned.install(certified);
-        self.certified_now(now, out);
+        self.learner.install(certified);
+        self.on_certified(now, out);
         true
     }
 
-    /// Says a certificate to all members: the proposer does, since it hears the votes first.
-    pub(crate) fn tell_certified(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let Some(top) = self.learned.top.clone().filter(|_| self.gate.is_some()) else { return };
-        for member in self.others() {
-            self.say(now, member, Word::Head(top.signed), out);
-            for vote in &top.votes {
-                self.say(now, member, Word::Vote(*vote), out);
+    /// Sends a certificate to all members. The proposer does so, since it is the first to have the votes.
+    pub(crate) fn broadcast_certificate(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let Some(latest) = self.learner.latest.clone().filter(|_| self.gate.is_some()) else { return };
+        for member in self.other_members() {
+            self.send(now, member, Word::Head(latest.signed), out);
+            for vote in &latest.votes {
+                self.send(now, member, Word::Vote(*vote), out);
             }
         }
     }
 
-    /// Says this keeper's word to act: to the keepers, or under a gate to all members.
-    pub(crate) fn tell_go(&mut self, now: Duration, go: Go, out: &mut Vec<Given>) {
-        let me = self.terms.me;
-        let to = if self.gate.is_some() { self.others() } else { self.hand.keepers().to_vec() };
-        for member in to.into_iter().filter(|member| *member != me) {
-            self.say(now, member, Word::Go(go), out);
+    /// Sends this acceptor's activation grant to the acceptors, or with a gate to all members.
+    pub(crate) fn send_activation_grant(&mut self, now: Duration, grant: Go, out: &mut Vec<Given>) {
+        let me = self.config.me;
+        let recipients =
+            if self.gate.is_some() { self.other_members() } else { self.signer.keepers().to_vec() };
+        for member in recipients.into_iter().filter(|member| *member != me) {
+            self.send(now, member, Word::Go(grant), out);
         }
     }
 
-    fn others(&self) -> Vec<Member> {
-        let me = self.terms.me;
-        self.hand.members().iter().copied().filter(|member| *member != me).collect()
+    fn other_members(&self) -> Vec<Member> {
+        let me = self.config.me;
+        self.signer.members().iter().copied().filter(|member| *member != me).collect()
     }
 
-    /// Whether this member has what a number needs, and all below it.
+    /// Whether this member has prepared a number; with a gate, the members below it included.
     pub(crate) fn is_prepared(&self, number: Number) -> bool {
         self.prepared >= Some(number) && self.gate.as_ref().is_none_or(|gate| gate.is_ready(number))
     }
 
-    /// What this member said last is said to each keeper again until it answered something asked from then on.
-    pub(crate) fn told_since(&self) -> Duration {
-        self.gate.as_ref().map_or(self.told.1, |gate| gate.ready_since().max(self.told.1))
+    /// The time of the latest report: it is repeated to each acceptor until that acceptor has answered a
+    /// request sent after it.
+    pub(crate) fn last_report_at(&self) -> Duration {
+        self.gate
+            .as_ref()
+            .map_or(self.reported_prepared.1, |gate| gate.ready_since().max(self.reported_prepared.1))
     }
 }
--- a/crates/revisions/src/head.rs
+++ b/crates/revisions/src/head.rs
@@ -1,12 +1,12 @@
-//! The head of a revision: what keepers vote on and authors sign. Its text goes by itself.
+//! The head of a revision: what authors sign and acceptors vote on. The text is transferred separately.
 //!
 //! | bytes | field |
 //! |---|---|
 //! | 4 | number, from 1 |
-//! | 32 | the digest of the head before it; zeros before the first |
+//! | 32 | digest of the preceding head; zeros before the first |
 //! | 2 | author |
-//! | 4 | bytes of the text |
-//! | 32 | the digest of the text |
+//! | 4 | length of the text in bytes |
+//! | 32 | digest of the text |
 //! | 64 | the author's signature over `badgerledge revision 1` and all of the above |
 
 use serde::{Deserialize, Serialize};
@@ -14,27 +14,33 @@
 
 use crate::{digest, Author, Digest, Hand, Number, Refused, Signature};
 
-/// Bytes of a text at most: a catalogue of 100,000 titles has some 10 MB.
+/// Maximum length of a text in bytes. A catalogue of 100,000 titles has some 10 MB.
 pub const LONGEST_TEXT: usize = 16 * 1024 * 1024;
-const HEAD: usize = 74;
-const DOMAIN: &[u8] = b"badgerledge revision 1";
+const HEAD_BYTES: usize = 74;
+const SIGNATURE_DOMAIN: &[u8] = b"badgerledge revision 1";
 
+/// The fields that identify a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Head {
     pub number: Number,
+    /// Digest of the preceding head; zeros before the first.
     pub before: Digest,
     pub author: Author,
+    /// Length of the text in bytes.
     pub length: u32,
+    /// Digest of the text.
     pub text: Digest,
 }
 
 impl Head {
+    /// The head of this text.
     pub fn new(number: Number, before: Digest, author: Author, text: &[u8]) -> Self {
         Self { number, before, author, length: text.len() as u32, text: digest(text) }
     }
 
-    pub fn bytes(&self) -> [u8; HEAD] {
-        let mut bytes = [0; HEAD];
+    /// The encoded head.
+    pub fn bytes(&self) -> [u8; HEAD_BYTES] {
+        let mut bytes = [0; HEAD_BYTES];
         bytes[..4].copy_from_slice(&self.number.to_be_bytes());
         bytes[4..36].copy_from_slice(&self.before);
         bytes[36..38].copy_from_slice(&self.author.to_be_bytes());
@@ -43,20 +49,20 @@
         bytes
     }
 
-    /// What names this revision everywhere.
+    /// The digest that identifies this revision.
     pub fn digest(&self) -> Digest {
         digest(&self.bytes())
     }
 
-    /// What its author signs.
+    /// The bytes that the author signs.
     pub fn signed_bytes(&self) -> Vec<u8> {
-        [DOMAIN, &self.bytes()].concat()
+        [SIGNATURE_DOMAIN, &self.bytes()].concat()
     }
 
-    /// Whether this is its text.
+    /// Checks that `text` is the text of this head.
     ///
     /// # Errors
-    /// Where it is too long, of another length, or another text.
+    /// If it is too long, or its length or digest differs.
     pub fn check_text(&self, text: &[u8]) -> Result<(), Refused> {
         if text.len() != self.length as usize || text.len() > LONGEST_TEXT {
             return Err(Refused::Length(text.len(), self.length as usize));
@@ -77,12 +83,13 @@
 }
 
 impl Signed {
-    pub fn is_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author(self.head.author, &self.head.signed_bytes(), &self.signature)
+    /// Whether the author signed it with a key that is valid now.
+    pub fn is_signed(&self, signer: &impl Hand) -> bool {
+        signer.by_author(self.head.author, &self.head.signed_bytes(), &self.signature)
     }
 
-    /// Whether its author signed it, by a key that holds or held.
-    pub fn was_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author_ever(self.head.author, &self.head.signed_bytes(), &self.signature)
+    /// Whether the author signed it with a key that is or was valid.
+    pub fn was_signed(&self, signer: &impl Hand) -> bool {
+        signer.by_author_ever(self.head.author, &self.head.signed_bytes(), &self.signature)
     }
 }
--- a/crates/revisions/src/lease.rs
+++ b/crates/revisions/src/lease.rs
@@ -1,131 +1,139 @@
-//! Leases (Gray and Cheriton, 1989): how long a member may go on acting on a revision that another may take the place
-//! of. A member counts from when it asked, a keeper from when it granted; so no clock is compared with another, and
-//! only their pace matters.
+//! Leases (Gray and Cheriton, 1989): how long a member may keep a revision active that another may replace. A
+//! member counts from when it sent the request, an acceptor from when it granted the lease. Clocks of
+//! different machines are therefore never compared; only their rates matter.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{quorum, Member, Number};
 
-/// Clocks of two machines differ in pace by less than one in a hundred: far more than any that works.
-const DRIFT: u32 = 100;
-/// A lease at least: three asks of a second each, of which two may be lost.
-const LEAST: Duration = Duration::from_secs(3);
-/// A member asks this often in a lease.
-pub const ASKS_IN_A_LEASE: u32 = 3;
-/// A keeper spends this part of the gossip's ceiling of 5,000 bytes a second on leases, of 112 bytes each with head
-/// and signature: the rest is for membership, which must go on during a change.
-const GRANTS_A_SECOND: f64 = 5000.0 / 2.0 / 112.0;
-
-/// What a member does that hears no keepers.
+/// The clock rates of two machines differ by less than one part in this; far more than working clocks do.
+const DRIFT_DIVISOR: u32 = 100;
+/// Minimum length of a lease: three requests a second apart, of which two may be lost.
+const MIN_LEASE: Duration = Duration::from_secs(3);
+/// How many requests a member sends within the length of a lease.
+pub const REQUESTS_PER_LEASE: u32 = 3;
+/// Leases that an acceptor can grant in a second: half of the gossip's limit of 5,000 bytes a second, at 112
+/// bytes for a lease with header and signature. The rest is for membership, which must go on during a change.
+const GRANTS_PER_SECOND: f64 = 5000.0 / 2.0 / 112.0;
+
+/// What a member does that can't reach the acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Regime {
-    /// A change waits for each member that is not excused; with none under way no lease is needed.
+    /// A change waits for each member that is not excluded; while no change is pending, no lease is needed.
     Wait,
-    /// A member without a lease holds back, so that a change waits for a lease at most.
+    /// A member without a lease goes on hold, so that a change waits for the length of a lease at most.
     Hold,
 }
 
-/// How long a lease is among so many members: as short as the keepers' ceiling allows.
+/// The length of a lease in a fleet of this size: as short as the acceptors' byte limit allows.
 pub fn lease_for(members: usize) -> Duration {
-    let asks = members as f64 * f64::from(ASKS_IN_A_LEASE);
-    Duration::from_secs_f64(asks / GRANTS_A_SECOND).max(LEAST)
+    let requests = members as f64 * f64::from(REQUESTS_PER_LEASE);
+    Duration::from_secs_f64(requests / GRANTS_PER_SECOND).max(MIN_LEASE)
 }
 
-/// A span on another's clock, at its longest.
-pub fn with_drift(span: Duration) -> Duration {
-    span + span / DRIFT
+/// A duration measured by another machine's clock, at its longest.
+pub fn with_drift(duration: Duration) -> Duration {
+    duration + duration / DRIFT_DIVISOR
 }
 
-/// How long two members may act on contradicting revisions at most: whoever acts on the new one does so after a
-/// quorum gave the word, and whoever acts on the old one asked a keeper of that quorum before it did, a lease ago at
-/// most. `late` is how long what was decided may still take to go out.
+/// The longest time for which two members may have contradicting revisions active. A member activates the new
+/// one only after a quorum has granted it, and a member that still has the old one active sent its last
+/// successful lease request to an acceptor of that quorum before the grant, at most a lease ago. `late` is
+/// how long decisions may still take to take effect.
 pub fn bound(lease: Duration, late: Duration) -> Duration {
     with_drift(lease) + late
 }
 
 /// The leases that a member holds.
 #[derive(Debug, Default)]
-pub struct Held {
-    /// When it asked for what each keeper has granted last.
-    grants: BTreeMap<Member, Duration>,
-    /// When each of the last asks went out.
-    asked: BTreeMap<u64, Duration>,
-    next: u64,
+pub struct HeldLeases {
+    /// When the request was sent for the latest lease of each acceptor.
+    requested_at: BTreeMap<Member, Duration>,
+    /// When each of the latest requests was sent, by nonce.
+    pending_requests: BTreeMap<u64, Duration>,
+    last_nonce: u64,
 }
 
-/// Asks that are kept for their answers: more than come in a lease.
-const ASKS_KEPT: usize = 8;
+/// Number of requests kept for their answers; more than are sent within a lease.
+const MAX_PENDING_REQUESTS: usize = 8;
 
-impl Held {
-    /// Asks are numbered through all lives of a member, so that an answer to an earlier life's is none to this one's.
-    pub fn new(life: u32) -> Self {
-        Self { next: u64::from(life) << 32, ..Self::default() }
+impl HeldLeases {
+    /// Creates nonces that are unique over all incarnations of a member, so that an answer to an earlier
+    /// incarnation does not match.
+    pub fn new(incarnation: u32) -> Self {
+        Self { last_nonce: u64::from(incarnation) << 32, ..Self::default() }
     }
 
-    /// A new ask, by its number.
-    pub fn ask(&mut self, now: Duration) -> u64 {
-        self.next = self.next.saturating_add(1);
-        self.asked.insert(self.next, now);
-        while self.asked.len() > ASKS_KEPT {
-            self.asked.pop_first();
+    /// Records a new request and returns its nonce.
+    pub fn new_request(&mut self, now: Duration) -> u64 {
+        self.last_nonce = self.last_nonce.saturating_add(1);
+        self.pending_requests.insert(self.last_nonce, now);
+        while self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_first();
         }
-        self.next
+        self.last_nonce
     }
 
-    /// When a request went out, while it is kept.
-    pub fn asked_at(&self, nonce: u64) -> Option<Duration> {
-        self.asked.get(&nonce).copied()
+    /// When a request was sent, if it is still kept.
+    pub fn request_time(&self, nonce: u64) -> Option<Duration> {
+        self.pending_requests.get(&nonce).copied()
     }
 
-    /// A keeper's answer, which had given no word to act on anything after what this member acts on.
-    pub fn granted(&mut self, keeper: Member, nonce: u64) {
-        let Some(at) = self.asked.get(&nonce).copied() else { return };
-        let held = self.grants.entry(keeper).or_insert(at);
-        *held = at.max(*held);
+    /// Records a lease granted by an acceptor that had granted no activation above this member's active
+    /// revision.
+    pub fn record_grant(&mut self, acceptor: Member, nonce: u64) {
+        let Some(sent_at) = self.pending_requests.get(&nonce).copied() else { return };
+        let latest = self.requested_at.entry(acceptor).or_insert(sent_at);
+        *latest = sent_at.max(*latest);
     }
 
-    /// Whether a keeper has answered something that was asked from that time on.
-    pub fn answered_since(&self, keeper: Member, since: Duration) -> bool {
-        self.grants.get(&keeper).is_some_and(|asked| *asked >= since)
+    /// Whether an acceptor has answered a request sent at or after that time.
+    pub fn answered_since(&self, acceptor: Member, since: Duration) -> bool {
+        self.requested_at.get(&acceptor).is_some_and(|requested_at| *requested_at >= since)
     }
 
-    /// Until when a quorum of so many keepers has granted.
-    pub fn until(&self, keepers: usize, lease: Duration) -> Option<Duration> {
-        let mut asked: Vec<Duration> = self.grants.values().copied().collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        asked.get(quorum(keepers).checked_sub(1)?).map(|at| *at + lease)
+    /// Until when leases from a quorum of `keepers` acceptors are valid.
+    pub fn valid_until(&self, acceptors: usize, lease: Duration) -> Option<Duration> {
+        let mut request_times: Vec<Duration> = self.requested_at.values().copied().collect();
+        request_times.sort_unstable_by(|a, b| b.cmp(a));
+        request_times.get(quorum(acceptors).checked_sub(1)?).map(|requested_at| *requested_at + lease)
     }
 }
 
-/// The leases that a keeper has granted.
+/// The leases that an acceptor has granted.
 #[derive(Debug)]
-pub struct Granted {
-    last: BTreeMap<Member, Duration>,
-    /// It may have granted to anyone just before it was born.
-    born: Duration,
+pub struct GrantedLeases {
+    last_granted_at: BTreeMap<Member, Duration>,
+    /// Before that time, when the process started, an earlier one may have granted a lease to any member.
+    started_at: Duration,
 }
 
-impl Granted {
+impl GrantedLeases {
+    /// No leases granted yet, for a process that starts at `now`.
     pub fn new(now: Duration) -> Self {
-        Self { last: BTreeMap::new(), born: now }
+        Self { last_granted_at: BTreeMap::new(), started_at: now }
     }
 
+    /// Records a lease granted to a member.
     pub fn grant(&mut self, member: Member, now: Duration) {
-        self.last.insert(member, now);
+        self.last_granted_at.insert(member, now);
     }
 
-    /// Whether all that it granted to a member is over.
-    pub fn is_over(&self, member: Member, now: Duration, lease: Duration) -> bool {
-        let last = self.last.get(&member).copied().unwrap_or(self.born);
-        now > last + with_drift(lease)
+    /// Whether all leases granted to a member have expired.
+    pub fn is_expired(&self, member: Member, now: Duration, lease: Duration) -> bool {
+        let last_granted_at = self.last_granted_at.get(&member).copied().unwrap_or(self.started_at);
+        now > last_granted_at + with_drift(lease)
     }
 
-    /// What it grants: the word that it has given so far.
-    pub fn answer(&mut self, member: Member, now: Duration, gone_on: Number, active: Number) -> Number {
-        if gone_on <= active {
+    /// Answers a lease request with the highest number whose activation was granted. It is a lease only if
+    /// the member has that revision active.
+    pub fn answer(
+        &mut self, member: Member, now: Duration, granted_through: Number, active: Number,
+    ) -> Number {
+        if granted_through <= active {
             self.grant(member, now);
         }
-        gone_on
+        granted_through
     }
 }
--- a/crates/revisions/src/lib.rs
+++ b/crates/revisions/src/lib.rs
@@ -1,24 +1,27 @@
-//! Revisions: numbered texts on which members agree, so that no two act on contradicting ones for longer than a
-//! stated time. No I/O, no clock, no chance but from a seed; why it is so: `docs/revisions.md`.
+//! Revisions: numbered configuration texts on which the members of a fleet agree, so that no two members have
+//! contradicting revisions active for longer than a stated bound. The crate does no I/O and reads no clock;
+//! randomness comes from a seed. The design is explained in `docs/revisions.md`.
 //!
-//! An author's revision is *certified* once a quorum of keepers has accepted it for its number (single-decree Paxos
-//! for each number, Lamport 1998 section 2), which no two different ones can both be. It is then *prepared*: members
-//! fetch its text and say so to the keepers. It is *acted on* once a quorum of keepers has given the word (`Go`), which
-//! a keeper does when every member that is not excused has it. A member that has said so, and has not heard from a
-//! quorum of keepers for a lease, holds back what the change governs ([`Acting::held`]).
+//! An author's revision is *certified* once a quorum of acceptors has accepted it for its number
+//! (single-decree Paxos for each number, Lamport 1998 section 2); no two different revisions can be certified
+//! with the same number. It is then *prepared*: members fetch its text and report to the acceptors that they
+//! have it. It becomes *active* once a quorum of acceptors has granted its activation (`Go`), which an
+//! acceptor does when every member that is not excluded has prepared it. A member that has reported a
+//! revision as prepared and has not been answered by a quorum of acceptors for the length of a lease suspends
+//! whatever the change governs ([`Acting::held`]).
 
-mod apart;
+mod acceptor;
 mod certify;
+mod dissemination;
 mod gate;
 mod head;
-mod keeper;
-mod learned;
+mod learner;
 mod lease;
 pub mod lists;
 mod member;
 pub mod order;
-mod propose;
-mod spread;
+mod proposal;
+mod relay_leases;
 mod store;
 pub mod word;
 
@@ -28,59 +31,64 @@
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
 
+pub use acceptor::{Ballot, Keeper, Kept, Reply};
 pub use head::{Head, Signed, LONGEST_TEXT};
-pub use keeper::{Ballot, Keeper, Kept, Reply};
-pub use learned::Certified;
+pub use learner::Certified;
 pub use lease::{bound, lease_for, Regime};
 pub use member::{Acting, Check, Given, Hold, Revisions, Status, Terms};
 pub use store::{Stored, StoredFault};
 
-/// The number of a member, as in the ring.
+/// The number of a member in the ring.
 pub type Member = u16;
-/// The number of an author, as in the ring.
+/// The number of an author in the ring.
 pub type Author = u16;
-/// The number of a revision: 0 is what a member's own file says, certified ones count from 1.
+/// The number of a revision. 0 is the configuration in a member's own file; certified revisions count from 1.
 pub type Number = u32;
+/// A SHA-256 digest.
 pub type Digest = [u8; 32];
+/// An Ed25519 signature.
 pub type Signature = [u8; 64];
 
+/// The SHA-256 digest of `bytes`.
 pub fn digest(bytes: &[u8]) -> Digest {
     Sha256::digest(bytes).into()
 }
 
-/// Signs as this member, and checks what members and authors signed.
+/// Signs as the local member, and verifies signatures of members and authors.
 pub trait Hand {
     fn sign(&self, bytes: &[u8]) -> Signature;
+    /// Whether `member` signed `bytes`.
     fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool;
+    /// Whether `author` signed `bytes` with a key that is valid now.
     fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
-    /// The same by any key that the author ever had in the ring, one that holds no more among them.
+    /// Whether `author` signed `bytes` with any key that the ring ever listed for it, including revoked ones.
     fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
-    /// All members that have keys, in order.
+    /// All members that have keys, in ascending order.
     fn members(&self) -> &[Member];
-    /// Those of them that certify.
+    /// The members that are acceptors.
     fn keepers(&self) -> &[Member];
 }
 
-/// How many keepers make a quorum: any two quorums share one.
+/// The size of a quorum of `keepers` acceptors: any two quorums have an acceptor in common.
 pub fn quorum(keepers: usize) -> usize {
     keepers / 2 + 1
 }
 
-/// Why a revision that was pushed is not taken.
+/// Why a pushed revision is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refused {
-    #[error("its signature is not that of author {0}, or that author's key holds no more")]
+    #[error("its signature is not that of author {0}, or the author's key is no longer valid")]
     Author(Author),
-    #[error("number {0} is over or under the next one, {1}")]
+    #[error("number {0} is not the next number, {1}")]
     Number(Number, Number),
-    #[error("it follows another text than the one that was certified as {0}")]
+    #[error("its predecessor is not the revision certified as number {0}")]
     Before(Number),
-    #[error("its text has {0} bytes, its head says {1}; {LONGEST_TEXT} at most are taken")]
+    #[error("its text has {0} bytes; its head names {1}, and at most {LONGEST_TEXT} are allowed")]
     Length(usize, usize),
-    #[error("its text is not the one that its head names")]
+    #[error("its text does not match the digest in its head")]
     Digest,
-    #[error("its text: {0}")]
+    #[error("its text can't be activated: {0}")]
     Text(String),
-    #[error("the ring names no keepers")]
+    #[error("the ring lists no acceptors")]
     NoKeepers,
 }
--- a/crates/revisions/src/lists.rs
+++ b/crates/revisions/src/lists.rs
@@ -1,10 +1,12 @@
-//! Positions of lists. Each controller has its own connection to the list service, and lists lag by seconds; who hears of a
-//! later position than its own asks the service at once, and what members say of drains and ends counts sooner, in the
-//! safe direction alone: such a streamer is asked last, and a word that says the opposite does nothing.
+//! Positions of streamer lists. Each controller has its own connection to the list service, and its list may
+//! lag by seconds. A member that hears of a later position than its own refreshes its list at once. Removals
+//! and drains that members report take effect before the own list shows them, but only in the safe direction:
+//! such a streamer is tried last, and a report of the opposite has no effect.
 //!
-//! **A liar** can make a member ask twice a second at most, until three of its positions were not borne out; then it is
-//! not heard for a minute, then two, up to an hour. It can have no streamer set aside: two members must say so, each of
-//! which has not been found wrong of late, and what they say ends when the list itself gets there, or after some seconds.
+//! **A faulty member** can cause at most two refreshes a second, until three of its positions were not
+//! confirmed by the service. Its reports are then ignored for a minute, after each further one for twice as
+//! long, up to an hour. It can't set a streamer aside on its own: two members that are not currently ignored
+//! must report it, and their reports lapse when the own list reaches their position, or after some seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,30 +15,34 @@
 
 use crate::Member;
 
-/// Asks at the service for all that is heard, at most this often.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// A position that was asked for and that the list has not reached by then was none: a service answers in well under it.
-const BORNE_OUT_WITHIN: Duration = Duration::from_secs(3);
-/// So many wrong positions, and a member is not heard for a while; each further one doubles it.
-const WRONG: u32 = 3;
-const UNHEARD: Duration = Duration::from_secs(60);
-const UNHEARD_MOST: Duration = Duration::from_secs(3600);
-/// What members say of a streamer counts so long, if the list does not get there before.
-const COUNTS_FOR: Duration = Duration::from_secs(4);
-/// How many must say it.
-const SAY_SO: usize = 2;
-/// Streamers in one word, and held by words, at most.
-pub const IN_A_WORD: usize = 7;
-const HELD: usize = 256;
-
-/// Where a list stands: the service's run, and the change in it. A later run begins anew with lower numbers.
+/// Minimum interval between refreshes at the list service, for all reports together.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// A position that the own list has not reached after this time counts as wrong. A service answers in far
+/// less.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// After this number of wrong positions in a row a member is ignored; each further one doubles the time.
+const MAX_WRONG_POSITIONS: u32 = 3;
+const IGNORE_DURATION: Duration = Duration::from_secs(60);
+const MAX_IGNORE_DURATION: Duration = Duration::from_secs(3600);
+/// How long reports about a streamer count if the own list does not reach their position before.
+const REPORT_LIFETIME: Duration = Duration::from_secs(4);
+/// How many members must report a streamer.
+const MIN_REPORTERS: usize = 2;
+/// Maximum number of streamers in one message.
+pub const MAX_REMOVALS_PER_MESSAGE: usize = 7;
+/// Maximum number of streamers about which reports are kept.
+const MAX_REPORTED_STREAMERS: usize = 256;
+
+/// Position of a list: the run of the list service (`epoch`) and the change within it. A later run begins
+/// again with lower numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListPosition {
     pub epoch: u64,
     pub revision: u64,
 }
 
-/// A streamer, by its address and the start of its process: a later start is another one.
+/// A streamer process, identified by its address and start time: a process started later at that address is
+/// another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Off {
     pub ip: [u8; 4],
@@ -44,7 +50,8 @@
     pub start: u64,
 }
 
-/// What a member says of its list: where it stands, and what went off in its last changes.
+/// A member's report about its list: its position, and the streamers that its last changes removed or
+/// drained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
     pub position: ListPosition,
@@ -52,113 +59,120 @@
 }
 
 #[derive(Debug, Default)]
-struct Heard {
+struct MemberReports {
     position: ListPosition,
-    /// A position that is still to be borne out, and since when.
-    claims: Option<(ListPosition, Duration)>,
-    wrong: u32,
-    unheard_until: Duration,
+    /// A position that is still to be confirmed, and since when.
+    unconfirmed: Option<(ListPosition, Duration)>,
+    wrong_positions: u32,
+    ignored_until: Duration,
 }
 
+/// The position of the own list, and what other members report about theirs.
 #[derive(Debug, Default)]
 pub struct Lists {
     own: ListPosition,
-    /// What went off here of late, newest last, and when.
-    went: Vec<(Duration, Off)>,
-    heard: BTreeMap<Member, Heard>,
-    said: BTreeMap<Off, BTreeMap<Member, (Duration, ListPosition)>>,
-    ask_at: Duration,
-    wants: bool,
+    /// Streamers recently removed from or drained in the own list, with the time, newest last.
+    own_removals: Vec<(Duration, Off)>,
+    members: BTreeMap<Member, MemberReports>,
+    reports: BTreeMap<Off, BTreeMap<Member, (Duration, ListPosition)>>,
+    refresh_at: Duration,
+    refresh_wanted: bool,
 }
 
 impl Lists {
-    /// The own list got somewhere, and these went off by it.
+    /// The own list has reached `position`; the changes on the way removed or drained these streamers.
     pub fn reached(&mut self, now: Duration, position: ListPosition, off: impl IntoIterator<Item = Off>) {
         self.own = position;
-        self.went.extend(off.into_iter().map(|off| (now, off)));
-        self.went.retain(|(at, _)| now < *at + COUNTS_FOR);
-        let over = self.went.len().saturating_sub(IN_A_WORD);
-        self.went.drain(..over);
-        // What was said up to here is the list's to say now.
-        for said in self.said.values_mut() {
-            said.retain(|_, (_, at)| at.epoch != position.epoch || at.revision > position.revision);
+        self.own_removals.extend(off.into_iter().map(|off| (now, off)));
+        self.own_removals.retain(|(at, _)| now < *at + REPORT_LIFETIME);
+        let excess = self.own_removals.len().saturating_sub(MAX_REMOVALS_PER_MESSAGE);
+        self.own_removals.drain(..excess);
+        // For changes up to this position the own list decides.
+        for reports in self.reports.values_mut() {
+            reports.retain(|_, (_, at)| at.epoch != position.epoch || at.revision > position.revision);
         }
-        self.said.retain(|_, said| !said.is_empty());
+        self.reports.retain(|_, reports| !reports.is_empty());
     }
 
-    /// What this member says of its own.
+    /// What this member reports about its own list.
     pub fn tells(&self, now: Duration) -> Told {
-        let off = self.went.iter().filter(|(at, _)| now < *at + COUNTS_FOR).map(|(_, off)| *off).collect();
+        let off = self
+            .own_removals
+            .iter()
+            .filter(|(at, _)| now < *at + REPORT_LIFETIME)
+            .map(|(_, off)| *off)
+            .collect();
         Told { position: self.own, off }
     }
 
-    /// Whether a position is news here: later in this run, or of another run. Of two runs nobody can tell which is later, so
-    /// each is asked for; the service knows.
-    fn is_news(&self, position: ListPosition) -> bool {
+    /// Whether a position is unknown here: a later change of this run, or any change of another run. Which of
+    /// two runs is later can't be told from the epochs, so both are refreshed from the service, which knows.
+    fn is_unknown(&self, position: ListPosition) -> bool {
         position.epoch != self.own.epoch || position.revision > self.own.revision
     }
 
-    /// A member's word. Gives streamers that enough members now say to be off.
-    pub fn hears(&mut self, now: Duration, from: Member, told: &Told) -> Vec<Off> {
-        self.settle(now);
-        let news = self.is_news(told.position);
-        let heard = self.heard.entry(from).or_default();
-        let again = heard.position == told.position;
-        heard.position = told.position;
-        if now < heard.unheard_until || !news {
+    /// Takes a member's report. Returns the streamers that now have enough reports to be treated as removed.
+    pub fn hears(&mut self, now: Duration, from: Member, report: &Told) -> Vec<Off> {
+        self.check_unconfirmed(now);
+        let unknown = self.is_unknown(report.position);
+        let member = self.members.entry(from).or_default();
+        let repeated = member.position == report.position;
+        member.position = report.position;
+        if now < member.ignored_until || !unknown {
             return Vec::new();
         }
-        if !again {
-            self.wants = true;
-            heard.claims.get_or_insert((told.position, now));
+        if !repeated {
+            self.refresh_wanted = true;
+            member.unconfirmed.get_or_insert((report.position, now));
         }
-        let mut counted = Vec::new();
-        for off in told.off.iter().take(IN_A_WORD) {
-            if self.said.len() >= HELD && !self.said.contains_key(off) {
+        let mut confirmed = Vec::new();
+        for off in report.off.iter().take(MAX_REMOVALS_PER_MESSAGE) {
+            if self.reports.len() >= MAX_REPORTED_STREAMERS && !self.reports.contains_key(off) {
                 continue;
             }
-            let said = self.said.entry(*off).or_default();
-            said.retain(|_, (at, _)| now < *at + COUNTS_FOR);
-            let before = said.len();
-            said.insert(from, (now, told.position));
-            if before < SAY_SO && said.len() >= SAY_SO {
-                counted.push(*off);
+            let reports = self.reports.entry(*off).or_default();
+            reports.retain(|_, (at, _)| now < *at + REPORT_LIFETIME);
+            let before = reports.len();
+            reports.insert(from, (now, report.position));
+            if before < MIN_REPORTERS && reports.len() >= MIN_REPORTERS {
+                confirmed.push(*off);
             }
         }
-        counted
+        confirmed
     }
 
-    /// Holds what members claimed against where the own list has got.
-    fn settle(&mut self, now: Duration) {
+    /// Compares the positions that members reported with that of the own list.
+    fn check_unconfirmed(&mut self, now: Duration) {
         let own = self.own;
-        for heard in self.heard.values_mut() {
-            let Some((claimed, since)) = heard.claims else { continue };
-            if claimed.epoch == own.epoch && claimed.revision <= own.revision {
-                (heard.claims, heard.wrong) = (None, 0);
-            } else if now >= since + BORNE_OUT_WITHIN {
-                heard.claims = None;
-                heard.wrong += 1;
-                if heard.wrong >= WRONG {
-                    let doubled = UNHEARD * 2u32.saturating_pow(heard.wrong - WRONG).min(64);
-                    heard.unheard_until = now + doubled.min(UNHEARD_MOST);
+        for member in self.members.values_mut() {
+            let Some((reported, since)) = member.unconfirmed else { continue };
+            if reported.epoch == own.epoch && reported.revision <= own.revision {
+                (member.unconfirmed, member.wrong_positions) = (None, 0);
+            } else if now >= since + CONFIRMATION_TIMEOUT {
+                member.unconfirmed = None;
+                member.wrong_positions += 1;
+                if member.wrong_positions >= MAX_WRONG_POSITIONS {
+                    let doubled = IGNORE_DURATION
+                        * 2u32.saturating_pow(member.wrong_positions - MAX_WRONG_POSITIONS).min(64);
+                    member.ignored_until = now + doubled.min(MAX_IGNORE_DURATION);
                 }
             }
         }
     }
 
-    /// Whether the service is to be asked now.
+    /// Whether the list is to be refreshed from the service now.
     pub fn asks(&mut self, now: Duration) -> bool {
-        self.settle(now);
-        let due = self.wants && now >= self.ask_at;
+        self.check_unconfirmed(now);
+        let due = self.refresh_wanted && now >= self.refresh_at;
         if due {
-            (self.wants, self.ask_at) = (false, now + ASK_EVERY);
+            (self.refresh_wanted, self.refresh_at) = (false, now + REFRESH_INTERVAL);
         }
         due
     }
 
-    /// When [`Lists::asks`] is to be looked at.
+    /// When [`Lists::asks`] is to be called next.
     pub fn next_due(&self) -> Option<Duration> {
-        self.wants.then_some(self.ask_at)
+        self.refresh_wanted.then_some(self.refresh_at)
     }
 }
 
@@ -174,8 +188,8 @@
         Off { ip: [127, 0, 0, 1], port, start: 1 }
     }
 
-    fn told(position: ListPosition, of: &[Off]) -> Told {
-        Told { position, off: of.to_vec() }
+    fn report(position: ListPosition, off: &[Off]) -> Told {
+        Told { position, off: off.to_vec() }
     }
 
     fn ms(n: u64) -> Duration {
@@ -186,46 +200,51 @@
     fn a_later_position_is_asked_for_at_once_and_an_older_one_is_nothing() {
         let mut lists = Lists::default();
         lists.reached(ms(0), at(7, 10), []);
-        assert!(lists.hears(ms(1), 1, &told(at(7, 10), &[])).is_empty() && !lists.asks(ms(1)));
-        lists.hears(ms(2), 1, &told(at(7, 9), &[]));
+        assert!(lists.hears(ms(1), 1, &report(at(7, 10), &[])).is_empty() && !lists.asks(ms(1)));
+        lists.hears(ms(2), 1, &report(at(7, 9), &[]));
         assert!(!lists.asks(ms(2)));
-        lists.hears(ms(3), 1, &told(at(7, 11), &[]));
+        lists.hears(ms(3), 1, &report(at(7, 11), &[]));
         assert!(lists.asks(ms(3)) && !lists.asks(ms(4)));
-        // A service that was started anew counts from the start: its lower number is news too.
-        lists.hears(ms(600), 2, &told(at(8, 1), &[]));
+        // After a restart the service counts from the beginning, so a lower number of another epoch is new.
+        lists.hears(ms(600), 2, &report(at(8, 1), &[]));
         assert!(lists.asks(ms(600)));
     }
 
-    /// Two members must say that a streamer is off, and what the list has reached is the list's to say.
+    /// A streamer is set aside only on the reports of two members, and not for a position that the own list
+    /// has reached.
     #[test]
     fn one_member_sets_no_streamer_aside() {
         let mut lists = Lists::default();
         lists.reached(ms(0), at(7, 10), []);
         for n in 0..50 {
-            assert!(lists.hears(ms(n), 1, &told(at(7, 11 + n), &[off(5)])).is_empty());
+            assert!(lists.hears(ms(n), 1, &report(at(7, 11 + n), &[off(5)])).is_empty());
         }
-        assert_eq!(lists.hears(ms(60), 2, &told(at(7, 11), &[off(5), off(6)])), [off(5)]);
-        assert!(lists.hears(ms(61), 3, &told(at(7, 11), &[off(5)])).is_empty(), "it counts already");
+        assert_eq!(lists.hears(ms(60), 2, &report(at(7, 11), &[off(5), off(6)])), [off(5)]);
+        assert!(
+            lists.hears(ms(61), 3, &report(at(7, 11), &[off(5)])).is_empty(),
+            "the streamer is already reported"
+        );
         lists.reached(ms(70), at(7, 12), []);
-        assert!(lists.hears(ms(71), 2, &told(at(7, 12), &[off(6)])).is_empty());
+        assert!(lists.hears(ms(71), 2, &report(at(7, 12), &[off(6)])).is_empty());
         let own = lists.tells(ms(71));
         assert_eq!((own.position, own.off.len()), (at(7, 12), 0));
         lists.reached(ms(80), at(7, 13), (0..20).map(off));
-        assert_eq!(lists.tells(ms(81)).off.len(), IN_A_WORD);
+        assert_eq!(lists.tells(ms(81)).off.len(), MAX_REMOVALS_PER_MESSAGE);
     }
 
-    /// A liar that names positions that never come costs some asks, and is then not heard.
+    /// A faulty member that reports positions which never come causes a limited number of refreshes, and is
+    /// then ignored.
     #[test]
     fn a_liar_is_bounded() {
         let mut lists = Lists::default();
         lists.reached(ms(0), at(7, 10), []);
-        let mut asks = 0;
+        let mut refreshes = 0;
         for n in 0..600 {
-            lists.hears(ms(n * 100), 1, &told(at(7, 1000 + n), &[off(5)]));
-            asks += u32::from(lists.asks(ms(n * 100)));
+            lists.hears(ms(n * 100), 1, &report(at(7, 1000 + n), &[off(5)]));
+            refreshes += u32::from(lists.asks(ms(n * 100)));
         }
-        assert!(asks <= 25, "{asks} asks in a minute");
-        lists.hears(ms(60_050), 2, &told(at(7, 11), &[]));
-        assert!(lists.asks(ms(60_050)), "others are heard as before");
+        assert!(refreshes <= 25, "{refreshes} refreshes in a minute");
+        lists.hears(ms(60_050), 2, &report(at(7, 11), &[]));
+        assert!(lists.asks(ms(60_050)), "reports of others still count");
     }
 }
