--- a/crates/revisions/src/member.rs
+++ b/crates/revisions/src/member.rs
@@ -1,4 +1,4 @@
-//! A member: what it acts on, and what comes in.
+//! The state of a member: its active and prepared revisions, what it stores, and what it reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,472 +6,519 @@
 
 use badgerledge_core::chance::Chance;
 
-use crate::apart::Apart;
+use crate::dissemination::LEASE_RETRY_INTERVAL;
 use crate::gate::Gate;
-use crate::learned::Learned;
-use crate::lease::{Granted, Held, ASKS_IN_A_LEASE};
-use crate::propose::Proposal;
-use crate::spread::ASK_AGAIN;
+use crate::learner::Learner;
+use crate::lease::{GrantedLeases, HeldLeases, REQUESTS_PER_LEASE};
+use crate::proposal::Proposal;
+use crate::relay_leases::RelayLeases;
 use crate::store::Stored;
 use crate::word::{Gone, Position, Word};
 use crate::{bound, lease_for, Digest, Hand, Keeper, Member, Number, Regime, Signed};
 
-/// A text that this program can act on, or why it can't.
+/// Checks whether this program can activate a text, and if not, why.
 pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String> + Send>;
 
-/// A text that is wanted is asked for again, from another member, after this.
-const WANTS_EVERY: Duration = Duration::from_secs(1);
+/// Interval after which a text that is missing is requested again, from another member.
+const FETCH_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Texts that are kept without being certified: a flood of them, each of 16 MB at most, costs no more memory.
-const SPARE_TEXTS: usize = 3;
+/// Texts that are cached although nothing certified or proposed refers to them. A text has up to 16 MB, so
+/// the limit bounds the memory that a flood of texts can take.
+const MAX_UNREFERENCED_TEXTS: usize = 3;
 
-/// What a member is given.
+/// The configuration of a member.
 pub struct Terms {
     pub me: Member,
-    /// Later than all that this member had before.
+    /// Incarnation of the process; later than any that this member had before.
     pub life: u32,
     pub regime: Regime,
-    /// How long what was decided may take to go out, for the bound that is stated.
+    /// How long a decision may take to take effect after it was made; part of the stated bound.
     pub late: Duration,
     pub check: Check,
 }
 
-/// What a member wants done, in this order: what is stored must be on the disk before what follows goes out.
+/// Output of the state machine, in this order: whatever is to be stored must be durable before any later
+/// output is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Given {
     Send(Member, Vec<u8>),
     Store(Vec<u8>),
     StoreText(Digest, Arc<[u8]>),
-    /// The text of this head is to be fetched from that member.
+    /// Fetch the text of this head from that member.
     Fetch(Signed, Member),
-    /// What it acts on, or has prepared, is another.
+    /// The active or the prepared revision has changed.
     Changed,
-    /// A text that was certified can't be acted on here, and why.
+    /// A certified revision can't be activated by this member, for the given reason.
     Unfit(Number, String),
 }
 
-/// Why a member holds back.
+/// Why a member is on hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hold {
-    /// It has nothing stored, and no quorum of keepers has told it that its file is still what holds.
+    /// The member had no stored state, and no quorum of acceptors has confirmed yet that its own file is
+    /// current.
     Unsure,
-    /// No quorum of keepers has answered it for a lease.
+    /// No quorum of acceptors has granted a lease that is still valid.
     NoLease,
-    /// Others act on a revision that it does not have, or can't act on.
+    /// Other members may have activated a revision that this member does not have or can't activate.
     Behind,
 }
 
-/// What a member acts on at one time.
+/// The revisions that a member has active and prepared at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acting {
     pub active: Number,
-    /// A later one that it has said to have, and that others may act on at any time.
+    /// A later revision that this member has reported as prepared; others may activate it at any time.
     pub prepared: Option<Number>,
+    /// Why the member is on hold, if it is.
     pub held: Option<Hold>,
 }
 
-/// What a member knows, for its operator.
+/// The state of a member, for its operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     pub acting: Acting,
     pub certified: Number,
     pub digest: Digest,
-    /// How long two members may act on contradicting revisions at most.
+    /// The longest time for which two members may have contradicting revisions active.
     pub bound: Duration,
     pub lease_until: Option<Duration>,
-    /// Members that have not said to have the certified one, as far as this one knows.
+    /// Members that have not reported the certified revision as prepared, as far as this member knows.
     pub waited_for: Vec<Member>,
+    /// Members that an author has declared removed.
     pub gone: Vec<Member>,
     pub keeper: Option<Keeper>,
     pub positions: BTreeMap<Member, Position>,
 }
 
+/// The state machine of a member. Time, messages and random seed come from the caller; results are returned
+/// as [`Given`].
 pub struct Revisions<H> {
-    pub(crate) hand: H,
-    pub(crate) terms: Terms,
-    pub(crate) lease: Duration,
-    pub(crate) learned: Learned,
-    pub(crate) keeper: Option<Keeper>,
-    pub(crate) granted: Granted,
-    pub(crate) leases: Held,
+    pub(crate) signer: H,
+    pub(crate) config: Terms,
+    pub(crate) lease_duration: Duration,
+    pub(crate) learner: Learner,
+    pub(crate) acceptor: Option<Keeper>,
+    pub(crate) granted_leases: GrantedLeases,
+    pub(crate) held_leases: HeldLeases,
     pub(crate) positions: BTreeMap<Member, Position>,
     pub(crate) texts: BTreeMap<Digest, Arc<[u8]>>,
     pub(crate) active: Number,
     pub(crate) active_head: Option<Signed>,
     own_text: Arc<[u8]>,
-    /// The certified one that it has, checked and stored.
+    /// The certified revision whose text this member has checked and stored.
     pub(crate) prepared: Option<Number>,
-    /// The highest number that it said to have, and since when others may act on one that it does not act on.
-    pub(crate) told: (Number, Duration),
-    /// The certified one that it can't act on.
-    unfit: Option<Number>,
-    unsure: bool,
+    /// The highest number that was reported as prepared, and since when others may have a revision active
+    /// that is not active here.
+    pub(crate) reported_prepared: (Number, Duration),
+    /// The certified revision that this member can't activate.
+    unusable: Option<Number>,
+    unconfirmed: bool,
     pub(crate) proposal: Option<Proposal>,
-    /// The highest round of its own ballots in this life: none is used for two texts.
-    pub(crate) round: u32,
-    pub(crate) gone: BTreeMap<Member, Gone>,
-    pub(crate) chance: Chance,
-    pub(crate) next_beat: Duration,
-    pub(crate) next_ask: Duration,
-    /// How long the next wait for an answer is, while something is new.
-    pub(crate) ask_again: Duration,
-    pub(crate) next_fetch: Duration,
-    pub(crate) next_go: Duration,
-    pub(crate) next_give: Duration,
-    pub(crate) next_recall: Duration,
-    /// When a keeper that accepted what is still not certified proposes it itself.
-    pub(crate) next_rescue: Option<Duration>,
-    /// News go round faster until then.
-    pub(crate) busy_until: Duration,
-    /// When each member was last given what it lacked.
-    pub(crate) gave: BTreeMap<Member, Duration>,
-    /// What the driver decides, where the text stands for more than itself.
+    /// The highest round of this member's ballots in this incarnation; no round is used for two texts.
+    pub(crate) highest_round: u32,
+    pub(crate) removals: BTreeMap<Member, Gone>,
+    pub(crate) rng: Chance,
+    pub(crate) next_position_at: Duration,
+    pub(crate) next_lease_request_at: Duration,
+    /// The interval until the next lease request, while a change is recent.
+    pub(crate) lease_retry_interval: Duration,
+    pub(crate) next_fetch_at: Duration,
+    pub(crate) next_grant_resend_at: Duration,
+    pub(crate) next_catch_up_at: Duration,
+    pub(crate) next_recovery_request_at: Duration,
+    /// When an acceptor proposes a revision itself that it accepted and that is still not certified.
+    pub(crate) takeover_at: Option<Duration>,
+    /// Until then positions are exchanged at the short interval.
+    pub(crate) short_interval_until: Duration,
+    /// When each member was last sent what it lacked.
+    pub(crate) last_catch_up: BTreeMap<Member, Duration>,
+    /// Conditions set by the driver, where the text of a revision stands for more than itself.
     pub(crate) gate: Option<Gate>,
-    /// Relay leases, where they are on.
-    pub(crate) apart: Option<Apart>,
+    /// Relay leases, where they are enabled.
+    pub(crate) relay_leases: Option<RelayLeases>,
 }
 
 impl<H: Hand> Revisions<H> {
-    /// A member that acts on what it stored, or else on its own file. `texts` are those that it finds.
+    /// Creates a member from its stored state, or else from its own file. `texts` are the stored texts that
+    /// were found.
     pub fn new(
-        hand: H, terms: Terms, own_text: Arc<[u8]>, stored: Option<Stored>, texts: Vec<Arc<[u8]>>,
+        signer: H, config: Terms, own_text: Arc<[u8]>, stored: Option<Stored>, texts: Vec<Arc<[u8]>>,
         now: Duration, seed: u64,
     ) -> Self {
-        let lease = lease_for(hand.members().len());
-        let keeps = hand.keepers().contains(&terms.me);
-        let kept = stored.as_ref().and_then(|stored| stored.keeper.clone());
-        let keeper = keeps.then(|| kept.map_or_else(Keeper::reborn, Keeper::awake));
+        let lease_duration = lease_for(signer.members().len());
+        let is_acceptor = signer.keepers().contains(&config.me);
+        let acceptor_state = stored.as_ref().and_then(|stored| stored.keeper.clone());
+        let acceptor =
+            is_acceptor.then(|| acceptor_state.map_or_else(Keeper::recovering, Keeper::with_state));
         let mut member = Self {
-            unsure: stored.as_ref().is_none_or(|stored| stored.unsure),
-            lease,
-            learned: Learned::default(),
-            keeper,
-            granted: Granted::new(now),
-            leases: Held::new(terms.life),
+            unconfirmed: stored.as_ref().is_none_or(|stored| stored.unconfirmed),
+            lease_duration,
+            learner: Learner::default(),
+            acceptor,
+            granted_leases: GrantedLeases::new(now),
+            held_leases: HeldLeases::new(config.life),
             positions: BTreeMap::new(),
             texts: texts.into_iter().map(|text| (crate::digest(&text), text)).collect(),
             active: 0,
             active_head: None,
             own_text,
             prepared: None,
-            told: (0, Duration::ZERO),
-            unfit: None,
+            reported_prepared: (0, Duration::ZERO),
+            unusable: None,
             proposal: None,
-            round: 0,
-            gone: BTreeMap::new(),
-            chance: Chance(seed),
-            next_beat: now,
-            next_ask: now,
-            ask_again: ASK_AGAIN,
-            next_fetch: now,
-            next_go: now,
-            next_give: now,
-            next_recall: now,
-            next_rescue: None,
-            busy_until: now,
-            gave: BTreeMap::new(),
+            highest_round: 0,
+            removals: BTreeMap::new(),
+            rng: Chance(seed),
+            next_position_at: now,
+            next_lease_request_at: now,
+            lease_retry_interval: LEASE_RETRY_INTERVAL,
+            next_fetch_at: now,
+            next_grant_resend_at: now,
+            next_catch_up_at: now,
+            next_recovery_request_at: now,
+            takeover_at: None,
+            short_interval_until: now,
+            last_catch_up: BTreeMap::new(),
             gate: None,
-            apart: None,
-            hand,
-            terms,
+            relay_leases: None,
+            signer,
+            config,
         };
-        member.recall(stored.unwrap_or_default());
+        member.restore(stored.unwrap_or_default());
         member
     }
 
-    /// Takes what was stored, as far as it is whole: what it acted on, and what it had said to have.
-    fn recall(&mut self, stored: Stored) {
-        // How long ago it said so is not known: nothing is left of that time.
-        self.told = (stored.told, Duration::ZERO);
-        self.gone = stored.gone.iter().map(|gone| (gone.member, *gone)).collect();
-        let fit = |texts: &BTreeMap<Digest, Arc<[u8]>>, signed: &Signed, check: &Check| {
+    /// Restores the stored state as far as it is complete: the active revision, and what was reported as
+    /// prepared.
+    fn restore(&mut self, stored: Stored) {
+        // The time of the report is not stored, so the grace period after it counts as over.
+        self.reported_prepared = (stored.told, Duration::ZERO);
+        self.removals = stored.gone.iter().map(|removal| (removal.member, *removal)).collect();
+        let is_usable = |texts: &BTreeMap<Digest, Arc<[u8]>>, signed: &Signed, check: &Check| {
             texts.get(&signed.head.text).is_some_and(|text| check(text).is_ok())
         };
-        if let Some(top) = stored.top.filter(|top| top.holds(&self.hand)) {
-            if fit(&self.texts, &top.signed, &self.terms.check) {
-                self.prepared = Some(top.number());
+        if let Some(latest) = stored.top.filter(|latest| latest.holds(&self.signer)) {
+            if is_usable(&self.texts, &latest.signed, &self.config.check) {
+                self.prepared = Some(latest.number());
             }
-            self.keeper.iter_mut().for_each(|keeper| keeper.certified(top.number()));
-            self.learned.install(top);
+            self.acceptor.iter_mut().for_each(|acceptor| acceptor.on_certified(latest.number()));
+            self.learner.install(latest);
         }
-        // It is its own word that its author's key held when it voted.
-        let accepted = stored.accepted_head.filter(|head| self.accepted() == Some(head.head.digest()));
-        accepted.into_iter().for_each(|head| self.learned.recall_head(head));
-        if let Some(head) = stored.active_head.filter(|head| fit(&self.texts, head, &self.terms.check)) {
+        // This member verified that the author's key was valid when it voted for the head.
+        let accepted = stored.accepted_head.filter(|head| self.accepted_digest() == Some(head.head.digest()));
+        accepted.into_iter().for_each(|head| self.learner.restore_head(head));
+        if let Some(head) = stored.active_head.filter(|head| is_usable(&self.texts, head, &self.config.check))
+        {
             (self.active, self.active_head) = (stored.active, Some(head));
         } else if stored.active > 0 {
-            // What it acted on is not to be found whole: its file may be far older.
-            self.unsure = true;
+            // The text of the stored active revision is missing or unusable, and the own file may be far
+            // older.
+            self.unconfirmed = true;
         }
     }
 
+    /// The signer of this member.
     pub fn hand(&self) -> &H {
-        &self.hand
+        &self.signer
     }
 
-    /// Takes another ring. Keepers that it names anew or no more count from now on.
-    pub fn take_hand(&mut self, hand: H) {
-        self.lease = lease_for(hand.members().len());
-        self.learned.recheck(self.accepted(), &hand);
-        let learned = &self.learned;
-        self.proposal.take_if(|proposal| learned.head(&proposal.wanted.head.digest()).is_none());
-        self.hand = hand;
+    /// Replaces the ring. Acceptors that it adds or no longer lists count accordingly from now on.
+    pub fn take_hand(&mut self, signer: H) {
+        self.lease_duration = lease_for(signer.members().len());
+        self.learner.revalidate_heads(self.accepted_digest(), &signer);
+        let learner = &self.learner;
+        self.proposal.take_if(|proposal| learner.head(&proposal.pushed.head.digest()).is_none());
+        self.signer = signer;
     }
 
-    /// What a keeper accepted last, while its number is open.
-    pub(crate) fn accepted(&self) -> Option<Digest> {
-        self.keeper.as_ref().and_then(|keeper| keeper.kept().accepted).map(|(_, digest)| digest)
+    /// The digest that this acceptor accepted last, while its number is not certified.
+    pub(crate) fn accepted_digest(&self) -> Option<Digest> {
+        self.acceptor.as_ref().and_then(|acceptor| acceptor.kept().accepted).map(|(_, digest)| digest)
     }
 
+    /// The length of a lease.
     pub fn lease(&self) -> Duration {
-        self.lease
+        self.lease_duration
     }
 
-    /// The text that is acted on.
+    /// The text of the active revision.
     pub fn active_text(&self) -> &Arc<[u8]> {
         let text = self.active_head.as_ref().and_then(|signed| self.texts.get(&signed.head.text));
         text.unwrap_or(&self.own_text)
     }
 
-    /// The text of what is prepared, while it is not acted on.
+    /// The text of the prepared revision, while it is not active.
     pub fn prepared_text(&self) -> Option<&Arc<[u8]>> {
-        let top = self.learned.top.as_ref()?;
-        self.prepared_number().and_then(|_| self.texts.get(&top.signed.head.text))
+        let latest = self.learner.latest.as_ref()?;
+        self.pending_prepared().and_then(|_| self.texts.get(&latest.signed.head.text))
     }
 
-    /// The text of the highest revision that is known certified, once it is here.
+    /// The text of the latest certified revision, if this member has it.
     pub fn latest_text(&self) -> Option<&Arc<[u8]>> {
-        match &self.learned.top {
-            Some(top) => self.texts.get(&top.signed.head.text),
+        match &self.learner.latest {
+            Some(latest) => self.texts.get(&latest.signed.head.text),
             None => Some(&self.own_text),
         }
     }
 
-    /// A text that this member has, for others.
+    /// The text with this digest, for other members that fetch it.
     pub fn text_of(&self, text: &Digest) -> Option<&Arc<[u8]>> {
         self.texts.get(text)
     }
 
-    /// The head that a next revision must follow, and its number.
+    /// The number of the next revision, and the digest of the head that it must name as its predecessor.
     pub fn next(&self) -> (Number, Digest) {
-        (self.learned.number() + 1, self.learned.digest())
+        (self.learner.number() + 1, self.learner.digest())
     }
 
-    fn prepared_number(&self) -> Option<Number> {
+    fn pending_prepared(&self) -> Option<Number> {
         self.prepared.filter(|number| *number > self.active)
     }
 
-    /// What it may act on. It is to be asked just before each decision that a revision governs: a process that stood
-    /// still for longer than its lease learns here that it did.
+    /// The revisions that are active and prepared, and whether the member is on hold. The caller evaluates it
+    /// just before each decision that a revision governs, so that a process that was suspended for longer
+    /// than its lease notices.
     pub fn acting(&self, now: Duration) -> Acting {
-        let prepared = self.prepared_number();
-        Acting { active: self.active, prepared, held: self.hold(now) }
+        let prepared = self.pending_prepared();
+        Acting { active: self.active, prepared, held: self.hold_reason(now) }
     }
 
-    fn hold(&self, now: Duration) -> Option<Hold> {
-        if self.learned.may_act(&self.hand) && self.learned.number() > self.active {
+    fn hold_reason(&self, now: Duration) -> Option<Hold> {
+        if self.learner.may_act(&self.signer) && self.learner.number() > self.active {
             return Some(Hold::Behind);
         }
-        if self.hand.keepers().is_empty() {
+        if self.signer.keepers().is_empty() {
             return None;
         }
-        let until = self.leases.until(self.hand.keepers().len(), self.lease);
+        let until = self.held_leases.valid_until(self.signer.keepers().len(), self.lease_duration);
         let leased = until.is_some_and(|until| now < until);
         if leased {
             return None;
         }
-        if self.unsure {
+        if self.unconfirmed {
             return Some(Hold::Unsure);
         }
-        let pending = self.told.0 > self.active;
-        // Where a change waits for each, nobody acted on what it had not said to have before it said so.
-        let fresh = self.terms.regime == Regime::Wait && pending && now < self.told.1 + self.lease;
-        let needs = self.terms.regime == Regime::Hold || pending;
-        (needs && !fresh).then_some(Hold::NoLease)
+        let pending = self.reported_prepared.0 > self.active;
+        // Under `Wait` nobody can have activated a revision before this member reported it as prepared, so
+        // for the length of a lease after that report no lease is needed.
+        let in_grace_period = self.config.regime == Regime::Wait
+            && pending
+            && now < self.reported_prepared.1 + self.lease_duration;
+        let needs_lease = self.config.regime == Regime::Hold || pending;
+        (needs_lease && !in_grace_period).then_some(Hold::NoLease)
     }
 
-    /// Where it stands, for others.
+    /// What this member reports about itself to others.
     pub(crate) fn position(&self, now: Duration) -> Position {
-        let certified = self.learned.number();
+        let certified = self.learner.number();
         Position {
             active: self.active,
             certified,
             has_text: certified == 0 || self.is_prepared(certified),
-            refuses: self.unfit == Some(certified) && certified > 0,
-            held: self.hold(now).is_some(),
+            refuses: self.unusable == Some(certified) && certified > 0,
+            held: self.hold_reason(now).is_some(),
         }
     }
 
-    /// How long two members may act on contradicting revisions at most.
+    /// The longest time for which two members may have contradicting revisions active.
     pub fn bound(&self) -> Duration {
-        bound(self.lease, self.terms.late)
+        bound(self.lease_duration, self.config.late)
     }
 
+    /// The state of this member, for its operator.
     pub fn status(&self, now: Duration) -> Status {
         Status {
             acting: self.acting(now),
-            certified: self.learned.number(),
-            digest: self.learned.digest(),
+            certified: self.learner.number(),
+            digest: self.learner.digest(),
             bound: self.bound(),
-            lease_until: self.leases.until(self.hand.keepers().len(), self.lease),
+            lease_until: self.held_leases.valid_until(self.signer.keepers().len(), self.lease_duration),
             waited_for: self.waited_for(now),
-            gone: self.gone.values().filter(|gone| gone.gone).map(|gone| gone.member).collect(),
-            keeper: self.keeper.clone(),
+            gone: self
+                .removals
+                .values()
+                .filter(|removal| removal.gone)
+                .map(|removal| removal.member)
+                .collect(),
+            keeper: self.acceptor.clone(),
             positions: self.positions.clone(),
         }
     }
 
-    /// What must outlive the process.
-    pub(crate) fn store(&self, out: &mut Vec<Given>) {
+    /// Emits the state that must survive the process.
+    pub(crate) fn persist(&self, out: &mut Vec<Given>) {
         let stored = Stored {
             active: self.active,
             active_head: self.active_head,
-            told: self.told.0,
-            top: self.learned.top.clone(),
-            keeper: self.keeper.as_ref().filter(|keeper| !keeper.is_asking()).map(|k| k.kept().clone()),
-            gone: self.gone.values().copied().collect(),
-            unsure: self.unsure,
-            accepted_head: self.accepted().and_then(|digest| self.learned.head(&digest).copied()),
+            told: self.reported_prepared.0,
+            top: self.learner.latest.clone(),
+            keeper: self
+                .acceptor
+                .as_ref()
+                .filter(|acceptor| !acceptor.is_asking())
+                .map(|acceptor| acceptor.kept().clone()),
+            gone: self.removals.values().copied().collect(),
+            unconfirmed: self.unconfirmed,
+            accepted_head: self.accepted_digest().and_then(|digest| self.learner.head(&digest).copied()),
         };
         out.push(Given::Store(stored.write()));
     }
 
-    /// An author's word that a member is off for good, or back. Tells whether it was new.
-    pub fn take_gone(&mut self, now: Duration, gone: Gone, out: &mut Vec<Given>) -> bool {
-        let known = self.gone.get(&gone.member).is_some_and(|held| held.sequence >= gone.sequence);
-        if known || !gone.holds(&self.hand) {
+    /// Takes an author's statement that a member is permanently removed, or is back. Returns whether it was
+    /// new.
+    pub fn take_gone(&mut self, now: Duration, removal: Gone, out: &mut Vec<Given>) -> bool {
+        let known = self
+            .removals
+            .get(&removal.member)
+            .is_some_and(|known_removal| known_removal.sequence >= removal.sequence);
+        if known || !removal.holds(&self.signer) {
             return false;
         }
-        self.gone.insert(gone.member, gone);
-        // Who is said to be off was not waited for: what it acts on may be over.
-        self.unsure |= gone.gone && gone.member == self.terms.me;
-        self.store(out);
-        for keeper in self.hand.keepers().to_vec() {
-            self.say(now, keeper, Word::Gone(gone), out);
+        self.removals.insert(removal.member, removal);
+        // Nobody waits for a removed member, so its active revision may be out of date.
+        self.unconfirmed |= removal.gone && removal.member == self.config.me;
+        self.persist(out);
+        for keeper in self.signer.keepers().to_vec() {
+            self.send(now, keeper, Word::Gone(removal), out);
         }
-        self.consider_go(now, out);
+        self.grant_activation_if_ready(now, out);
         true
     }
 
-    /// Whether what a certified revision says is on the disk here, and told.
+    /// Prepares the latest certified revision if its text is here: checks it, stores it and reports it to the
+    /// acceptors.
     pub(crate) fn prepare(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let Some(top) = &self.learned.top else { return };
-        let (number, signed) = (top.number(), top.signed);
-        let settled = self.unfit == Some(number) || self.prepared >= Some(number);
-        if settled || self.active >= number {
-            return self.act(now, out);
+        let Some(latest) = &self.learner.latest else { return };
+        let (number, signed) = (latest.number(), latest.signed);
+        let done = self.unusable == Some(number) || self.prepared >= Some(number);
+        if done || self.active >= number {
+            return self.activate(now, out);
         }
         let Some(text) = self.texts.get(&signed.head.text).cloned() else {
-            self.next_fetch = now;
+            self.next_fetch_at = now;
             return;
         };
-        if let Err(why) = (self.terms.check)(&text) {
-            self.unfit = Some(number);
-            out.push(Given::Unfit(number, why));
+        if let Err(reason) = (self.config.check)(&text) {
+            self.unusable = Some(number);
+            out.push(Given::Unfit(number, reason));
             return;
         }
-        // On the disk before anybody counts on it.
-        let pending = self.told.0 > self.active;
-        self.told = (number, if pending { self.told.1 } else { now });
+        // The text must be durable before anybody relies on the report.
+        let pending = self.reported_prepared.0 > self.active;
+        self.reported_prepared = (number, if pending { self.reported_prepared.1 } else { now });
         self.prepared = Some(number);
         out.push(Given::StoreText(signed.head.text, text));
-        self.store(out);
+        self.persist(out);
         out.push(Given::Changed);
-        (self.next_ask, self.ask_again) = (now, ASK_AGAIN);
-        self.news(now);
-        self.act(now, out);
-        self.consider_go(now, out);
+        (self.next_lease_request_at, self.lease_retry_interval) = (now, LEASE_RETRY_INTERVAL);
+        self.use_short_interval(now);
+        self.activate(now, out);
+        self.grant_activation_if_ready(now, out);
     }
 
-    /// Acts on the certified one, once a quorum gave the word.
-    pub(crate) fn act(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let Some(top) = self.learned.top.as_ref().filter(|top| top.number() > self.active) else { return };
-        let ready = self.prepared == Some(top.number());
-        if !ready || !self.learned.may_act(&self.hand) {
+    /// Activates the latest certified revision once a quorum of acceptors has granted its activation.
+    pub(crate) fn activate(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let Some(latest) = self.learner.latest.as_ref().filter(|latest| latest.number() > self.active) else {
+            return;
+        };
+        let ready = self.prepared == Some(latest.number());
+        if !ready || !self.learner.may_act(&self.signer) {
             return;
         }
-        (self.active, self.active_head) = (top.number(), Some(top.signed));
-        let of_use: Vec<Digest> = self.heads_of_use();
-        self.texts.retain(|text, _| of_use.contains(text));
-        self.store(out);
+        (self.active, self.active_head) = (latest.number(), Some(latest.signed));
+        let in_use: Vec<Digest> = self.texts_in_use();
+        self.texts.retain(|text, _| in_use.contains(text));
+        self.persist(out);
         out.push(Given::Changed);
-        self.next_ask = self.next_ask.min(now + self.lease / ASKS_IN_A_LEASE);
-        self.news(now);
+        self.next_lease_request_at =
+            self.next_lease_request_at.min(now + self.lease_duration / REQUESTS_PER_LEASE);
+        self.use_short_interval(now);
     }
 
-    fn heads_of_use(&self) -> Vec<Digest> {
-        let wanted = self.proposal.as_ref().map(|proposal| proposal.wanted.head.text);
-        let top = self.learned.top.as_ref().map(|top| top.signed.head.text);
-        // What it voted for may be certified by others' votes, and must then be had from somebody.
+    fn texts_in_use(&self) -> Vec<Digest> {
+        let pushed = self.proposal.as_ref().map(|proposal| proposal.pushed.head.text);
+        let latest = self.learner.latest.as_ref().map(|latest| latest.signed.head.text);
+        // A text that this acceptor voted for may be certified by the votes of others, and must then be
+        // available from somebody.
         let chosen = self.proposal.as_ref().and_then(|proposal| proposal.chosen);
-        let open = [self.accepted(), chosen].into_iter().flatten();
-        let open = open.filter_map(|digest| self.learned.head(&digest)).map(|signed| signed.head.text);
+        let uncertified = [self.accepted_digest(), chosen].into_iter().flatten();
+        let uncertified =
+            uncertified.filter_map(|digest| self.learner.head(&digest)).map(|signed| signed.head.text);
         let active = self.active_head.map(|signed| signed.head.text);
-        active.into_iter().chain(top).chain(wanted).chain(open).collect()
+        active.into_iter().chain(latest).chain(pushed).chain(uncertified).collect()
     }
 
-    /// Something is new: it goes round faster for a while.
-    pub(crate) fn news(&mut self, now: Duration) {
-        self.busy_until = now + self.lease * 2;
-        self.next_beat = now;
+    /// Starts the period in which positions are exchanged at the short interval.
+    pub(crate) fn use_short_interval(&mut self, now: Duration) {
+        self.short_interval_until = now + self.lease_duration * 2;
+        self.next_position_at = now;
     }
 
-    /// A quorum of keepers has answered one that had nothing stored.
-    pub(crate) fn sure(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let leased =
-            self.leases.until(self.hand.keepers().len(), self.lease).is_some_and(|until| now < until);
-        if self.unsure && leased {
-            self.unsure = false;
-            self.store(out);
+    /// Ends the unconfirmed state once a quorum of acceptors has granted leases.
+    pub(crate) fn confirm(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let leased = self
+            .held_leases
+            .valid_until(self.signer.keepers().len(), self.lease_duration)
+            .is_some_and(|until| now < until);
+        if self.unconfirmed && leased {
+            self.unconfirmed = false;
+            self.persist(out);
             out.push(Given::Changed);
         }
     }
 
-    /// When the text of the certified one is still to be fetched: its head.
-    pub(crate) fn lacks_text(&self) -> Option<Signed> {
-        let top = self.learned.top.as_ref()?;
-        let settled = self.unfit == Some(top.number()) || self.prepared >= Some(top.number());
-        (!settled && !self.texts.contains_key(&top.signed.head.text)).then_some(top.signed)
+    /// The head of the latest certified revision, if its text is still to be fetched.
+    pub(crate) fn missing_text(&self) -> Option<Signed> {
+        let latest = self.learner.latest.as_ref()?;
+        let done = self.unusable == Some(latest.number()) || self.prepared >= Some(latest.number());
+        (!done && !self.texts.contains_key(&latest.signed.head.text)).then_some(latest.signed)
     }
 
-    pub(crate) fn fetch(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let Some(signed) = self.lacks_text() else { return };
-        self.next_fetch = now + WANTS_EVERY;
+    /// Requests the missing text from a random member that has it, or else from an acceptor.
+    pub(crate) fn fetch_text(&mut self, now: Duration, out: &mut Vec<Given>) {
+        let Some(signed) = self.missing_text() else { return };
+        self.next_fetch_at = now + FETCH_RETRY_INTERVAL;
         let number = signed.head.number;
-        let has = |(_, position): &(&Member, &Position)| position.certified >= number && position.has_text;
-        let mut from: Vec<Member> = self.positions.iter().filter(has).map(|(member, _)| *member).collect();
-        if from.is_empty() {
-            from = self.hand.keepers().iter().copied().filter(|keeper| *keeper != self.terms.me).collect();
+        let has_text =
+            |(_, position): &(&Member, &Position)| position.certified >= number && position.has_text;
+        let mut sources: Vec<Member> =
+            self.positions.iter().filter(has_text).map(|(member, _)| *member).collect();
+        if sources.is_empty() {
+            sources =
+                self.signer.keepers().iter().copied().filter(|keeper| *keeper != self.config.me).collect();
         }
-        if let Some(from) = self.one_of(&from) {
-            out.push(Given::Fetch(signed, from));
+        if let Some(source) = self.random_member(&sources) {
+            out.push(Given::Fetch(signed, source));
         }
     }
 
-    /// Keeps a text; of those that nothing certified names, a few.
-    pub(crate) fn keep_text(&mut self, of: Digest, text: Arc<[u8]>) {
-        let of_use = self.heads_of_use();
-        let spare: Vec<Digest> = self.texts.keys().copied().filter(|text| !of_use.contains(text)).collect();
-        if spare.len() >= SPARE_TEXTS {
-            spare.first().map(|text| self.texts.remove(text));
+    /// Caches a text. Only a few of those that nothing certified or proposed refers to are kept.
+    pub(crate) fn cache_text(&mut self, digest: Digest, text: Arc<[u8]>) {
+        let in_use = self.texts_in_use();
+        let unreferenced: Vec<Digest> =
+            self.texts.keys().copied().filter(|text| !in_use.contains(text)).collect();
+        if unreferenced.len() >= MAX_UNREFERENCED_TEXTS {
+            unreferenced.first().map(|text| self.texts.remove(text));
         }
-        self.texts.insert(of, text);
+        self.texts.insert(digest, text);
     }
 
-    pub(crate) fn one_of(&mut self, members: &[Member]) -> Option<Member> {
-        let at = (self.chance.share() * members.len() as f64) as usize;
-        members.get(at).copied()
+    /// One of these members, chosen at random.
+    pub(crate) fn random_member(&mut self, members: &[Member]) -> Option<Member> {
+        let index = (self.rng.share() * members.len() as f64) as usize;
+        members.get(index).copied()
     }
 
-    /// A text came that was to be fetched.
+    /// Takes a text that was fetched.
     ///
     /// # Errors
-    /// Where it is not the text that its head names; nothing has changed then.
+    /// If it is not the text that its head names; nothing has changed then.
     pub fn take_text(
         &mut self, now: Duration, signed: &Signed, text: Arc<[u8]>, out: &mut Vec<Given>,
     ) -> Result<(), crate::Refused> {
         signed.head.check_text(&text)?;
-        self.keep_text(signed.head.text, text);
+        self.cache_text(signed.head.text, text);
         self.prepare(now, out);
         Ok(())
     }
--- a/crates/revisions/src/order.rs
+++ b/crates/revisions/src/order.rs
@@ -1,51 +1,56 @@
-//! What operators' programs and other members ask a controller on a stream: a line of JSON, and where it says so the
-//! bytes of a text behind it; answered with a line, and where it says so with bytes.
+//! Requests of operators' programs and of other members to a controller, over a stream connection. A request
+//! is a line of JSON, for some followed by the bytes of a text; the response is a line, for some followed by
+//! bytes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::word::Gone;
 use crate::{Member, Number, Signed, LONGEST_TEXT};
 
-/// Bytes of a line at most.
+/// Maximum length of a line in bytes.
 pub const LONGEST_LINE: usize = 64 * 1024;
-/// Bytes of a text in one answer: a reader that is slow or gone costs no more.
+/// Maximum number of bytes of a text in one response. It bounds the memory that a slow or vanished reader can
+/// occupy.
 pub const PIECE: usize = 256 * 1024;
 
+/// A request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum Order {
-    /// A piece of a text by its digest, from that byte on; the answer names the bytes that follow it.
+    /// Part of the text with this digest, beginning at byte `from`; the response says how many bytes follow
+    /// it.
     Text {
         text: String,
         from: usize,
     },
-    /// The text that is acted on here.
+    /// The text of the active revision.
     Active,
-    /// The text of the highest revision that is known certified: what a next one is to be made from.
+    /// The text of the latest certified revision, which the next one is based on.
     Latest,
-    /// A revision; the bytes of its text follow.
+    /// A new revision; the bytes of its text follow the line.
     Push {
         head: String,
         bytes: usize,
     },
-    /// An author's word that a member is off for good, or back.
+    /// An author's statement that a member is permanently removed, or is back.
     Gone {
         gone: String,
     },
     Status,
 }
 
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// So many bytes follow.
+    /// This number of bytes follows.
     Bytes(usize),
     Taken,
     Refused(String),
     Status(Box<Report>),
 }
 
-/// What a controller tells its operator.
+/// The state that a controller reports to its operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     pub member: Member,
@@ -53,52 +58,57 @@
     pub regime: String,
     pub active: Number,
     pub certified: Number,
-    /// The digest of the certified head, which the next one must name, in hex.
+    /// Digest of the certified head in hex, which the next head must name as its predecessor.
     pub digest: String,
     pub prepared: Option<Number>,
     pub held: Option<String>,
-    /// What it acts on came from its own file, its store, or its peers.
+    /// Whether the active revision came from the member's own file, its store, or its peers.
     pub source: String,
     pub bound_ms: u64,
     pub waited_for: Vec<Member>,
     pub gone: Vec<Member>,
-    /// For a keeper: what it can do now.
+    /// What an acceptor can currently do.
     pub keeper: Option<String>,
-    /// Members that it has heard of, and what each acts on.
+    /// For each member that has reported its position: its number, its active revision, and whether it is on
+    /// hold.
     pub members: Vec<(Member, Number, bool)>,
 }
 
-/// A head or a word on a member, as a line holds it.
+/// Encodes a head or a removal for a line.
 pub fn to_hex(value: &impl Serialize) -> String {
     hex::encode(postcard::to_stdvec(value).unwrap_or_default())
 }
 
+/// Decodes a head; `None` unless its number and length are valid.
 pub fn head_of(text: &str) -> Option<Signed> {
     let signed: Signed = postcard::from_bytes(&hex::decode(text).ok()?).ok()?;
     let head = &signed.head;
     (head.number > 0 && head.length as usize <= LONGEST_TEXT).then_some(signed)
 }
 
+/// Decodes a removal.
 pub fn gone_of(text: &str) -> Option<Gone> {
     postcard::from_bytes(&hex::decode(text).ok()?).ok()
 }
 
-/// A line at the front of what came: it, and the bytes that it takes with its end. Nothing while it is not whole.
+/// Parses the line at the front of `bytes`. Returns it with its length including the line end, or `None`
+/// while it is incomplete.
 ///
 /// # Errors
-/// Where it is longer than a line may be, or no such order or answer.
+/// If the line is too long, or is not a valid request or response.
 pub fn line<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<Option<(T, usize)>, String> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         None if bytes.len() > LONGEST_LINE => Err(format!("a line of over {LONGEST_LINE} bytes")),
         None => Ok(None),
-        Some(end) => {
-            serde_json::from_slice(&bytes[..end]).map(|told| Some((told, end + 1))).map_err(|e| e.to_string())
-        }
+        Some(end) => serde_json::from_slice(&bytes[..end])
+            .map(|value| Some((value, end + 1)))
+            .map_err(|error| error.to_string()),
     }
 }
 
-pub fn write(told: &impl Serialize) -> Vec<u8> {
-    let mut bytes = serde_json::to_vec(told).unwrap_or_default();
+/// Encodes a request or response as a line.
+pub fn write(value: &impl Serialize) -> Vec<u8> {
+    let mut bytes = serde_json::to_vec(value).unwrap_or_default();
     bytes.push(b'\n');
     bytes
 }
--- a/crates/revisions/src/store.rs
+++ b/crates/revisions/src/store.rs
@@ -1,39 +1,41 @@
-//! What a member stores: sealed by a digest, so that a torn or flipped one is nothing rather than wrong.
+//! The stored state of a member. A digest protects it, so that a truncated or corrupted file is detected.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::keeper::Kept;
-use crate::learned::Certified;
+use crate::acceptor::Kept;
+use crate::learner::Certified;
 use crate::{digest, Number};
 
-const MARK: &[u8; 4] = b"blr2";
-/// Without the head that a keeper accepted.
-const MARK_1: &[u8; 4] = b"blr1";
+const MAGIC: &[u8; 4] = b"blr2";
+/// The first version, without the last two fields.
+const MAGIC_V1: &[u8; 4] = b"blr1";
 
-/// All that outlives the process, texts apart.
+/// All state that survives the process, except texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// The revision that it acts on; 0 is its own file.
+    /// The active revision; 0 is the member's own file.
     pub active: Number,
     pub active_head: Option<crate::Signed>,
-    /// The highest number that it said to keepers to have: from then on others may act on it.
+    /// The highest number that was reported to acceptors as prepared; others may have it active since then.
     pub told: Number,
-    /// The highest that it knows certified.
+    /// The highest revision that it knows certified.
     pub top: Option<Certified>,
-    /// A keeper's part.
+    /// The acceptor's state.
     pub keeper: Option<Kept>,
-    /// The latest words on members that are off for good.
+    /// The latest statements on removed members.
     pub gone: Vec<crate::word::Gone>,
-    /// The head that a keeper accepted last, while it is not certified: it must name it, and others may not know it.
+    /// The head that the acceptor accepted last, while it is not certified. The acceptor must name it to
+    /// proposers, and other members may not know it.
     pub accepted_head: Option<crate::Signed>,
-    /// It had nothing stored before, and no quorum of keepers has told it yet that its file is still what holds.
-    pub unsure: bool,
+    /// Whether the member had no stored state, and no quorum of acceptors has confirmed yet that its own file
+    /// is current.
+    pub unconfirmed: bool,
 }
 
-/// What the first version of it had.
+/// The fields of the first version.
 #[derive(Deserialize)]
-struct Stored1 {
+struct StoredV1 {
     active: Number,
     active_head: Option<crate::Signed>,
     told: Number,
@@ -42,43 +44,47 @@
     gone: Vec<crate::word::Gone>,
 }
 
-impl From<Stored1> for Stored {
-    fn from(old: Stored1) -> Self {
-        let Stored1 { active, active_head, told, top, keeper, gone } = old;
-        Self { active, active_head, told, top, keeper, gone, accepted_head: None, unsure: false }
+impl From<StoredV1> for Stored {
+    fn from(old: StoredV1) -> Self {
+        let StoredV1 { active, active_head, told, top, keeper, gone } = old;
+        Self { active, active_head, told, top, keeper, gone, accepted_head: None, unconfirmed: false }
     }
 }
 
+/// Why a stored state can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StoredFault {
-    #[error("it is not what this program stores, or a newer version of it")]
+    #[error("not a stored state, or one of a newer version")]
     Kind,
-    #[error("it is torn or changed: its seal does not fit")]
+    #[error("truncated or corrupted: the digest does not match")]
     Seal,
-    #[error("its seal fits, and it can't be read")]
+    #[error("the digest matches, but the content can't be decoded")]
     Form,
 }
 
 impl Stored {
+    /// The encoded state with its magic number and digest.
     pub fn write(&self) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        [&MARK[..], &digest(&body), &body].concat()
+        [&MAGIC[..], &digest(&body), &body].concat()
     }
 
+    /// Decodes a stored state.
+    ///
     /// # Errors
-    /// Where it is of another kind, torn, or not in order: it is as if nothing were stored.
+    /// If it is of another kind, truncated, or invalid; the caller then treats it as if nothing were stored.
     pub fn read(bytes: &[u8]) -> Result<Self, StoredFault> {
-        let (rest, first) = match (bytes.strip_prefix(MARK), bytes.strip_prefix(MARK_1)) {
+        let (rest, is_v1) = match (bytes.strip_prefix(MAGIC), bytes.strip_prefix(MAGIC_V1)) {
             (Some(rest), _) => (rest, false),
             (None, Some(rest)) => (rest, true),
             (None, None) => return Err(StoredFault::Kind),
         };
-        let (seal, body) = rest.split_at_checked(32).ok_or(StoredFault::Seal)?;
-        if digest(body)[..] != *seal {
+        let (digest_bytes, body) = rest.split_at_checked(32).ok_or(StoredFault::Seal)?;
+        if digest(body)[..] != *digest_bytes {
             return Err(StoredFault::Seal);
         }
-        if first {
-            return postcard::from_bytes::<Stored1>(body).map(Self::from).map_err(|_| StoredFault::Form);
+        if is_v1 {
+            return postcard::from_bytes::<StoredV1>(body).map(Self::from).map_err(|_| StoredFault::Form);
         }
         postcard::from_bytes(body).map_err(|_| StoredFault::Form)
     }
--- a/crates/revisions/src/tests.rs
+++ b/crates/revisions/src/tests.rs
@@ -1,6 +1,6 @@
-mod apart;
-mod every;
+mod exhaustive;
 mod gate;
-mod many;
-mod net;
-mod small;
+mod randomized;
+mod regressions;
+mod relay_leases;
+mod simulation;
--- a/crates/revisions/src/word.rs
+++ b/crates/revisions/src/word.rs
@@ -1,5 +1,5 @@
-//! What members say to each other of revisions: `rv1` and a word in `postcard`'s form, each in one datagram of the
-//! gossip, which tells who sent it. A word that can't be read is nothing.
+//! Messages between members about revisions: the prefix `rv1` and a message encoded with `postcard`, each in
+//! one gossip datagram, which identifies the sender. A message that can't be decoded is ignored.
 
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
@@ -7,27 +7,27 @@
 use crate::lists::Told;
 use crate::{Ballot, Digest, Hand, Member, Number, Signature, Signed};
 
-const MARK: &[u8; 3] = b"rv1";
-const VOTE: &[u8] = b"badgerledge vote 1";
-const GO: &[u8] = b"badgerledge go 1";
-const GONE: &[u8] = b"badgerledge gone 1";
+const MAGIC: &[u8; 3] = b"rv1";
+const VOTE_DOMAIN: &[u8] = b"badgerledge vote 1";
+const GRANT_DOMAIN: &[u8] = b"badgerledge go 1";
+const REMOVAL_DOMAIN: &[u8] = b"badgerledge gone 1";
 
-/// Where a member stands.
+/// The state that a member reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The revision that it acts on.
+    /// The number of its active revision.
     pub active: Number,
-    /// The highest that it knows certified.
+    /// The highest number that it knows certified.
     pub certified: Number,
-    /// It has that one's text, and takes it.
+    /// It has the text of that revision and accepts it.
     pub has_text: bool,
-    /// It has that one's text, and does not take it.
+    /// It has the text of that revision and can't activate it.
     pub refuses: bool,
-    /// It holds back for want of a lease.
+    /// It is on hold because it has no lease.
     pub held: bool,
 }
 
-/// A keeper's signed vote for a revision in a ballot.
+/// An acceptor's signed vote for a revision in a ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
     pub keeper: Member,
@@ -38,7 +38,7 @@
     pub signature: Signature,
 }
 
-/// A keeper's signed word that a certified revision may be acted on.
+/// An acceptor's signed grant that a certified revision may be activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Go {
     pub keeper: Member,
@@ -48,18 +48,21 @@
     pub signature: Signature,
 }
 
-/// An author's signed word that a member is off for good, or back: nobody waits for it.
+/// An author's signed statement that a member is permanently removed, or is back. Nobody waits for a removed
+/// member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gone {
     pub member: Member,
-    /// A later word on a member takes the place of all before it.
+    /// Of two statements about a member the one with the higher sequence is valid.
     pub sequence: u32,
+    /// Whether the member is removed.
     pub gone: bool,
     pub author: u16,
     #[serde(with = "BigArray")]
     pub signature: Signature,
 }
 
+/// A message between members. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
     Position(Position),
@@ -84,106 +87,119 @@
         number: Number,
         ballot: Ballot,
     },
-    /// Asks a keeper for a lease, and says where its member stands.
+    /// Requests a lease from an acceptor, and reports the member's position.
     Ask {
         nonce: u64,
         position: Position,
     },
-    /// When this was granted, the keeper had given no word to act on a number above `gone_on`.
+    /// A lease. The acceptor had granted no activation above `activation_granted` when it was issued.
     Lease {
         nonce: u64,
-        gone_on: Number,
+        activation_granted: Number,
     },
-    /// A keeper without its disk asks what others know.
+    /// An acceptor that lost its disk asks what the others know.
     Recall {
         nonce: u64,
     },
+    /// The answer to it: the highest number that the sender may have taken part in.
     Recalled {
         nonce: u64,
         highest: Number,
     },
     Gone(Gone),
-    /// Where a member's list stands: of the lists, and no part of revisions.
+    /// Position of a member's list of streamers; not part of the revision protocol.
     List(Told),
-    /// Asks a keeper for a relay lease, and says where its member stands. `nonce` is that of an [`Word::Ask`] of the same
-    /// moment; its upper half is the member's life.
+    /// Requests a relay lease from an acceptor, and reports the member's position. `nonce` is that of the
+    /// [`Word::Ask`] sent at the same time; its upper half is the member's incarnation.
     AskRelayLease {
         nonce: u64,
         position: Position,
     },
-    /// A relay lease. When it was granted, the keeper had given no word to act on a number above `gone_on`.
+    /// A relay lease. The acceptor had granted no activation above `activation_granted` when it was issued.
     RelayLease {
         nonce: u64,
-        gone_on: Number,
+        activation_granted: Number,
         for_ms: u64,
     },
-    /// This keeper would give the word to act on all up to this number, the exclusive ones among them.
+    /// This acceptor would grant the activation of all revisions up to this number, including exclusive ones.
     Able {
         number: Number,
     },
 }
 
 impl Word {
+    /// The encoded message.
     pub fn write(&self) -> Vec<u8> {
-        let mut bytes = MARK.to_vec();
-        // It holds nothing that could not be written.
+        let mut bytes = MAGIC.to_vec();
+        // Serialization can't fail for these types.
         bytes.extend(postcard::to_stdvec(self).unwrap_or_default());
         bytes
     }
 
-    /// Whether these bytes are meant as one of these words, of this version or another.
+    /// Whether the bytes carry the prefix of these messages, of this or another version.
     pub fn is_meant(bytes: &[u8]) -> bool {
-        bytes.starts_with(&MARK[..2])
+        bytes.starts_with(&MAGIC[..2])
     }
 
+    /// Decodes a message; `None` if the bytes are not exactly one message of this version.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        let (word, rest) = postcard::take_from_bytes(bytes.strip_prefix(MARK)?).ok()?;
-        rest.is_empty().then_some(word)
+        let (message, rest) = postcard::take_from_bytes(bytes.strip_prefix(MAGIC)?).ok()?;
+        rest.is_empty().then_some(message)
     }
 }
 
-fn joined(domain: &[u8], parts: &[&[u8]]) -> Vec<u8> {
+fn concat_domain(domain: &[u8], parts: &[&[u8]]) -> Vec<u8> {
     std::iter::once(&domain).chain(parts).flat_map(|part| part.iter().copied()).collect()
 }
 
 impl Vote {
     fn bytes(number: Number, ballot: Ballot, digest: &Digest) -> Vec<u8> {
-        let (round, by) = (ballot.round.to_be_bytes(), ballot.by.to_be_bytes());
-        joined(VOTE, &[&number.to_be_bytes(), &round, &by, &ballot.life.to_be_bytes(), digest])
+        let (round, proposer) = (ballot.round.to_be_bytes(), ballot.by.to_be_bytes());
+        concat_domain(
+            VOTE_DOMAIN,
+            &[&number.to_be_bytes(), &round, &proposer, &ballot.life.to_be_bytes(), digest],
+        )
     }
 
-    pub fn sign(hand: &impl Hand, keeper: Member, number: Number, ballot: Ballot, digest: Digest) -> Self {
-        let signature = hand.sign(&Self::bytes(number, ballot, &digest));
+    /// Signs a vote as acceptor `keeper`.
+    pub fn sign(signer: &impl Hand, keeper: Member, number: Number, ballot: Ballot, digest: Digest) -> Self {
+        let signature = signer.sign(&Self::bytes(number, ballot, &digest));
         Self { keeper, number, ballot, digest, signature }
     }
 
-    /// Whether a keeper of the ring signed it.
-    pub fn holds(&self, hand: &impl Hand) -> bool {
+    /// Whether an acceptor of the ring signed it.
+    pub fn holds(&self, signer: &impl Hand) -> bool {
         let bytes = Self::bytes(self.number, self.ballot, &self.digest);
-        hand.keepers().contains(&self.keeper) && hand.by_member(self.keeper, &bytes, &self.signature)
+        signer.keepers().contains(&self.keeper) && signer.by_member(self.keeper, &bytes, &self.signature)
     }
 }
 
 impl Go {
-    pub fn sign(hand: &impl Hand, keeper: Member, number: Number, digest: Digest) -> Self {
-        let signature = hand.sign(&joined(GO, &[&number.to_be_bytes(), &digest]));
+    /// Signs an activation grant as acceptor `keeper`.
+    pub fn sign(signer: &impl Hand, keeper: Member, number: Number, digest: Digest) -> Self {
+        let signature = signer.sign(&concat_domain(GRANT_DOMAIN, &[&number.to_be_bytes(), &digest]));
         Self { keeper, number, digest, signature }
     }
 
-    pub fn holds(&self, hand: &impl Hand) -> bool {
-        let bytes = joined(GO, &[&self.number.to_be_bytes(), &self.digest]);
-        hand.keepers().contains(&self.keeper) && hand.by_member(self.keeper, &bytes, &self.signature)
+    /// Whether an acceptor of the ring signed it.
+    pub fn holds(&self, signer: &impl Hand) -> bool {
+        let bytes = concat_domain(GRANT_DOMAIN, &[&self.number.to_be_bytes(), &self.digest]);
+        signer.keepers().contains(&self.keeper) && signer.by_member(self.keeper, &bytes, &self.signature)
     }
 }
 
 impl Gone {
-    /// What its author signs.
+    /// The bytes that its author signs.
     pub fn signed_bytes(&self) -> Vec<u8> {
         let (member, sequence) = (self.member.to_be_bytes(), self.sequence.to_be_bytes());
-        joined(GONE, &[&member, &sequence, &[u8::from(self.gone)], &self.author.to_be_bytes()])
+        concat_domain(
+            REMOVAL_DOMAIN,
+            &[&member, &sequence, &[u8::from(self.gone)], &self.author.to_be_bytes()],
+        )
     }
 
-    pub fn holds(&self, hand: &impl Hand) -> bool {
-        hand.by_author(self.author, &self.signed_bytes(), &self.signature)
+    /// Whether an author whose key is valid signed it.
+    pub fn holds(&self, signer: &impl Hand) -> bool {
+        signer.by_author(self.author, &self.signed_bytes(), &self.signature)
     }
 }
