--- a/crates/revisions/src/dissemination.rs
+++ b/crates/revisions/src/dissemination.rs
@@ -61,8 +61,8 @@
                 self.learner.add_vote(vote, &self.signer);
                 self.check_certified(now, out);
             }
-            Word::Go(go) => {
-                self.learner.add_activation_grant(go, &self.signer);
+            Word::Go(grant) => {
+                self.learner.add_activation_grant(grant, &self.signer);
                 self.activate(now, out);
             }
             Word::Prepare { number, ballot } => self.handle_prepare(now, from, number, ballot, out),
@@ -84,7 +84,7 @@
                 }
             }
             Word::Recalled { nonce, highest } => self.handle_recovery_answer(from, nonce, highest, out),
-            Word::Gone(gone) => drop(self.take_gone(now, gone, out)),
+            Word::Gone(removal) => drop(self.take_gone(now, removal, out)),
             // Handled by the driver.
             Word::List(_) => {}
             Word::AskRelayLease { nonce, position } => {
@@ -133,8 +133,8 @@
                 self.send(now, to, Word::Vote(vote), out);
             }
         }
-        for go in latest.goes {
-            self.send(now, to, Word::Go(go), out);
+        for grant in latest.goes {
+            self.send(now, to, Word::Go(grant), out);
         }
     }
 
@@ -254,7 +254,7 @@
             .learner
             .latest
             .as_ref()
-            .and_then(|latest| latest.goes.iter().find(|go| go.keeper == me).copied());
+            .and_then(|latest| latest.goes.iter().find(|grant| grant.keeper == me).copied());
         let Some(grant) = own_grant else { return };
         for keeper in self.signer.keepers().to_vec() {
             if keeper != me {
--- a/crates/revisions/src/tests/exhaustive.rs
+++ b/crates/revisions/src/tests/exhaustive.rs
@@ -54,11 +54,11 @@
 /// All states that can follow. A message that is never delivered represents a lost one.
 fn next(state: &State, ballots: u32, acceptors_forget: bool) -> Vec<State> {
     let mut all = Vec::new();
-    for (by, proposer) in state.proposers.iter().enumerate().filter(|(_, proposer)| proposer.0 < ballots) {
+    for (index, proposer) in state.proposers.iter().enumerate().filter(|(_, proposer)| proposer.0 < ballots) {
         let mut state = state.clone();
         let round = proposer.0 + 1;
-        state.proposers[by] = (round, Vec::new(), None);
-        state.messages.extend((0..ACCEPTORS).map(|keeper| Message::Prepare(keeper, ballot(round, by))));
+        state.proposers[index] = (round, Vec::new(), None);
+        state.messages.extend((0..ACCEPTORS).map(|keeper| Message::Prepare(keeper, ballot(round, index))));
         all.push(state);
     }
     if !state.disk_lost {
@@ -71,8 +71,8 @@
                 .collect();
             let fresh = Keeper::with_state(Kept { number: NUMBER, ..Kept::default() });
             state.keepers[keeper] = if acceptors_forget { fresh } else { Keeper::recovering() };
-            for (by, highest) in answers {
-                state.keepers[keeper].add_recovery_answer(by, highest, ACCEPTORS);
+            for (from, highest) in answers {
+                state.keepers[keeper].add_recovery_answer(from, highest, ACCEPTORS);
             }
             state.keepers[keeper].on_certified(NUMBER - 1);
             all.push(state);
@@ -96,15 +96,15 @@
             }
         }
         Message::Promise(keeper, ballot, accepted) => {
-            let by = usize::from(ballot.by);
-            let (round, promises, chosen) = &mut state.proposers[by];
+            let index = usize::from(ballot.by);
+            let (round, promises, chosen) = &mut state.proposers[index];
             if *round != ballot.round || chosen.is_some() {
                 return;
             }
             promises.push((keeper, accepted));
             if promises.len() >= 2 {
                 let highest = promises.iter().filter_map(|promise| promise.1).max();
-                let text = highest.map_or(by as u8, |(_, text)| text);
+                let text = highest.map_or(index as u8, |(_, text)| text);
                 *chosen = Some(text);
                 state.messages.extend((0..ACCEPTORS).map(|keeper| Message::Accept(keeper, ballot, text)));
             }
--- a/crates/revisions/src/tests/gate.rs
+++ b/crates/revisions/src/tests/gate.rs
@@ -32,8 +32,9 @@
 }
 
 fn certified(sim: &Simulation) -> Vec<Number> {
-    let top = |node: &super::simulation::Node| node.member.as_ref().map_or(0, |member| member.next().0 - 1);
-    sim.nodes.iter().map(top).collect()
+    let certified_number =
+        |node: &super::simulation::Node| node.member.as_ref().map_or(0, |member| member.next().0 - 1);
+    sim.nodes.iter().map(certified_number).collect()
 }
 
 #[test]
@@ -137,10 +138,10 @@
     sim.push(3, 1, TEXT);
     sim.run(sim.now + secs(2.0));
     assert_eq!(certified(&sim), [1, 1, 1, 1, 0]);
-    let top = sim.nodes[0].member.as_ref().unwrap().top().cloned().unwrap();
-    let mut too_few = top.clone();
+    let certificate = sim.nodes[0].member.as_ref().unwrap().top().cloned().unwrap();
+    let mut too_few = certificate.clone();
     too_few.votes.truncate(1);
     sim.with(4, |member, now, out| assert!(!member.take_certified(now, too_few, out)));
-    sim.with(4, |member, now, out| assert!(member.take_certified(now, top, out)));
+    sim.with(4, |member, now, out| assert!(member.take_certified(now, certificate, out)));
     assert_eq!(certified(&sim), [1; 5]);
 }
--- a/crates/revisions/src/tests/randomized.rs
+++ b/crates/revisions/src/tests/randomized.rs
@@ -90,7 +90,7 @@
         worst = worst.max(longest.as_secs_f64() / bound.as_secs_f64());
         activated += changes - 1;
     }
-    println!("{members} members, {keepers} keepers: {runs} runs, none failed, {activated} revisions activated, longest contradiction {worst:.2} of the bound");
+    println!("{members} members, {keepers} acceptors: {runs} runs, none failed, {activated} revisions activated, longest contradiction {worst:.2} of the bound");
     activated
 }
 
--- a/crates/revisions/src/tests/regressions.rs
+++ b/crates/revisions/src/tests/regressions.rs
@@ -311,8 +311,8 @@
     assert!(sim.certified.values().all(|digests| digests.len() == 1));
     // A head signed with the revoked key is refused unless an acceptor had voted for it.
     let (number, before) = sim.nodes[2].member.as_ref().unwrap().next();
-    let late = Word::Head(signed(number, before, 9, b"late"));
-    sim.with(2, |member, now, out| member.heard(now, 3, late, out));
+    let late_head = Word::Head(signed(number, before, 9, b"late"));
+    sim.with(2, |member, now, out| member.heard(now, 3, late_head, out));
     let digest = signed(number, before, 9, b"late").head.digest();
     assert!(sim.nodes[2].member.as_ref().unwrap().learner.head(&digest).is_none());
 }
