--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::budget::Budget;
 use crate::health::Health;
@@ -60,7 +60,7 @@
     budget: Budget,
     rate_limits: RateLimits,
     counter: u32,
-    rng: Chance,
+    rng: Rng,
     bulletins: BTreeMap<Member, (u32, u32)>,
     bulletin_number: u32,
     next_period: Duration,
@@ -84,9 +84,9 @@
         local_id: Member, keyring: H, life: u32, address: SocketAddrV4, seeds: Vec<SocketAddrV4>,
         now: Duration, seed: u64,
     ) -> Self {
-        let mut rng = Chance(seed);
+        let mut rng = Rng(seed);
         // A random offset, so that members started in the same second do not act in step.
-        let first_period = now + PROBE_PERIOD.mul_f64(rng.share());
+        let first_period = now + PROBE_PERIOD.mul_f64(rng.unit_interval());
         let mut gossip = Self {
             keyring,
             local_id,
@@ -217,19 +217,19 @@
             self.begin_probe(now, out);
         }
         if now >= self.next_seed_contact_at && self.is_alone() {
-            self.next_seed_contact_at = now + SEED_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.next_seed_contact_at = now + SEED_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.unit_interval());
             self.contact_seed(now, out);
         }
         if now >= self.next_dead_contact_at {
-            self.next_dead_contact_at = now + DEAD_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.next_dead_contact_at = now + DEAD_CONTACT_INTERVAL.mul_f64(0.5 + self.rng.unit_interval());
             self.contact_dead_member(now, out);
         }
         if now >= self.next_comparison_at {
-            self.next_comparison_at = now + COMPARISON_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.next_comparison_at = now + COMPARISON_INTERVAL.mul_f64(0.5 + self.rng.unit_interval());
             self.start_comparison(now, out);
         }
         if now >= self.next_spread_at && !self.outbox.is_empty() {
-            self.next_spread_at = now + SPREAD_INTERVAL.mul_f64(0.5 + self.rng.share());
+            self.next_spread_at = now + SPREAD_INTERVAL.mul_f64(0.5 + self.rng.unit_interval());
             self.send_statements(now, out);
         }
         self.due = self.next_due().max(now);
--- a/crates/gossip/src/member/anti_entropy.rs
+++ b/crates/gossip/src/member/anti_entropy.rs
@@ -51,7 +51,7 @@
             return;
         }
         // Either this member or the other lacks something, so this one starts a comparison of its own soon.
-        let follow_up_at = now + FOLLOW_UP_DELAY.mul_f64(0.5 + self.rng.share());
+        let follow_up_at = now + FOLLOW_UP_DELAY.mul_f64(0.5 + self.rng.unit_interval());
         self.next_comparison_at = self.next_comparison_at.min(follow_up_at);
         shuffle(&mut differing, &mut self.rng);
         let statements = differing.iter().flat_map(|member| self.view.statements(*member));
--- a/crates/gossip/src/member/joining.rs
+++ b/crates/gossip/src/member/joining.rs
@@ -92,7 +92,7 @@
         if others.is_empty() {
             return;
         }
-        let seed = others[(self.rng.share() * others.len() as f64) as usize % others.len()];
+        let seed = others[(self.rng.unit_interval() * others.len() as f64) as usize % others.len()];
         self.ping_at(now, ANYONE, seed, out);
     }
 
--- a/crates/gossip/src/member/sending.rs
+++ b/crates/gossip/src/member/sending.rs
@@ -24,7 +24,7 @@
             if chosen.len() < count {
                 chosen.push(member);
             } else {
-                let index = (self.rng.share() * (seen + 1) as f64) as usize;
+                let index = (self.rng.unit_interval() * (seen + 1) as f64) as usize;
                 chosen.get_mut(index).into_iter().for_each(|slot| *slot = member);
             }
         }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::Member;
 
@@ -55,7 +55,7 @@
     /// The next member in the order that `takes_part` accepts; `members_of_next_round` returns the members of the next round.
     pub fn next_target(
         &mut self, mut takes_part: impl FnMut(Member) -> bool,
-        members_of_next_round: impl Fn() -> Vec<Member>, rng: &mut Chance,
+        members_of_next_round: impl Fn() -> Vec<Member>, rng: &mut Rng,
     ) -> Option<Member> {
         for _ in 0..2 {
             while let Some(member) = self.order.pop() {
@@ -70,9 +70,9 @@
     }
 
     /// Inserts a new member at a random position of the current round.
-    pub fn insert(&mut self, member: Member, rng: &mut Chance) {
+    pub fn insert(&mut self, member: Member, rng: &mut Rng) {
         if !self.order.contains(&member) {
-            let position = (rng.share() * (self.order.len() + 1) as f64) as usize;
+            let position = (rng.unit_interval() * (self.order.len() + 1) as f64) as usize;
             self.order.insert(position.min(self.order.len()), member);
         }
     }
@@ -115,9 +115,9 @@
 }
 
 /// Shuffles the members (Fisher and Yates).
-pub fn shuffle(members: &mut [Member], rng: &mut Chance) {
+pub fn shuffle(members: &mut [Member], rng: &mut Rng) {
     for last in (1..members.len()).rev() {
-        let other = (rng.share() * (last + 1) as f64) as usize;
+        let other = (rng.unit_interval() * (last + 1) as f64) as usize;
         members.swap(last, other.min(last));
     }
 }
--- a/crates/revisions/src/certify.rs
+++ b/crates/revisions/src/certify.rs
@@ -151,7 +151,7 @@
                 let reply =
                     self.acceptor.as_mut().and_then(|acceptor| acceptor.accept(number, ballot, digest));
                 if matches!(reply, Some(Reply::Vote { .. })) {
-                    let delay = TAKEOVER_DELAY + self.rng.span(TAKEOVER_DELAY);
+                    let delay = TAKEOVER_DELAY + self.rng.random_duration(TAKEOVER_DELAY);
                     self.takeover_at = Some(now + delay);
                 }
                 self.send_reply(now, from, reply, out);
--- a/crates/revisions/src/dissemination.rs
+++ b/crates/revisions/src/dissemination.rs
@@ -209,7 +209,7 @@
         if now >= self.next_lease_request_at {
             let interval = self.lease_retry_interval.min(self.lease_duration / (REQUESTS_PER_LEASE + 1));
             self.next_lease_request_at =
-                now + interval.mul_f64(0.75 + LEASE_REQUEST_JITTER * self.rng.share());
+                now + interval.mul_f64(0.75 + LEASE_REQUEST_JITTER * self.rng.unit_interval());
             self.lease_retry_interval = (self.lease_retry_interval * 2).min(self.lease_duration);
             if self.needs_lease(now) {
                 self.request_leases(now, out);
@@ -223,7 +223,7 @@
         if now >= self.next_position_at {
             let interval =
                 if now < self.short_interval_until { SHORT_POSITION_INTERVAL } else { POSITION_INTERVAL };
-            self.next_position_at = now + interval.mul_f64(0.75 + 0.5 * self.rng.share());
+            self.next_position_at = now + interval.mul_f64(0.75 + 0.5 * self.rng.unit_interval());
             self.activate(now, out);
             // The activation may have waited for a lease that has now expired.
             self.grant_activation_if_ready(now, out);
--- a/crates/revisions/src/member.rs
+++ b/crates/revisions/src/member.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::dissemination::LEASE_RETRY_INTERVAL;
 use crate::gate::Gate;
@@ -118,7 +118,7 @@
     /// The highest round of this member's ballots in this incarnation; no round is used for two texts.
     pub(crate) highest_round: u32,
     pub(crate) removals: BTreeMap<Member, Gone>,
-    pub(crate) rng: Chance,
+    pub(crate) rng: Rng,
     pub(crate) next_position_at: Duration,
     pub(crate) next_lease_request_at: Duration,
     /// The interval until the next lease request, while a change is recent.
@@ -169,7 +169,7 @@
             proposal: None,
             highest_round: 0,
             removals: BTreeMap::new(),
-            rng: Chance(seed),
+            rng: Rng(seed),
             next_position_at: now,
             next_lease_request_at: now,
             lease_retry_interval: LEASE_RETRY_INTERVAL,
@@ -506,7 +506,7 @@
 
     /// One of these members, chosen at random.
     pub(crate) fn random_member(&mut self, members: &[Member]) -> Option<Member> {
-        let index = (self.rng.share() * members.len() as f64) as usize;
+        let index = (self.rng.unit_interval() * members.len() as f64) as usize;
         members.get(index).copied()
     }
 
--- a/crates/revisions/src/proposal.rs
+++ b/crates/revisions/src/proposal.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::{quorum, Ballot, Digest, Member, Number, Signed};
 
@@ -34,8 +34,8 @@
 
 impl Proposal {
     /// Starts an attempt with this ballot.
-    pub fn new(pushed: Signed, ballot: Ballot, now: Duration, rng: &mut Chance) -> Self {
-        let ballot_ends_at = now + BALLOT_TIMEOUT * 2 + rng.span(BALLOT_TIMEOUT * 2);
+    pub fn new(pushed: Signed, ballot: Ballot, now: Duration, rng: &mut Rng) -> Self {
+        let ballot_ends_at = now + BALLOT_TIMEOUT * 2 + rng.random_duration(BALLOT_TIMEOUT * 2);
         Self {
             pushed,
             ballot,
@@ -53,7 +53,7 @@
     }
 
     /// Starts the next ballot, higher than one that was seen.
-    pub fn raise_ballot(&mut self, seen: Ballot, now: Duration, rng: &mut Chance) {
+    pub fn raise_ballot(&mut self, seen: Ballot, now: Duration, rng: &mut Rng) {
         let round = self.ballot.round.max(seen.round).saturating_add(1);
         *self = Self::new(self.pushed, Ballot { round, ..self.ballot }, now, rng);
     }
--- a/crates/revisions/src/tests/randomized.rs
+++ b/crates/revisions/src/tests/randomized.rs
@@ -30,9 +30,9 @@
     let time_scale = crate::lease_for(usize::from(members)).as_secs_f64() / 3.0;
     sim.run(sim.now + secs(3.0 * time_scale));
     for step in 0..7 {
-        let member = (sim.rng.share() * f64::from(members)) as Member;
-        let other = (sim.rng.share() * f64::from(members)) as Member;
-        match (sim.rng.share() * 11.0) as u32 {
+        let member = (sim.rng.unit_interval() * f64::from(members)) as Member;
+        let other = (sim.rng.unit_interval() * f64::from(members)) as Member;
+        match (sim.rng.unit_interval() * 11.0) as u32 {
             0..=3 => sim.push(member, 1 + step % 2, &[step as u8, member as u8]),
             4 => drop(sim.cut.insert((member, other))),
             5 => {
@@ -57,13 +57,13 @@
             9 => {
                 let half: Vec<Member> = (0..members).filter(|member| member % 2 == other % 2).collect();
                 half.iter().for_each(|member| sim.kill(*member, false));
-                let wait_s = time_scale * sim.rng.share();
+                let wait_s = time_scale * sim.rng.unit_interval();
                 sim.run(sim.now + secs(wait_s));
                 half.iter().for_each(|member| sim.start(*member));
             }
-            _ => sim.loss = sim.rng.share() * 0.3,
+            _ => sim.loss = sim.rng.unit_interval() * 0.3,
         }
-        let wait_s = 4.0 * time_scale * sim.rng.share();
+        let wait_s = 4.0 * time_scale * sim.rng.unit_interval();
         sim.run(sim.now + secs(wait_s));
     }
     sim.cut.clear();
--- a/crates/revisions/src/tests/simulation.rs
+++ b/crates/revisions/src/tests/simulation.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::word::Word;
 use crate::{digest, Author, Digest, Given, Hand, Head, Keeper, Kept, Member, Number, Regime};
@@ -103,7 +103,7 @@
     pub delay: Duration,
     pub cut: BTreeSet<(Member, Member)>,
     pub nodes: Vec<Node>,
-    pub rng: Chance,
+    pub rng: Rng,
     pub faults: Faults,
     /// A member that can't activate a text.
     pub refuses: Option<(Member, Vec<u8>)>,
@@ -143,7 +143,7 @@
             delay: Duration::from_millis(30),
             cut: BTreeSet::new(),
             nodes: (0..members).map(node).collect(),
-            rng: Chance(seed),
+            rng: Rng(seed),
             faults: Faults::default(),
             refuses: None,
             regime,
@@ -188,7 +188,7 @@
         };
         let signer = TestSigner { me: member_id, ..self.signer.clone() };
         let texts = node.disk.texts.values().cloned().collect();
-        let seed = (self.rng.share() * 1e15) as u64;
+        let seed = (self.rng.unit_interval() * 1e15) as u64;
         node.member =
             Some(Revisions::new(signer, config, Arc::from(&b"own"[..]), stored, texts, self.now, seed));
         node.stalled_until = Duration::ZERO;
@@ -258,7 +258,7 @@
                 }
                 Given::Fetch(signed, from) => {
                     if !self.cut.contains(&(member_id, from)) && !self.cut.contains(&(from, member_id)) {
-                        let at = self.now + self.rng.span(self.delay) * 4;
+                        let at = self.now + self.rng.random_duration(self.delay) * 4;
                         self.schedule_event(at, Event::Text(member_id, from, signed));
                     }
                 }
@@ -268,11 +268,11 @@
     }
 
     fn send(&mut self, from: Member, to: Member, bytes: &[u8]) {
-        for _ in 0..if self.rng.share() < 0.02 { 2 } else { 1 } {
-            if self.cut.contains(&(from, to)) || self.rng.share() < self.loss {
+        for _ in 0..if self.rng.unit_interval() < 0.02 { 2 } else { 1 } {
+            if self.cut.contains(&(from, to)) || self.rng.unit_interval() < self.loss {
                 continue;
             }
-            let at = self.now + self.rng.span(self.delay);
+            let at = self.now + self.rng.random_duration(self.delay);
             let incarnation = self.nodes[usize::from(from)].incarnation;
             self.schedule_event(at, Event::Message(from, incarnation, to, bytes.to_vec()));
         }
