--- a/crates/bench/src/capacity/roles/agreement.rs
+++ b/crates/bench/src/capacity/roles/agreement.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_revisions::{lease_for, Member, Regime};
+use badgerledge_revisions::{lease_duration_for, ActivationMode, Member};
 
 use super::agreement_net::{Net, Spent};
 use super::signatures::SignatureCost;
@@ -28,9 +28,9 @@
 fn readings(members: Member, seed: u64) -> Result<Vec<Reading>> {
     let cost = SignatureCost::measure()?;
     let keepers = KEEPERS.min(members);
-    let settles = SETTLES.max(lease_for(usize::from(members)) * 2);
+    let settles = SETTLES.max(lease_duration_for(usize::from(members)) * 2);
     let (mut net, live) = with_live_bytes(|| {
-        let mut net = Net::new(members, keepers, Regime::Hold, seed);
+        let mut net = Net::new(members, keepers, ActivationMode::Hold, seed);
         net.run(net.now + settles);
         net
     });
--- a/crates/bench/src/capacity/roles/agreement_net.rs
+++ b/crates/bench/src/capacity/roles/agreement_net.rs
@@ -8,10 +8,10 @@
 
 use badgerledge_core::random::Rng;
 use badgerledge_gossip::Budget;
-use badgerledge_revisions::word::Word;
+use badgerledge_revisions::message::Message;
 use badgerledge_revisions::{
-    digest, lease_for, Author, Given, Hand, Head, Kept, Member, Regime, Revisions, Signature, Signed, Stored,
-    Terms,
+    digest, lease_duration_for, AcceptorState, ActivationMode, Author, Head, Member, MemberConfig,
+    MemberOutput, Revisions, Signature, Signed, Signer, StoredState,
 };
 
 use crate::capacity::measure::processor_time;
@@ -41,23 +41,23 @@
     signature
 }
 
-impl Hand for CheapHand {
+impl Signer for CheapHand {
     fn sign(&self, bytes: &[u8]) -> Signature {
         seal(u32::from(self.me), bytes)
     }
-    fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
         *signature == seal(u32::from(member), bytes)
     }
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
         *signature == seal(AUTHORS + u32::from(author), bytes)
     }
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.by_author(author, bytes, signature)
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.verify_author(author, bytes, signature)
     }
     fn members(&self) -> &[Member] {
         &self.members
     }
-    fn keepers(&self) -> &[Member] {
+    fn acceptors(&self) -> &[Member] {
         &self.keepers
     }
 }
@@ -95,7 +95,7 @@
 }
 
 impl Net {
-    pub fn new(members: Member, keepers: Member, regime: Regime, seed: u64) -> Self {
+    pub fn new(members: Member, keepers: Member, regime: ActivationMode, seed: u64) -> Self {
         let hand = CheapHand {
             me: 0,
             members: Rc::new((0..members).collect()),
@@ -103,12 +103,18 @@
         };
         let now = Duration::from_secs(1000);
         // Members start one after the other over a lease, as those of a fleet that was not started at one moment.
-        let apart = lease_for(usize::from(members)) / u32::from(members);
+        let apart = lease_duration_for(usize::from(members)) / u32::from(members);
         let begins = |me: Member| now + apart * u32::from(me);
         let seat = |me: Member| {
-            let founded = Stored { keeper: Some(Kept::default()), ..Stored::default() };
+            let founded = StoredState { acceptor: Some(AcceptorState::default()), ..StoredState::default() };
             let stored = (me < keepers).then_some(founded);
-            let terms = Terms { me, life: 1, regime, late: LATE, check: Box::new(|_| Ok(())) };
+            let terms = MemberConfig {
+                local_id: me,
+                incarnation: 1,
+                mode: regime,
+                activation_delay: LATE,
+                check: Box::new(|_| Ok(())),
+            };
             let (hand, own) = (CheapHand { me, ..hand.clone() }, Arc::from(&b"own"[..]));
             let member =
                 Revisions::new(hand, terms, own, stored, Vec::new(), begins(me), seed ^ u64::from(me) << 20);
@@ -126,7 +132,7 @@
     }
 
     pub fn lease(&self) -> Duration {
-        self.seats[0].member.lease()
+        self.seats[0].member.lease_duration()
     }
 
     pub fn spent(&self, me: Member) -> Spent {
@@ -135,12 +141,12 @@
 
     /// Members that act on that number.
     pub fn acting_on(&self, number: u32) -> usize {
-        self.seats.iter().filter(|seat| seat.member.acting(self.now).active == number).count()
+        self.seats.iter().filter(|seat| seat.member.active_revision(self.now).active == number).count()
     }
 
     /// The lowest number that any member acts on.
     pub fn oldest_active(&self) -> u32 {
-        self.seats.iter().map(|seat| seat.member.acting(self.now).active).min().unwrap_or(0)
+        self.seats.iter().map(|seat| seat.member.active_revision(self.now).active).min().unwrap_or(0)
     }
 
     /// The number of the next revision, by what a member knows certified.
@@ -150,7 +156,7 @@
 
     /// Members that hold new joins back.
     pub fn held(&self) -> usize {
-        self.seats.iter().filter(|seat| seat.member.acting(self.now).held.is_some()).count()
+        self.seats.iter().filter(|seat| seat.member.active_revision(self.now).held.is_some()).count()
     }
 
     /// Pushes a next revision at a member, by what that one knows.
@@ -189,11 +195,11 @@
         match event {
             Event::Word { from, to, bytes } => {
                 self.seats[usize::from(to)].spent.received += 1;
-                let Some(word) = Word::read(&bytes) else { return };
-                self.with(to, |member, now, out| member.heard(now, from, word, out));
+                let Some(word) = Message::read(&bytes) else { return };
+                self.with(to, |member, now, out| member.receive(now, from, word, out));
             }
             Event::Text { to, from, signed } => {
-                let text = self.seats[usize::from(from)].member.text_of(&signed.head.text).cloned();
+                let text = self.seats[usize::from(from)].member.text_by_digest(&signed.head.text).cloned();
                 let Some(text) = text else { return };
                 self.with(to, |member, now, out| drop(member.take_text(now, &signed, text, out)));
             }
@@ -201,13 +207,15 @@
                 let seat = &mut self.seats[usize::from(me)];
                 if self.now >= seat.due {
                     seat.due = Duration::MAX;
-                    self.with(me, Revisions::tend);
+                    self.with(me, Revisions::poll);
                 }
             }
         }
     }
 
-    fn with(&mut self, me: Member, act: impl FnOnce(&mut Revisions<CheapHand>, Duration, &mut Vec<Given>)) {
+    fn with(
+        &mut self, me: Member, act: impl FnOnce(&mut Revisions<CheapHand>, Duration, &mut Vec<MemberOutput>),
+    ) {
         let mut out = Vec::new();
         let seat = &mut self.seats[usize::from(me)];
         let begun = processor_time();
@@ -215,12 +223,15 @@
         seat.spent.processor += processor_time() - begun;
         for given in out {
             match given {
-                Given::Send(to, bytes) => self.send(me, to, bytes),
-                Given::Fetch(signed, from) => {
+                MemberOutput::Send(to, bytes) => self.send(me, to, bytes),
+                MemberOutput::Fetch(signed, from) => {
                     let at = self.now + self.chance.random_duration(DELAY) * WAYS_OF_A_TEXT;
                     self.put(at, Event::Text { to: me, from, signed });
                 }
-                Given::Store(_) | Given::StoreText(..) | Given::Changed | Given::Unfit(..) => {}
+                MemberOutput::Store(_)
+                | MemberOutput::StoreText(..)
+                | MemberOutput::Changed
+                | MemberOutput::Unusable(..) => {}
             }
         }
         self.schedule(me);
--- a/crates/bench/src/capacity/roles/catalogue.rs
+++ b/crates/bench/src/capacity/roles/catalogue.rs
@@ -5,7 +5,7 @@
 use anyhow::Result;
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_deployment::Text;
-use badgerledge_revisions::LONGEST_TEXT;
+use badgerledge_revisions::MAX_TEXT_BYTES;
 use badgerledge_settings::Sheet;
 
 use super::{Role, BYTES_A_SECOND, CHANGES_A_SECOND, CORE_SHARE, MEMORY_BYTES, TITLES};
@@ -45,7 +45,7 @@
     // While a change is prepared both texts are held, each as its bytes and as what was read from them.
     let both = 2.0 * (live + bytes);
     Ok(vec![
-        Reading::new("bytes of the text", "bytes", bytes).limited(LONGEST_TEXT as f64),
+        Reading::new("bytes of the text", "bytes", bytes).limited(MAX_TEXT_BYTES as f64),
         Reading::new("reading and checking a text", "ms of a core", read_ms),
         Reading::new("comparing two texts", "ms of a core", compare_ms),
         Reading::new(
--- a/crates/bench/src/capacity/roles/list_positions.rs
+++ b/crates/bench/src/capacity/roles/list_positions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_revisions::lists::{ListPosition, Lists, Told};
+use badgerledge_revisions::lists::{ListPosition, ListPositions, ListReport};
 use badgerledge_revisions::Member;
 
 use super::{Role, CONTROLLERS, CORE_SHARE, MEMORY_BYTES};
@@ -22,15 +22,16 @@
 };
 
 fn readings(members: Member) -> Vec<Reading> {
-    let position = |revision| Told { position: ListPosition { epoch: 1, revision }, off: Vec::new() };
+    let position =
+        |revision| ListReport { position: ListPosition { epoch: 1, revision }, removed: Vec::new() };
     let now = Duration::from_secs(1000);
     let (mut lists, live) = with_live_bytes(|| {
-        let mut lists = Lists::default();
-        (0..members).for_each(|member| drop(lists.hears(now, member, &position(1))));
+        let mut lists = ListPositions::default();
+        (0..members).for_each(|member| drop(lists.receive_report(now, member, &position(1))));
         lists
     });
     let heard_ms = processor_ms(|| {
-        (0..members).for_each(|member| drop(lists.hears(now, member, &position(1))));
+        (0..members).for_each(|member| drop(lists.receive_report(now, member, &position(1))));
     });
     let each_ms = heard_ms / f64::from(members);
     let a_second = HEARD_A_SECOND + HEARD_A_CHANGE;
--- a/crates/bench/src/capacity/roles/steady_changes.rs
+++ b/crates/bench/src/capacity/roles/steady_changes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_revisions::{lease_for, Member, Regime};
+use badgerledge_revisions::{lease_duration_for, ActivationMode, Member};
 
 use super::agreement::{Rates, KEEPERS};
 use super::agreement_net::Net;
@@ -20,7 +20,7 @@
     size_unit: "members",
     sizes: &[15, 30, 60, 120, 180, 240, 480],
     plan_size: CONTROLLERS,
-    measure: |size, seed| readings(size as Member, Regime::Hold, seed),
+    measure: |size, seed| readings(size as Member, ActivationMode::Hold, seed),
 };
 
 pub const WAIT: Role = Role {
@@ -28,7 +28,7 @@
     size_unit: "members",
     sizes: &[15, 30, 60, 120, 180, 240, 480],
     plan_size: CONTROLLERS,
-    measure: |size, seed| readings(size as Member, Regime::Wait, seed),
+    measure: |size, seed| readings(size as Member, ActivationMode::Wait, seed),
 };
 
 /// Changes that fall due one after the other. The author pushes the next once the one before is certified: each has its
@@ -73,11 +73,11 @@
     }
 }
 
-fn readings(members: Member, regime: Regime, seed: u64) -> Result<Vec<Reading>> {
+fn readings(members: Member, regime: ActivationMode, seed: u64) -> Result<Vec<Reading>> {
     let cost = SignatureCost::measure()?;
     let author = members - 1;
     let mut net = Net::new(members, KEEPERS.min(members), regime, seed);
-    net.run(net.now + lease_for(usize::from(members)) * 2 + Duration::from_secs(20));
+    net.run(net.now + lease_duration_for(usize::from(members)) * 2 + Duration::from_secs(20));
     let (keeper, member) = (net.spent(0), net.spent(author - 1));
     let apart = Duration::from_secs_f64(1.0 / CHANGES_A_SECOND);
     let mut stream = Stream { begun: net.now, apart, pushed: 0, in_force: Vec::new() };
--- a/crates/controller/src/distributing/ring_file.rs
+++ b/crates/controller/src/distributing/ring_file.rs
@@ -20,7 +20,7 @@
         // Its time first: what is written while it is read is seen at the next look.
         let modified = modified(path);
         let ring = Ring::read(path)?;
-        let acceptors = ring.keepers().len();
+        let acceptors = ring.acceptors().len();
         Ok((Self { path: path.to_owned(), modified, acceptors }, Verifier::new(ring)))
     }
 
--- a/crates/controller/src/fetching.rs
+++ b/crates/controller/src/fetching.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_revisions::order::{self, Answer, Order, LONGEST_LINE, PIECE};
+use badgerledge_revisions::requests::{self, Request, Response, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::{Digest, Signed};
 
-const BOUNDS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: LONGEST_LINE };
+const BOUNDS: Bounds = Bounds { input: MAX_CHUNK_BYTES + MAX_LINE_BYTES, output: MAX_LINE_BYTES };
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
 /// A piece that does not come for so long is asked of another member; what came is kept.
 const PIECE_WITHIN: Duration = Duration::from_secs(3);
@@ -64,8 +64,8 @@
         let Some(fetch) = &self.on else { return };
         let of = fetch.signed.head.text;
         let from = self.parts.get(&of).map_or(0, Vec::len);
-        let order = Order::Text { text: hex::encode(of), from };
-        reactor.send(fetch.line, &[&order::write(&order)]);
+        let order = Request::Text { text: hex::encode(of), from };
+        reactor.send(fetch.line, &[&requests::encode_line(&order)]);
     }
 
     pub fn closed(&mut self, line: Line) {
@@ -83,13 +83,13 @@
         let fetch = self.on.as_mut()?;
         let (of, length) = (fetch.signed.head.text, fetch.signed.head.length as usize);
         if fetch.coming == 0 {
-            match order::line::<Answer>(reactor.input(line)) {
+            match requests::parse_line::<Response>(reactor.input(line)) {
                 Ok(None) => return None,
-                Ok(Some((Answer::Bytes(count), used))) => {
+                Ok(Some((Response::Bytes(count), used))) => {
                     reactor.consume(line, used);
                     let had = self.parts.get(&of).map_or(0, Vec::len);
                     // More than its author signed for is a liar's.
-                    if count == 0 && length > 0 || count > PIECE || had + count > length {
+                    if count == 0 && length > 0 || count > MAX_CHUNK_BYTES || had + count > length {
                         return self.give_up(reactor);
                     }
                     fetch.coming = count;
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_deployment::{ControllerPlace, GossipPlace};
-use badgerledge_failure_reports::{FailureReports, Kind};
+use badgerledge_failure_reports::{FailureKind, FailureReports};
 use badgerledge_gossip::statement::Statement;
 use badgerledge_gossip::{Event, Gossip, Member, MemberState, Transport, MAX_DATAGRAM_BYTES};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
@@ -94,7 +94,7 @@
         let mut gossip = Gossip::new(place.number as Member, keys, life, at, seeds.collect(), now, seed);
         let stored = place.state.as_deref().map(stored_records).unwrap_or_default();
         gossip.restore_records(now, stored, &mut Vec::new());
-        tracing::info!(life, %at, known = gossip.view().taking_part(), "gossip begins");
+        tracing::info!(life, %at, known = gossip.view().active_count(), "gossip begins");
         Ok(Self {
             gossip,
             failure_reports: FailureReports::default(),
@@ -127,7 +127,7 @@
     }
 
     pub fn life(&self) -> u32 {
-        self.gossip.life()
+        self.gossip.process_incarnation()
     }
 
     /// Where a member says that it is reached.
@@ -239,8 +239,8 @@
         }
     }
 
-    fn listens_to(&self, kind: Kind) -> bool {
-        kind == Kind::Lost || self.place.strain
+    fn listens_to(&self, kind: FailureKind) -> bool {
+        kind == FailureKind::Lost || self.place.strain
     }
 
     /// Publishes own losses, as soon as a streamer comes to them that was not among them.
--- a/crates/controller/src/orders.rs
+++ b/crates/controller/src/orders.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_revisions::order::{self, Order, LONGEST_LINE, PIECE};
+use badgerledge_revisions::requests::{self, Request, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::Signed;
 
 /// Streams at a time: operators are few, and a member fetches from one other.
@@ -17,11 +17,12 @@
 const PUSHES: usize = 2;
 /// One that has said nothing whole for so long is ended.
 const QUIET: Duration = Duration::from_secs(20);
-const BOUNDS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: 2 * PIECE + LONGEST_LINE };
+const BOUNDS: Bounds =
+    Bounds { input: MAX_CHUNK_BYTES + MAX_LINE_BYTES, output: 2 * MAX_CHUNK_BYTES + MAX_LINE_BYTES };
 
 /// What a stream asked, whole.
 pub enum Asked {
-    Order(Order),
+    Order(Request),
     Push(Signed, Arc<[u8]>),
     Wrong(String),
 }
@@ -107,7 +108,7 @@
             }
             return Some(Asked::Push(signed, Arc::from(text)));
         }
-        let (order, used) = match order::line(reactor.input(line)) {
+        let (order, used) = match requests::parse_line(reactor.input(line)) {
             Ok(found) => found?,
             Err(why) => {
                 // What follows can't be told apart: this is the last that is answered here.
@@ -117,8 +118,8 @@
         };
         reactor.consume(line, used);
         stream.heard = now;
-        let Order::Push { head, bytes } = &order else { return Some(Asked::Order(order)) };
-        let read = order::head_of(head).filter(|signed| signed.head.length as usize == *bytes);
+        let Request::Push { head, bytes } = &order else { return Some(Asked::Order(order)) };
+        let read = requests::decode_head(head).filter(|signed| signed.head.length as usize == *bytes);
         let read = read.ok_or_else(|| "a head that can't be read, or of a text of another length".to_owned());
         let room = || match pushes < PUSHES {
             true => Ok(()),
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -13,10 +13,13 @@
 use badgerledge_deployment::{ActedOn, Deployment, Text};
 use badgerledge_keys::Keys;
 use badgerledge_reactor::{Line, Reactor};
-use badgerledge_revisions::lists::{ListPosition, Lists, Off};
-use badgerledge_revisions::order::{self, Answer, Order, Report};
-use badgerledge_revisions::word::Word;
-use badgerledge_revisions::{Digest, Given, Hand, Hold, Member, Regime, Revisions, Signed, Stored, Terms};
+use badgerledge_revisions::lists::{ListPosition, ListPositions, RemovedStreamer};
+use badgerledge_revisions::message::Message;
+use badgerledge_revisions::requests::{self, Report, Request, Response};
+use badgerledge_revisions::{
+    ActivationMode, Digest, HoldReason, Member, MemberConfig, MemberOutput, Revisions, Signed, Signer,
+    StoredState,
+};
 use metrics::{counter, gauge};
 
 use crate::changing::Change;
@@ -42,7 +45,7 @@
     orders: Orders,
     fetching: Fetching,
     state: PathBuf,
-    regime: Regime,
+    regime: ActivationMode,
     fits: Arc<Mutex<Fits>>,
     /// The number of this controller's zone.
     zone: usize,
@@ -54,10 +57,10 @@
     exclusive: bool,
     source: &'static str,
     /// What was held when it was last shown.
-    shown: Option<Hold>,
+    shown: Option<HoldReason>,
     now: Duration,
     /// Nothing where positions of lists are not told.
-    lists: Option<Lists>,
+    lists: Option<ListPositions>,
     tell_lists_at: Duration,
     chance: Rng,
 }
@@ -71,7 +74,7 @@
         let (Some(told), Some(state)) = (&deployment.revisions, &place.state) else { return Ok(None) };
         let listener = Orders::listen(reactor, gossiping.listens_at())?;
         let keys = gossiping.keys().clone();
-        if keys.keepers().is_empty() {
+        if keys.acceptors().is_empty() {
             bail!("[revisions]: the ring names no keepers; `badgerledge-keys keepers` does");
         }
         let mut own = deployment.shared_text.clone();
@@ -84,24 +87,24 @@
             Some(stored) if stored.active > 0 => "store",
             _ => "file",
         };
-        let regime = if told.regime == "hold" { Regime::Hold } else { Regime::Wait };
+        let regime = if told.regime == "hold" { ActivationMode::Hold } else { ActivationMode::Wait };
         let fits = Fits::new(deployment, (!told.catalogue).then_some(titles), "[revisions] catalogue");
         let zone = fits.zone();
         let fits = Arc::new(Mutex::new(fits));
         let checked = fits.clone();
-        let terms = Terms {
-            me: place.number as Member,
-            life: gossiping.life(),
-            regime,
-            late: Duration::from_millis(2 * place.tick_ms),
+        let terms = MemberConfig {
+            local_id: place.number as Member,
+            incarnation: gossiping.life(),
+            mode: regime,
+            activation_delay: Duration::from_millis(2 * place.tick_ms),
             check: Box::new(move |text| check(text, &checked)),
         };
         let now = reactor.now();
         let revisions = Revisions::new(keys, terms, Arc::from(own.as_bytes()), stored, texts, now, seed);
-        if let (0, Ok(mut fits)) = (revisions.acting(now).active, fits.lock()) {
+        if let (0, Ok(mut fits)) = (revisions.active_revision(now).active, fits.lock()) {
             fits.hold(deployment.shared.clone());
         }
-        let (active, regime_name) = (revisions.acting(now).active, told.regime.as_str());
+        let (active, regime_name) = (revisions.active_revision(now).active, told.regime.as_str());
         let bound = revisions.bound();
         tracing::info!(active, source, regime = regime_name, ?bound, "revisions begin");
         Ok(Some(Self {
@@ -118,14 +121,14 @@
             source,
             shown: None,
             now,
-            lists: told.lists.then(Lists::default),
+            lists: told.lists.then(ListPositions::default),
             tell_lists_at: now,
             chance: Rng(seed.rotate_left(11)),
         }))
     }
 
     pub fn next_due(&self) -> Duration {
-        let asks = self.lists.as_ref().and_then(Lists::next_due);
+        let asks = self.lists.as_ref().and_then(ListPositions::next_due);
         let lists = self.lists.as_ref().map(|_| self.tell_lists_at);
         let own = self.revisions.next_due().min(self.orders.next_due()).min(self.fetching.next_due());
         [Some(own), asks, lists].into_iter().flatten().min().unwrap_or(own)
@@ -140,7 +143,7 @@
         }
         if now >= self.revisions.next_due() {
             let mut out = Vec::new();
-            self.revisions.tend(now, &mut out);
+            self.revisions.poll(now, &mut out);
             self.carry_out(reactor, gossiping, out);
             self.show();
         }
@@ -149,15 +152,17 @@
     /// Another member's word: streamers that enough members now say to be off; or it was of another kind.
     pub fn heard(
         &mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, from: Member, bytes: &[u8],
-    ) -> Option<Vec<Off>> {
-        if !Word::is_meant(bytes) {
+    ) -> Option<Vec<RemovedStreamer>> {
+        if !Message::is_meant(bytes) {
             return None;
         }
-        match (Word::read(bytes), &mut self.lists) {
-            (Some(Word::List(told)), Some(lists)) => return Some(lists.hears(self.now, from, &told)),
+        match (Message::read(bytes), &mut self.lists) {
+            (Some(Message::ListReport(told)), Some(lists)) => {
+                return Some(lists.receive_report(self.now, from, &told))
+            }
             (Some(word), _) => {
                 let mut out = Vec::new();
-                self.revisions.heard(self.now, from, word, &mut out);
+                self.revisions.receive(self.now, from, word, &mut out);
                 self.carry_out(reactor, gossiping, out);
             }
             (None, _) => {}
@@ -177,27 +182,28 @@
     ) {
         let Some(lists) = &mut self.lists else { return };
         let position = ListPosition { epoch, revision };
-        if position == lists.tells(self.now).position {
+        if position == lists.own_report(self.now).position {
             return;
         }
-        let off = |(id, start): (StreamerId, u64)| Off { ip: id.ip().octets(), port: id.port(), start };
-        lists.reached(self.now, position, went.into_iter().map(off));
+        let off =
+            |(id, start): (StreamerId, u64)| RemovedStreamer { ip: id.ip().octets(), port: id.port(), start };
+        lists.update_own_position(self.now, position, went.into_iter().map(off));
         self.tell_lists(reactor, gossiping, TOLD_AT_ONCE);
     }
 
     /// Whether the list service is to be asked now, since others have got further.
     pub fn asks_list(&mut self) -> bool {
-        self.lists.as_mut().is_some_and(|lists| lists.asks(self.now))
+        self.lists.as_mut().is_some_and(|lists| lists.take_refresh(self.now))
     }
 
     fn tell_lists(&mut self, reactor: &Reactor, gossiping: &mut Gossiping, count: usize) {
         let Some(lists) = &self.lists else { return };
-        let told = lists.tells(self.now);
-        self.tell_lists_at = self.now + if told.off.is_empty() { TELL_LISTS } else { TELL_OFF };
-        let word = Word::List(told).write();
-        let me = self.revisions.hand().member();
+        let told = lists.own_report(self.now);
+        self.tell_lists_at = self.now + if told.removed.is_empty() { TELL_LISTS } else { TELL_OFF };
+        let word = Message::ListReport(told).write();
+        let me = self.revisions.signer().member();
         let others: Vec<Member> =
-            Hand::members(self.revisions.hand()).iter().copied().filter(|member| *member != me).collect();
+            Signer::members(self.revisions.signer()).iter().copied().filter(|member| *member != me).collect();
         for _ in 0..count {
             let at = (self.chance.unit_interval() * others.len() as f64) as usize;
             if let Some(to) = others.get(at) {
@@ -252,16 +258,16 @@
             let (answer, bytes) = self.answer(asked, &mut out);
             // What is answered rests on what is stored.
             self.carry_out(reactor, gossiping, out);
-            reactor.send(line, &[&order::write(&answer), &bytes]);
+            reactor.send(line, &[&requests::encode_line(&answer), &bytes]);
         }
     }
 
-    fn answer(&mut self, asked: Asked, out: &mut Vec<Given>) -> (Answer, Vec<u8>) {
+    fn answer(&mut self, asked: Asked, out: &mut Vec<MemberOutput>) -> (Response, Vec<u8>) {
         let now = self.now;
         let refused = |why: String| {
             counter!(watch::REVISIONS_REFUSED).increment(1);
             tracing::warn!("an order is refused: {why}");
-            (Answer::Refused(why), Vec::new())
+            (Response::Refused(why), Vec::new())
         };
         match asked {
             Asked::Wrong(why) => refused(why),
@@ -269,81 +275,81 @@
                 Ok(()) => {
                     let (number, author) = (signed.head.number, signed.head.author);
                     tracing::info!(number, author, "a revision was pushed here");
-                    (Answer::Taken, Vec::new())
+                    (Response::Taken, Vec::new())
                 }
                 Err(why) => refused(why.to_string()),
             },
-            Asked::Order(Order::Text { text, from }) => {
-                let of = hex_digest(&text).and_then(|of| self.revisions.text_of(&of));
+            Asked::Order(Request::Text { text, from }) => {
+                let of = hex_digest(&text).and_then(|of| self.revisions.text_by_digest(&of));
                 match of.and_then(|text| text.get(from..)) {
                     Some(rest) => {
-                        let piece = rest[..rest.len().min(order::PIECE)].to_vec();
-                        (Answer::Bytes(piece.len()), piece)
+                        let piece = rest[..rest.len().min(requests::MAX_CHUNK_BYTES)].to_vec();
+                        (Response::Bytes(piece.len()), piece)
                     }
                     None => {
-                        (Answer::Refused("no such text here, or none from there on".to_owned()), Vec::new())
+                        (Response::Refused("no such text here, or none from there on".to_owned()), Vec::new())
                     }
                 }
             }
-            Asked::Order(Order::Active) => {
+            Asked::Order(Request::Active) => {
                 let text = self.revisions.active_text().to_vec();
-                (Answer::Bytes(text.len()), text)
+                (Response::Bytes(text.len()), text)
             }
-            Asked::Order(Order::Latest) => match self.revisions.latest_text().map(|text| text.to_vec()) {
-                Some(text) => (Answer::Bytes(text.len()), text),
+            Asked::Order(Request::Latest) => match self.revisions.latest_text().map(|text| text.to_vec()) {
+                Some(text) => (Response::Bytes(text.len()), text),
                 None => {
                     let why = "the text of the certified revision is not here yet".to_owned();
-                    (Answer::Refused(why), Vec::new())
+                    (Response::Refused(why), Vec::new())
                 }
             },
-            Asked::Order(Order::Gone { gone }) => match order::gone_of(&gone) {
-                Some(gone) if self.revisions.take_gone(now, gone, out) => {
+            Asked::Order(Request::Gone { gone }) => match requests::decode_removal(&gone) {
+                Some(gone) if self.revisions.add_removal(now, gone, out) => {
                     tracing::info!(
                         member = gone.member,
-                        gone = gone.gone,
+                        gone = gone.removed,
                         author = gone.author,
                         "an author's word on a member"
                     );
-                    (Answer::Taken, Vec::new())
+                    (Response::Taken, Vec::new())
                 }
                 _ => refused(
                     "the word on the member is not signed by an author, or is older than one that is held"
                         .to_owned(),
                 ),
             },
-            Asked::Order(Order::Status) => (Answer::Status(Box::new(self.report())), Vec::new()),
-            Asked::Order(Order::Push { .. }) => (Answer::Refused("no text".to_owned()), Vec::new()),
+            Asked::Order(Request::Status) => (Response::Status(Box::new(self.report())), Vec::new()),
+            Asked::Order(Request::Push { .. }) => (Response::Refused("no text".to_owned()), Vec::new()),
         }
     }
 
     pub fn report(&self) -> Report {
         let status = self.revisions.status(self.now);
-        let keeper = status.keeper.as_ref().map(|keeper| match keeper.kept().barred {
-            _ if keeper.is_asking() => "asks what it may have signed".to_owned(),
+        let keeper = status.acceptor.as_ref().map(|keeper| match keeper.state().no_vote_through {
+            _ if keeper.is_recovering() => "asks what it may have signed".to_owned(),
             barred if barred > status.certified => format!("votes again after {barred}"),
             _ => "votes".to_owned(),
         });
         Report {
-            member: self.revisions.hand().member(),
-            regime: if self.regime == Regime::Hold { "hold" } else { "wait" }.to_owned(),
-            active: status.acting.active,
+            member: self.revisions.signer().member(),
+            regime: if self.regime == ActivationMode::Hold { "hold" } else { "wait" }.to_owned(),
+            active: status.active_revision.active,
             certified: status.certified,
             digest: hex::encode(status.digest),
-            prepared: status.acting.prepared,
+            prepared: status.active_revision.prepared,
             held: self.held(self.now).map(|held| format!("{held:?}")),
             source: self.source.to_owned(),
             bound_ms: status.bound.as_millis() as u64,
             waited_for: status.waited_for,
-            gone: status.gone,
+            gone: status.removed,
             keeper,
             members: status.positions.iter().map(|(m, p)| (*m, p.active, p.held)).collect(),
         }
     }
 
-    fn held(&self, now: Duration) -> Option<Hold> {
+    fn held(&self, now: Duration) -> Option<HoldReason> {
         // Where nothing that is exclusive changes, the stricter of both is safe beside either.
-        let harmless = self.regime == Regime::Wait && !self.exclusive;
-        self.revisions.acting(now).held.filter(|held| *held != Hold::NoLease || !harmless)
+        let harmless = self.regime == ActivationMode::Wait && !self.exclusive;
+        self.revisions.active_revision(now).held.filter(|held| *held != HoldReason::NoLease || !harmless)
     }
 
     /// Whether new joins are held back at this time, and when viewers may come back.
@@ -378,7 +384,7 @@
         let ActedOn { shared, titles, exclusive } =
             acted_on.map_err(|why| tracing::error!("a revision that was taken does not fit: {why}")).ok()?;
         self.exclusive = exclusive;
-        let acting = self.revisions.acting(self.now);
+        let acting = self.revisions.active_revision(self.now);
         let (active, prepared) = (acting.active, acting.prepared);
         tracing::info!(active, prepared, exclusive, titles = titles.len(), "acts on a revision");
         self.show();
@@ -393,34 +399,34 @@
     }
 
     pub fn take_keys(&mut self, keys: &Keys) {
-        self.revisions.take_hand(keys.clone());
+        self.revisions.replace_signer(keys.clone());
     }
 
-    fn carry_out(&mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, out: Vec<Given>) {
+    fn carry_out(&mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, out: Vec<MemberOutput>) {
         // What could not be stored must not be said: the rest of what was decided is dropped, as if it were lost.
         let mut durable = true;
         for given in out {
             match given {
-                Given::Send(to, word) if durable => {
+                MemberOutput::Send(to, word) if durable => {
                     gossiping.send_message(reactor, self.now, u32::from(to), &word)
                 }
-                Given::Send(..) => {}
-                Given::Store(bytes) => {
+                MemberOutput::Send(..) => {}
+                MemberOutput::Store(bytes) => {
                     durable &= stored(files::replace_durably(&self.state.join(STORED), &bytes))
                 }
-                Given::StoreText(of, text) => durable &= self.store_text(&of, &text),
-                Given::Fetch(signed, from) => {
+                MemberOutput::StoreText(of, text) => durable &= self.store_text(&of, &text),
+                MemberOutput::Fetch(signed, from) => {
                     let at = gossiping.address(from);
                     let own = Some(gossiping.listens_at().ip()).filter(|ip| !ip.is_unspecified());
                     at.into_iter().for_each(|at| self.fetching.begin(reactor, signed, at, own, self.now));
                 }
-                Given::Changed => {
-                    if self.revisions.acting(self.now).active > 0 && self.source == "file" {
+                MemberOutput::Changed => {
+                    if self.revisions.active_revision(self.now).active > 0 && self.source == "file" {
                         self.source = "peers";
                     }
                     self.changed = true;
                 }
-                Given::Unfit(number, why) => {
+                MemberOutput::Unusable(number, why) => {
                     tracing::error!(number, "a certified revision can't be acted on here: {why}");
                     counter!(watch::REVISIONS_REFUSED).increment(1);
                 }
@@ -437,7 +443,7 @@
 
     fn show(&self) {
         let revisions = &self.revisions;
-        gauge!(watch::REVISION_ACTIVE).set(f64::from(revisions.acting(self.now).active));
+        gauge!(watch::REVISION_ACTIVE).set(f64::from(revisions.active_revision(self.now).active));
         gauge!(watch::REVISION_CERTIFIED).set(f64::from(revisions.next().0 - 1));
         gauge!(watch::REVISION_HELD).set(f64::from(u8::from(self.held(self.now).is_some())));
         gauge!(watch::REVISION_BOUND).set(revisions.bound().as_secs_f64());
@@ -463,10 +469,12 @@
 }
 
 /// What an earlier process stored. What can't be read is as if it were not there, and said.
-fn read_stored(state: &Path) -> Option<Stored> {
+fn read_stored(state: &Path) -> Option<StoredState> {
     let path = state.join(STORED);
     let bytes = std::fs::read(&path).ok()?;
-    Stored::read(&bytes).map_err(|why| tracing::error!("{}: {why}; taken as not there", path.display())).ok()
+    StoredState::read(&bytes)
+        .map_err(|why| tracing::error!("{}: {why}; taken as not there", path.display()))
+        .ok()
 }
 
 /// Texts by their digests; one that is another by now is none.
@@ -487,6 +495,6 @@
     if path.exists() {
         bail!("{}: it is there already", path.display());
     }
-    let founded = Stored { keeper: Some(Default::default()), ..Stored::default() };
+    let founded = StoredState { acceptor: Some(Default::default()), ..StoredState::default() };
     files::replace_durably(&path, &founded.write()).with_context(|| path.display().to_string())
 }
--- a/crates/controller/tests/it/changes.rs
+++ b/crates/controller/tests/it/changes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_deployment::kinds::canonical;
-use badgerledge_revisions::order::Answer;
+use badgerledge_revisions::requests::Response;
 use badgerledge_settings::Sheet;
 use rustix::process::Signal;
 
@@ -48,7 +48,7 @@
         changed[from..next].to_owned()
     };
     let changed = changed.replace(&gone("7"), "").replace(&gone("9"), "");
-    assert_eq!(pushes(alone.at, &alone.author, 1, &text(&changed)), Answer::Taken);
+    assert_eq!(pushes(alone.at, &alone.author, 1, &text(&changed)), Response::Taken);
 
     let step = played.hear_message();
     assert!(step.starts_with("SET_PARAMETER") && header(&step, "Rung") == "0", "{step}");
--- a/crates/distribution/src/change.rs
+++ b/crates/distribution/src/change.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use crate::state::{Edit, State};
-use crate::{Author, Hand, Number, Signature};
+use crate::{Author, Number, Signature, Signer};
 
 pub use batch::{Batch, BatchFault, Built, Limits, Summary, LARGEST_BATCH, MOST_CHANGES, SUMMARY};
 pub use history::{History, MOST_KEYS};
@@ -100,13 +100,13 @@
     }
 
     /// Whether its author signed it by a key that holds.
-    pub fn is_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author(self.id.author, &self.signed_bytes(), &self.signature)
+    pub fn is_signed(&self, hand: &impl Signer) -> bool {
+        hand.verify_author(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
     /// Whether its author signed it, by a key that holds or held.
-    pub fn was_signed(&self, hand: &impl Hand) -> bool {
-        hand.by_author_ever(self.id.author, &self.signed_bytes(), &self.signature)
+    pub fn was_signed(&self, hand: &impl Signer) -> bool {
+        hand.verify_author_any_key(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
     /// Whether its edits are within their bounds and of keys that authors may edit, no key twice.
@@ -186,7 +186,7 @@
 /// # Errors
 /// Why it can't.
 pub fn admit(
-    change: &Change, state: &State, history: &History, highest: Number, hand: &impl Hand,
+    change: &Change, state: &State, history: &History, highest: Number, hand: &impl Signer,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
     if !change.is_signed(hand) {
@@ -199,7 +199,7 @@
 /// The same for a change that stands in a certified batch: a key that was revoked since takes nothing back, and
 /// conflicts were checked by those who certified it.
 fn admit_certified(
-    change: &Change, state: &State, highest: Number, hand: &impl Hand,
+    change: &Change, state: &State, highest: Number, hand: &impl Signer,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
     if !change.was_signed(hand) {
--- a/crates/distribution/src/change/batch.rs
+++ b/crates/distribution/src/change/batch.rs
@@ -7,7 +7,7 @@
 
 use super::{admit, admit_certified, author_key, Change, ChangeId, History, Rejection};
 use crate::state::{Edit, State, StateFault};
-use crate::{digest, Digest, Hand, Number};
+use crate::{digest, Digest, Number, Signer};
 
 /// Encoded bytes of a batch at most.
 pub const LARGEST_BATCH: usize = 256 * 1024;
@@ -96,7 +96,7 @@
     /// where both are by the same author. So what becomes of a change does not depend on where one batch ends and the next one begins:
     /// an author who changes a key again names the revision of the first change as its base.
     pub fn build(
-        number: Number, state: &State, history: &History, waiting: Vec<Change>, hand: &impl Hand,
+        number: Number, state: &State, history: &History, waiting: Vec<Change>, hand: &impl Signer,
         limits: Limits,
     ) -> Built {
         let most_bytes = limits.bytes.min(LARGEST_BATCH);
@@ -159,7 +159,7 @@
     /// # Errors
     /// Where it is not the next batch of this state, or one of its changes can't be admitted.
     pub fn apply(
-        &self, state: &State, history: &History, hand: &impl Hand,
+        &self, state: &State, history: &History, hand: &impl Signer,
     ) -> Result<(State, Vec<Edit>), BatchFault> {
         let expected = history.top().saturating_add(1);
         if self.number != expected {
@@ -173,7 +173,9 @@
     ///
     /// # Errors
     /// As [`Batch::apply`].
-    pub fn apply_certified(&self, state: &State, hand: &impl Hand) -> Result<(State, Vec<Edit>), BatchFault> {
+    pub fn apply_certified(
+        &self, state: &State, hand: &impl Signer,
+    ) -> Result<(State, Vec<Edit>), BatchFault> {
         self.apply_with(state, |change, state, highest| admit_certified(change, state, highest, hand))
     }
 
--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -38,7 +38,7 @@
 use std::time::Duration;
 
 use badgerledge_core::random::Rng;
-use badgerledge_revisions::{Keeper, Revisions};
+use badgerledge_revisions::{Acceptor, Revisions};
 
 pub use config::{Config, ConfigFault, LEAST_APART, MOST_APART};
 pub use output::{CloseReason, ConnectionId, ControlOutput};
@@ -51,7 +51,7 @@
 use crate::message::{ControlStatus, PeerMessage, ToRelay, ToWatcher};
 use crate::relay::{Hello, Relay};
 use crate::state::State;
-use crate::{quorum, Certified, Digest, Hand, MachineId, Number};
+use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 use batches::Batches;
 use catch_up::CatchUp;
 use forwarding::{Forwarding, Tended, Told};
@@ -64,7 +64,7 @@
 use serving::Serving;
 
 /// A control machine without I/O: the driver carries its outputs out in their order.
-pub struct ControlMachine<H: Hand> {
+pub struct ControlMachine<H: Signer> {
     config: Config,
     revisions: Revisions<MemberHand<H>>,
     ledger: Ledger,
@@ -86,7 +86,7 @@
     exclusive_check: ExclusiveCheck,
 }
 
-impl<H: Hand> ControlMachine<H> {
+impl<H: Signer> ControlMachine<H> {
     /// A machine that goes on with what it stored, or begins with `genesis`, the state of revision 0 that is the same at
     /// all machines.
     pub fn new(config: Config, hand: H, stored: Stored, genesis: State, seed: u64, now: Duration) -> Self {
@@ -100,11 +100,11 @@
 
     /// Takes another ring, for instance one without an author whose key was revoked.
     pub fn take_hand(&mut self, now: Duration, hand: H, out: &mut Vec<ControlOutput>) {
-        if hand.keepers() != self.hand().keepers() {
-            self.revisions.keepers_changed(now);
+        if hand.acceptors() != self.hand().acceptors() {
+            self.revisions.acceptors_changed(now);
         }
-        self.revisions.take_hand(MemberHand(hand));
-        self.revisions.forget_votable();
+        self.revisions.replace_signer(MemberHand(hand));
+        self.revisions.revoke_vote_permits();
         self.judge_candidates(now, out);
         self.settle(now, out);
     }
@@ -208,10 +208,10 @@
     pub fn tend(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         if now >= self.revisions.next_due() {
             let mut given = Vec::new();
-            self.revisions.tend(now, &mut given);
+            self.revisions.poll(now, &mut given);
             self.carry_out(now, given, out);
         }
-        let enough = quorum(self.hand().keepers().len());
+        let enough = quorum(self.hand().acceptors().len());
         let asks = self.relay.tend(now, &self.ledger, enough, out);
         self.ask_for_grants(asks, out);
         self.ask_for_regional_grants(now, out);
@@ -231,10 +231,14 @@
     pub fn status(&self, now: Duration) -> ControlStatus {
         let agreement = self.revisions.status(now);
         let watchers = self.relay.standing(agreement.certified);
-        let active = if self.revisions.may_act() { agreement.certified } else { agreement.acting.active };
+        let active = if self.revisions.may_activate() {
+            agreement.certified
+        } else {
+            agreement.active_revision.active
+        };
         ControlStatus {
             machine: self.config.me,
-            acceptor: self.hand().keepers().contains(&self.config.me),
+            acceptor: self.hand().acceptors().contains(&self.config.me),
             active,
             certified: agreement.certified,
             root: self.ledger.state().root(),
@@ -268,37 +272,38 @@
 
     /// What shows the highest revision that is known certified, which may be above the state that is here.
     pub fn certificate(&self) -> Option<&Certified> {
-        self.revisions.top()
+        self.revisions.latest_certified()
     }
 
     /// Whether this is an acceptor that votes for the next number: one that lost its disk does so only after some more
     /// were certified without it.
     pub fn votes(&self) -> bool {
         let (next, _) = self.revisions.next();
-        let voting = |acceptor: &Keeper| !acceptor.is_asking() && acceptor.kept().barred < next;
+        let voting =
+            |acceptor: &Acceptor| !acceptor.is_recovering() && acceptor.state().no_vote_through < next;
         self.revisions.acceptor().is_some_and(voting)
     }
 
     fn hand(&self) -> &H {
-        &self.revisions.hand().0
+        &self.revisions.signer().0
     }
 
     /// This acceptor's grant; nothing from one that does not know what its former self allowed.
     fn grant(&self, root: Digest) -> Option<Grant> {
-        let allowed = self.revisions.grantable()?;
+        let allowed = self.revisions.grantable_number()?;
         Some(Grant::sign(self.hand(), self.config.me, root, allowed))
     }
 
     fn take_grant(&mut self, from: MachineId, grant: Grant, out: &mut Vec<ControlOutput>) {
         if grant.acceptor == from && self.relay.awaits(&grant) && grant.holds(self.hand()) {
-            let enough = quorum(self.hand().keepers().len());
+            let enough = quorum(self.hand().acceptors().len());
             self.relay.granted(grant, enough, out);
         }
     }
 
     fn ask_for_grants(&mut self, asks: Vec<(Digest, Vec<MachineId>)>, out: &mut Vec<ControlOutput>) {
         for (root, granted) in asks {
-            let acceptors = self.hand().keepers().iter().copied();
+            let acceptors = self.hand().acceptors().iter().copied();
             let asked: Vec<MachineId> = acceptors.filter(|acceptor| !granted.contains(acceptor)).collect();
             for acceptor in asked {
                 if acceptor != self.config.me {
@@ -337,11 +342,11 @@
 
     /// Forwards what was pushed here, to the acceptor that makes batches.
     fn forward(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let machines = self.peers.heard_of(now, self.config.me, self.revisions.hand().0.keepers());
-        let acceptor = self.hand().keepers().contains(&self.config.me);
+        let machines = self.peers.heard_of(now, self.config.me, self.revisions.signer().0.acceptors());
+        let acceptor = self.hand().acceptors().contains(&self.config.me);
         let sequencers: Vec<MachineId> =
             machines.into_iter().filter(|machine| acceptor || *machine != self.config.me).collect();
-        let heard_quorum = sequencers.len() >= quorum(self.hand().keepers().len());
+        let heard_quorum = sequencers.len() >= quorum(self.hand().acceptors().len());
         let Tended { forwards, told } =
             self.forwarding.tend(now, &sequencers, self.certified.0, heard_quorum);
         tell(told, out);
--- a/crates/distribution/src/control/agreement.rs
+++ b/crates/distribution/src/control/agreement.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_revisions::word::Word;
-use badgerledge_revisions::{Given, Head};
+use badgerledge_revisions::message::Message;
+use badgerledge_revisions::{Head, MemberOutput};
 
 use crate::change::Summary;
 use crate::control::batches::Fitness;
@@ -13,33 +13,38 @@
 use crate::control::sequencer::{BuildContext, Proposal, Standing};
 use crate::control::{ControlMachine, ControlOutput, StoredItem};
 use crate::message::{PeerMessage, ToWatcher};
-use crate::{Certified, Digest, Hand, MachineId, Signed};
+use crate::{Certified, Digest, MachineId, Signed, Signer};
 
 /// Things that follow from each other at once: a vote, a certificate, a word to act, the next batch. More than that wait for
 /// the next call.
 const ROUNDS: usize = 8;
 
-impl<H: Hand> ControlMachine<H> {
+impl<H: Signer> ControlMachine<H> {
     pub(super) fn agreement_message(
         &mut self, now: Duration, from: MachineId, bytes: &[u8], out: &mut Vec<ControlOutput>,
     ) {
         // That a machine is off for good is an author's word, and authors of the agreement are the machines themselves here.
-        let Some(word) = Word::read(bytes).filter(|word| !matches!(word, Word::Gone(_) | Word::List(_)))
+        let Some(word) =
+            Message::read(bytes).filter(|word| !matches!(word, Message::Removal(_) | Message::ListReport(_)))
         else {
             return;
         };
         let mut given = Vec::new();
-        self.revisions.heard(now, from, word, &mut given);
+        self.revisions.receive(now, from, word, &mut given);
         self.carry_out(now, given, out);
     }
 
-    pub(super) fn carry_out(&mut self, now: Duration, given: Vec<Given>, out: &mut Vec<ControlOutput>) {
+    pub(super) fn carry_out(
+        &mut self, now: Duration, given: Vec<MemberOutput>, out: &mut Vec<ControlOutput>,
+    ) {
         let mut given = VecDeque::from(given);
         while let Some(next) = given.pop_front() {
             match next {
-                Given::Send(to, bytes) => out.push(ControlOutput::ToPeer(to, PeerMessage::Agreement(bytes))),
-                Given::Store(bytes) => out.push(ControlOutput::Store(StoredItem::Agreement(bytes))),
-                Given::Fetch(signed, from) => {
+                MemberOutput::Send(to, bytes) => {
+                    out.push(ControlOutput::ToPeer(to, PeerMessage::Agreement(bytes)))
+                }
+                MemberOutput::Store(bytes) => out.push(ControlOutput::Store(StoredItem::Agreement(bytes))),
+                MemberOutput::Fetch(signed, from) => {
                     let text = signed.head.text;
                     let Some(summary) = self.batches.get(&text).map(|held| held.summary) else {
                         out.push(ControlOutput::ToPeer(from, PeerMessage::GetBatch { digest: text }));
@@ -50,7 +55,7 @@
                     given.extend(more);
                 }
                 // The batch is stored, and with it its summary, which is the text.
-                Given::StoreText(..) | Given::Changed | Given::Unfit(..) => {}
+                MemberOutput::StoreText(..) | MemberOutput::Changed | MemberOutput::Unusable(..) => {}
             }
         }
     }
@@ -58,13 +63,13 @@
     /// Goes on as far as what is known allows.
     pub(super) fn settle(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         for _ in 0..ROUNDS {
-            let before = (self.certified.0, self.ledger.number(), self.revisions.may_act());
+            let before = (self.certified.0, self.ledger.number(), self.revisions.may_activate());
             self.note_certified(now);
             self.advance(now, out);
             self.allow(now, out);
             self.report_ready(now, out);
             self.propose_next(now, out);
-            if before == (self.certified.0, self.ledger.number(), self.revisions.may_act()) {
+            if before == (self.certified.0, self.ledger.number(), self.revisions.may_activate()) {
                 break;
             }
         }
@@ -72,7 +77,7 @@
     }
 
     fn note_certified(&mut self, now: Duration) {
-        let number = self.revisions.top().map_or(0, Certified::number);
+        let number = self.revisions.latest_certified().map_or(0, Certified::number);
         if number > self.certified.0 {
             self.certified = (number, now);
             self.rival_at = None;
@@ -82,7 +87,7 @@
 
     /// Applies what is certified, if the batches that lead there are here.
     fn advance(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let top = self.revisions.top().filter(|top| top.number() > self.ledger.number());
+        let top = self.revisions.latest_certified().filter(|top| top.number() > self.ledger.number());
         let Some(top) = top.cloned() else { return };
         let last = top.signed.head.text;
         let Some(steps) = self.batches.chain(self.ledger.latest(), &last, self.hand()) else { return };
@@ -92,7 +97,7 @@
             let number = held.batch.number;
             let proof = (step.text == last).then(|| (top.clone(), held.summary));
             let exclusive = (self.exclusive_check)(self.ledger.state(), &step.edits);
-            self.revisions.judge(number, exclusive);
+            self.revisions.classify(number, exclusive);
             self.checkpoints.batch(held.bytes.len());
             self.outcomes.applied(number, &held.batch.changes);
             self.ledger.advance(Revision { number, proof, state: step.state }, &step.edits);
@@ -136,9 +141,9 @@
     }
 
     fn keep_batch(&mut self, summary: Summary, bytes: Vec<u8>) -> Option<Digest> {
-        let certified = self.revisions.top().map(|top| top.signed.head.text);
+        let certified = self.revisions.latest_certified().map(|top| top.signed.head.text);
         let revisions = &self.revisions;
-        let needed = |text: &Digest| certified == Some(*text) || revisions.text_of(text).is_some();
+        let needed = |text: &Digest| certified == Some(*text) || revisions.text_by_digest(text).is_some();
         self.batches.take(summary, bytes, self.ledger.number(), needed)
     }
 
@@ -155,18 +160,18 @@
     /// and the batch is in order. What it may vote for is on its disk before.
     fn judge(&mut self, now: Duration, text: &Digest, out: &mut Vec<ControlOutput>) {
         let certified = self.revisions.next().0 - 1;
-        let acceptor = self.hand().keepers().contains(&self.config.me);
-        if !acceptor || self.ledger.number() != certified || self.revisions.lets_vote_for(text) {
+        let acceptor = self.hand().acceptors().contains(&self.config.me);
+        if !acceptor || self.ledger.number() != certified || self.revisions.is_vote_permitted(text) {
             return;
         }
         let Some(held) = self.batches.get(text) else { return };
         let (summary, fitness) =
-            (held.summary, held.fitness(&self.ledger, &self.revisions.hand().0, &mut self.state_check));
+            (held.summary, held.fitness(&self.ledger, &self.revisions.signer().0, &mut self.state_check));
         if fitness == Fitness::Unfit {
             return;
         }
         out.extend(self.batches.take_to_store(text).map(ControlOutput::Store));
-        self.revisions.let_vote(*text, fitness == Fitness::Applicable);
+        self.revisions.permit_vote(*text, fitness == Fitness::Applicable);
         self.take_text(now, &summary, out);
     }
 
@@ -174,7 +179,7 @@
     pub(super) fn take_state(
         &mut self, now: Duration, from: MachineId, part: ToWatcher, out: &mut Vec<ControlOutput>,
     ) {
-        let hand = &self.revisions.hand().0;
+        let hand = &self.revisions.signer().0;
         let (caught, requests) = self.catch_up.take(now, from, part, &self.ledger, hand);
         out.extend(requests.into_iter().map(|request| ControlOutput::ToPeer(from, request)));
         let Some(caught) = caught.filter(|caught| caught.revision.number > self.ledger.number()) else {
@@ -187,7 +192,7 @@
             None => self.ledger.jump(caught.revision),
         }
         // What changed on the way is not known.
-        self.revisions.judge(number, true);
+        self.revisions.classify(number, true);
         self.outcomes.skipped(number);
         self.checkpoints.skipped();
         self.catch_up.caught(now);
@@ -223,9 +228,11 @@
 
     /// Hands down that the highest certified revision may be acted on.
     fn allow(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let Some(top) = self.revisions.top().filter(|_| self.revisions.may_act()) else { return };
+        let Some(top) = self.revisions.latest_certified().filter(|_| self.revisions.may_activate()) else {
+            return;
+        };
         self.ledger.take_goes(top);
-        self.relay.allowed(now, top.number(), &top.goes, &self.ledger, out);
+        self.relay.allowed(now, top.number(), &top.activation_grants, &self.ledger, out);
     }
 
     /// Says to the agreement that this machine's watchers are ready, or have had the time.
@@ -238,7 +245,7 @@
 
     fn standing(&self) -> Standing {
         let (certified, certified_at) = self.certified;
-        let allowed = certified == 0 || self.revisions.may_act();
+        let allowed = certified == 0 || self.revisions.may_activate();
         Standing { certified, certified_at, allowed, rival_at: self.rival_at }
     }
 
@@ -253,7 +260,7 @@
             return;
         }
         let standing = self.standing();
-        let hand = &self.revisions.hand().0;
+        let hand = &self.revisions.signer().0;
         let (ledger, outcomes, check) = (&self.ledger, &self.outcomes, &mut self.state_check);
         let context = BuildContext { ledger, outcomes, hand, check };
         let (proposal, answers) = self.sequencer.build(now, &standing, context, &mut self.chance);
--- a/crates/distribution/src/control/batches.rs
+++ b/crates/distribution/src/control/batches.rs
@@ -7,7 +7,7 @@
 use crate::control::state_check::StateCheck;
 use crate::control::StoredItem;
 use crate::state::{Edit, State};
-use crate::{digest, Digest, Hand, Number};
+use crate::{digest, Digest, Number, Signer};
 
 /// Batches that are kept at most, each of [`LARGEST_BATCH`] at most.
 const KEPT: usize = 48;
@@ -119,7 +119,7 @@
 
     /// The batches that lead from a revision to the one with this text, if all are here: the last one's text is
     /// certified, it names the root that it applies to, and so each the one before.
-    pub fn chain(&self, from: &Revision, text: &Digest, hand: &impl Hand) -> Option<Vec<Step>> {
+    pub fn chain(&self, from: &Revision, text: &Digest, hand: &impl Signer) -> Option<Vec<Step>> {
         let mut back = vec![*text];
         let mut first = self.held.get(text)?;
         while first.batch.number > from.number + 1 {
@@ -145,7 +145,7 @@
 
 impl Held {
     /// Whether an acceptor with this state may vote for it.
-    pub fn fitness(&self, ledger: &Ledger, hand: &impl Hand, check: &mut StateCheck) -> Fitness {
+    pub fn fitness(&self, ledger: &Ledger, hand: &impl Signer, check: &mut StateCheck) -> Fitness {
         let leads_there = |state: &State| state.root() == self.summary.root;
         if self.batch.number != ledger.number() + 1 {
             return Fitness::Unfit;
--- a/crates/distribution/src/control/catch_up.rs
+++ b/crates/distribution/src/control/catch_up.rs
@@ -9,7 +9,7 @@
 use crate::message::{PeerMessage, ToWatcher};
 use crate::state::{Edit, Entry};
 use crate::transfer::{PartRequest, Transfer, BUCKET_WINDOW};
-use crate::{Certified, Digest, Hand, MachineId, Number};
+use crate::{Certified, Digest, MachineId, Number, Signer};
 
 /// A batch that is missing alone is fetched by itself; after this the state is asked for.
 const GRACE: Duration = Duration::from_millis(1500);
@@ -90,7 +90,7 @@
 
     /// A part came from the machine that was asked. Gives the state that it completes, or what to ask for next.
     pub fn take(
-        &mut self, now: Duration, from: MachineId, part: ToWatcher, ledger: &Ledger, hand: &impl Hand,
+        &mut self, now: Duration, from: MachineId, part: ToWatcher, ledger: &Ledger, hand: &impl Signer,
     ) -> (Option<Caught>, Vec<PeerMessage>) {
         if self.asked.is_none_or(|(machine, _)| machine != from) {
             return (None, Vec::new());
@@ -164,7 +164,7 @@
 }
 
 /// Whether a certificate holds, is of a revision after this one, and names this summary.
-fn shows(certificate: &Certified, summary: &Summary, after: Number, hand: &impl Hand) -> bool {
+fn shows(certificate: &Certified, summary: &Summary, after: Number, hand: &impl Signer) -> bool {
     certificate.number() > after
         && certificate.signed.head.text == text_digest(summary)
         && certificate.holds(hand)
--- a/crates/distribution/src/control/ledger.rs
+++ b/crates/distribution/src/control/ledger.rs
@@ -119,7 +119,7 @@
         if held.number() != certificate.number() {
             return;
         }
-        if held.goes.len() < certificate.goes.len() {
+        if held.activation_grants.len() < certificate.activation_grants.len() {
             let proof = Some((certificate.clone(), *summary));
             let state = self.latest.state.clone();
             self.latest = Arc::new(Revision { number: self.latest.number, proof, state });
--- a/crates/distribution/src/control/recovery.rs
+++ b/crates/distribution/src/control/recovery.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_core::random::Rng;
-use badgerledge_revisions::{Regime, Revisions, Terms};
+use badgerledge_revisions::{ActivationMode, MemberConfig, Revisions};
 
 use crate::change::Summary;
 use crate::control::batches::Batches;
@@ -14,7 +14,7 @@
 use crate::control::{Checkpoint, Config, ControlMachine, Stored, StoredItem};
 use crate::relay::Relay;
 use crate::state::State;
-use crate::{Certified, Hand, Number};
+use crate::{Certified, Number, Signer};
 
 /// A machine that has not prepared, and still has a lease of the agreement's, is waited for no longer than this: its relay
 /// gives its watchers two seconds, and news take some round trips between regions.
@@ -69,21 +69,21 @@
 }
 
 /// A machine that goes on with what it stored.
-pub(super) fn begin<H: Hand>(
+pub(super) fn begin<H: Signer>(
     config: Config, hand: H, stored: Stored, genesis: State, seed: u64, now: Duration,
 ) -> ControlMachine<H> {
     let agreement =
-        stored.agreement.as_deref().and_then(|bytes| badgerledge_revisions::Stored::read(bytes).ok());
-    let top = agreement.as_ref().and_then(|stored| stored.top.clone());
+        stored.agreement.as_deref().and_then(|bytes| badgerledge_revisions::StoredState::read(bytes).ok());
+    let top = agreement.as_ref().and_then(|stored| stored.latest.clone());
     let mut found = find(stored, genesis, top, &hand);
     let mut chance = Rng(seed);
     let mut drawn = || (chance.unit_interval() * f64::from(u32::MAX)) as u64;
     let (agreement_seed, relay_seed) = (drawn(), drawn());
-    let terms = Terms {
-        me: config.me,
-        life: config.life,
-        regime: Regime::Hold,
-        late: config.late,
+    let terms = MemberConfig {
+        local_id: config.me,
+        incarnation: config.life,
+        mode: ActivationMode::Hold,
+        activation_delay: config.late,
         check: Box::new(|text| {
             Summary::read(text).map(drop).ok_or_else(|| "no summary of a batch".to_owned())
         }),
@@ -91,10 +91,10 @@
     let own_text = Arc::from(Vec::new());
     let hand = MemberHand(hand);
     let mut revisions = Revisions::new(hand, terms, own_text, agreement, found.texts, now, agreement_seed);
-    revisions.gated(now, PATIENCE);
-    let certified = revisions.top().map_or(0, Certified::number);
+    revisions.enable_gate(now, PATIENCE);
+    let certified = revisions.latest_certified().map_or(0, Certified::number);
     let number = found.ledger.number();
-    revisions.set_apart(now, config.apart, number);
+    revisions.enable_relay_leases(now, config.apart, number);
     if !config.apart.is_zero() {
         found.ledger.keep_allowed();
     }
@@ -123,7 +123,7 @@
 }
 
 /// Finds the state that the stored batches lead to.
-fn find(stored: Stored, genesis: State, top: Option<Certified>, hand: &impl Hand) -> Found {
+fn find(stored: Stored, genesis: State, top: Option<Certified>, hand: &impl Signer) -> Found {
     let checkpoint = stored.checkpoint.filter(|checkpoint| is_whole(checkpoint, hand));
     let mut texts: Vec<Arc<[u8]>> = Vec::new();
     let revision = match checkpoint {
@@ -153,7 +153,7 @@
 }
 
 fn replay(
-    ledger: &mut Ledger, outcomes: &mut Outcomes, batches: &Batches, top: &Certified, hand: &impl Hand,
+    ledger: &mut Ledger, outcomes: &mut Outcomes, batches: &Batches, top: &Certified, hand: &impl Signer,
 ) {
     let Some(steps) = batches.chain(ledger.latest(), &top.signed.head.text, hand) else { return };
     for step in steps {
@@ -165,7 +165,7 @@
     }
 }
 
-fn is_whole(checkpoint: &Checkpoint, hand: &impl Hand) -> bool {
+fn is_whole(checkpoint: &Checkpoint, hand: &impl Signer) -> bool {
     let Checkpoint { certificate, summary, state } = checkpoint;
     let named = certificate.signed.head.text == super::batches::text_digest(summary);
     named && state.root() == summary.root && certificate.holds(hand)
--- a/crates/distribution/src/control/regional.rs
+++ b/crates/distribution/src/control/regional.rs
@@ -6,7 +6,7 @@
 use crate::message::{ApartStatus, PeerMessage};
 use crate::regional::RegionalGrant;
 use crate::state::{Edit, State};
-use crate::{Digest, Hand, MachineId};
+use crate::{Digest, MachineId, Signer};
 
 /// Tells whether edits of a state change what two controllers must not act on in both ways at once.
 pub type ExclusiveCheck = Box<dyn FnMut(&State, &[Edit]) -> bool + Send>;
@@ -16,7 +16,7 @@
     Box::new(|_, _| true)
 }
 
-impl<H: Hand> ControlMachine<H> {
+impl<H: Signer> ControlMachine<H> {
     /// Has the edits of each revision judged, for regions apart. Without this every revision counts as exclusive.
     pub fn set_exclusive_check(&mut self, check: ExclusiveCheck) {
         self.exclusive_check = check;
@@ -61,7 +61,7 @@
         if self.config.apart.is_zero() {
             return;
         }
-        let enough = crate::quorum(self.hand().keepers().len());
+        let enough = crate::quorum(self.hand().acceptors().len());
         let me = self.config.me;
         for (root, vouched) in self.relay.regional_asks(now, enough) {
             if let Some(grant) = self.regional_grant(now, root).filter(|_| !vouched.contains(&me)) {
--- a/crates/distribution/src/control/sequencer.rs
+++ b/crates/distribution/src/control/sequencer.rs
@@ -14,7 +14,7 @@
 use crate::control::ledger::Ledger;
 use crate::control::outcomes::Outcomes;
 use crate::control::state_check::{build_fitting, StateCheck};
-use crate::{Digest, Hand, MachineId, Number};
+use crate::{Digest, MachineId, Number, Signer};
 
 /// Changes that wait at most, and their bytes.
 const MOST_WAITING: usize = 2048;
@@ -74,7 +74,7 @@
 }
 
 /// What a batch is built on and judged by.
-pub(crate) struct BuildContext<'a, H: Hand> {
+pub(crate) struct BuildContext<'a, H: Signer> {
     pub ledger: &'a Ledger,
     pub outcomes: &'a Outcomes,
     pub hand: &'a H,
@@ -172,7 +172,8 @@
 
     /// Builds the next batch, if it is time, and tells what became of changes that need none.
     pub fn build(
-        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Hand>, chance: &mut Rng,
+        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Signer>,
+        chance: &mut Rng,
     ) -> (Option<Proposal>, Vec<Answer>) {
         let BuildContext { ledger, outcomes, hand, check } = context;
         self.forget_old(now);
--- a/crates/distribution/src/control/serving.rs
+++ b/crates/distribution/src/control/serving.rs
@@ -8,7 +8,7 @@
 use crate::control::{ControlMachine, ControlOutput};
 use crate::message::{PeerMessage, ToWatcher};
 use crate::state::{BUCKETS, GROUPS};
-use crate::{Digest, Hand, MachineId, Number};
+use crate::{Digest, MachineId, Number, Signer};
 
 /// Parts of a state that are asked for in one message at most.
 const MOST_PARTS: usize = 128;
@@ -25,7 +25,7 @@
     }
 }
 
-impl<H: Hand> ControlMachine<H> {
+impl<H: Signer> ControlMachine<H> {
     pub(super) fn serve_batch(
         &mut self, now: Duration, from: MachineId, text: &Digest, out: &mut Vec<ControlOutput>,
     ) {
--- a/crates/distribution/src/control/state_check.rs
+++ b/crates/distribution/src/control/state_check.rs
@@ -5,7 +5,7 @@
 
 use crate::change::{Batch, Built, Change, History, Limits, Rejection};
 use crate::state::State;
-use crate::{Hand, Number};
+use crate::{Number, Signer};
 
 /// Judges a state by the one before it, on which controllers act: why they can't go on from there.
 pub type StateCheck = Box<dyn FnMut(&State, &State) -> Result<(), String> + Send>;
@@ -17,7 +17,7 @@
 
 /// Builds a batch from as many of the first changes as lead to a state that is taken. One that alone does not is rejected.
 pub(crate) fn build_fitting(
-    number: Number, state: &State, history: &History, mut changes: Vec<Change>, hand: &impl Hand,
+    number: Number, state: &State, history: &History, mut changes: Vec<Change>, hand: &impl Signer,
     check: &mut StateCheck,
 ) -> Built {
     loop {
--- a/crates/distribution/src/control/stored.rs
+++ b/crates/distribution/src/control/stored.rs
@@ -1,6 +1,6 @@
 //! What a control machine stores, and how it is encoded. The driver seals each record, so that a torn one is none.
 
-use badgerledge_revisions::Kept;
+use badgerledge_revisions::AcceptorState;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -97,7 +97,10 @@
     /// What an acceptor is given once, when the tier is set up: it has signed nothing so far. With [`Stored::default`] it
     /// counts as one that lost its disk, and asks the others before it votes.
     pub fn founding() -> Self {
-        let kept = badgerledge_revisions::Stored { keeper: Some(Kept::default()), ..Default::default() };
+        let kept = badgerledge_revisions::StoredState {
+            acceptor: Some(AcceptorState::default()),
+            ..Default::default()
+        };
         Self { agreement: Some(kept.write()), ..Self::default() }
     }
 
--- a/crates/distribution/src/lease.rs
+++ b/crates/distribution/src/lease.rs
@@ -15,7 +15,7 @@
 use serde_big_array::BigArray;
 use thiserror::Error;
 
-use crate::{digest, quorum, ControllerId, Digest, Hand, MachineId, Number, Signature};
+use crate::{digest, quorum, ControllerId, Digest, MachineId, Number, Signature, Signer};
 
 /// How long a lease lasts, counted by the watcher from when it drew the nonce.
 pub const LEASE: Duration = Duration::from_secs(6);
@@ -123,15 +123,16 @@
     }
 
     /// This acceptor's grant.
-    pub fn sign(hand: &impl Hand, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
+    pub fn sign(hand: &impl Signer, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
         let signature = hand.sign(&Self::signed_bytes(acceptor, &root, allowed));
         Self { acceptor, root, allowed, signature }
     }
 
     /// Whether an acceptor of the ring signed it.
-    pub fn holds(&self, hand: &impl Hand) -> bool {
+    pub fn holds(&self, hand: &impl Signer) -> bool {
         let bytes = Self::signed_bytes(self.acceptor, &self.root, self.allowed);
-        hand.keepers().contains(&self.acceptor) && hand.by_member(self.acceptor, &bytes, &self.signature)
+        hand.acceptors().contains(&self.acceptor)
+            && hand.verify_member(self.acceptor, &bytes, &self.signature)
     }
 }
 
@@ -175,7 +176,7 @@
     /// # Errors
     /// Where the path is in no tree, or too few acceptors granted.
     pub fn check(
-        &self, controller: ControllerId, acting: Number, hand: &impl Hand,
+        &self, controller: ControllerId, acting: Number, hand: &impl Signer,
     ) -> Result<(), LeaseFault> {
         let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
@@ -191,7 +192,7 @@
                 granted.push(grant);
             }
         }
-        let needed = quorum(hand.keepers().len());
+        let needed = quorum(hand.acceptors().len());
         let in_time = granted.iter().filter(|grant| grant.allowed <= acting).count();
         if in_time >= needed {
             return Ok(());
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -28,7 +28,7 @@
 mod tests;
 
 pub use badgerledge_revisions::{
-    digest, quorum, Author, Certified, Digest, Hand, Member as MachineId, Number, Signature, Signed,
+    digest, quorum, Author, Certified, Digest, Member as MachineId, Number, Signature, Signed, Signer,
 };
 
 /// The number of a controller.
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -6,7 +6,7 @@
 //! | 3 | `bd1`, the protocol and its version |
 //! | rest | one message in `postcard`'s encoding |
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -71,7 +71,7 @@
     /// The entries of a bucket, by key.
     Bucket { bucket: u16, entries: Vec<Entry> },
     /// A quorum of acceptors says that a certified revision may be acted on.
-    Activate { number: Number, goes: Vec<Go> },
+    Activate { number: Number, goes: Vec<ActivationGrant> },
     /// A lease: acceptors' grants over a tree of nonces, with the path from the watcher's own.
     Lease(LeaseProof),
     /// What became of a change that was pushed on this connection.
--- a/crates/distribution/src/regional.rs
+++ b/crates/distribution/src/regional.rs
@@ -6,7 +6,7 @@
 use serde_big_array::BigArray;
 
 use crate::lease::{leaf, root_from, LeaseFault, Nonce, MAX_GRANTS};
-use crate::{ControllerId, Digest, Hand, MachineId, Number, Signature};
+use crate::{ControllerId, Digest, MachineId, Number, Signature, Signer};
 
 /// Machines that must vouch: one that lies can't keep a watcher on an old revision alone.
 pub const VOUCHERS: usize = 2;
@@ -30,15 +30,15 @@
     }
 
     /// This machine's grant.
-    pub fn sign(hand: &impl Hand, machine: MachineId, root: Digest, allowed: Number) -> Self {
+    pub fn sign(hand: &impl Signer, machine: MachineId, root: Digest, allowed: Number) -> Self {
         let signature = hand.sign(&Self::signed_bytes(machine, &root, allowed));
         Self { machine, root, allowed, signature }
     }
 
     /// Whether a control machine of the ring signed it.
-    pub fn holds(&self, hand: &impl Hand) -> bool {
+    pub fn holds(&self, hand: &impl Signer) -> bool {
         let bytes = Self::signed_bytes(self.machine, &self.root, self.allowed);
-        hand.members().contains(&self.machine) && hand.by_member(self.machine, &bytes, &self.signature)
+        hand.members().contains(&self.machine) && hand.verify_member(self.machine, &bytes, &self.signature)
     }
 }
 
@@ -60,7 +60,7 @@
     /// # Errors
     /// Where the path is in no tree, or too few machines vouched.
     pub fn check(
-        &self, controller: ControllerId, acting: Number, hand: &impl Hand,
+        &self, controller: ControllerId, acting: Number, hand: &impl Signer,
     ) -> Result<(), LeaseFault> {
         let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use badgerledge_core::random::Rng;
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 
 use crate::control::ledger::Ledger;
 use crate::control::{CloseReason, ConnectionId, ControlOutput};
@@ -74,7 +74,7 @@
 /// The revision that may be acted on, with the acceptors' words.
 struct Allowed {
     number: Number,
-    goes: Vec<Go>,
+    goes: Vec<ActivationGrant>,
 }
 
 /// How its watchers stand.
@@ -310,7 +310,8 @@
 
     /// A quorum of acceptors allows a revision to be acted on.
     pub(crate) fn allowed(
-        &mut self, now: Duration, number: Number, goes: &[Go], ledger: &Ledger, out: &mut Vec<ControlOutput>,
+        &mut self, now: Duration, number: Number, goes: &[ActivationGrant], ledger: &Ledger,
+        out: &mut Vec<ControlOutput>,
     ) {
         if self.allowed.as_ref().is_none_or(|allowed| allowed.number < number) {
             self.allowed = Some(Allowed { number, goes: goes.to_vec() });
--- a/crates/distribution/src/relay/session.rs
+++ b/crates/distribution/src/relay/session.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 
 use super::Hello;
 use crate::control::ledger::{Ledger, Revision};
@@ -190,7 +190,7 @@
     }
 
     /// The word to act, if the watcher has that revision and acts on an older one.
-    pub fn activate(&mut self, now: Duration, number: Number, goes: &[Go]) -> Option<ToWatcher> {
+    pub fn activate(&mut self, now: Duration, number: Number, goes: &[ActivationGrant]) -> Option<ToWatcher> {
         if number <= self.activated.0 || self.active >= number || !self.has(number) {
             return None;
         }
--- a/crates/distribution/src/tests/certified.rs
+++ b/crates/distribution/src/tests/certified.rs
@@ -1,13 +1,13 @@
 //! Certified revisions, words to act and leases for tests, as acceptors would sign them.
 
-use badgerledge_revisions::word::{Go, Vote};
+use badgerledge_revisions::message::{ActivationGrant, Vote};
 use badgerledge_revisions::{Ballot, Head};
 
 use super::hand::DigestHand;
 use crate::change::Summary;
 use crate::lease::{leaf, Grant, LeaseProof, Nonce, NonceTree};
 use crate::state::{Edit, State};
-use crate::{digest, quorum, Certified, ControllerId, Hand, MachineId, Number, Signed};
+use crate::{digest, quorum, Certified, ControllerId, MachineId, Number, Signed, Signer};
 
 /// Acceptors of the ring.
 pub const ACCEPTORS: MachineId = 5;
@@ -33,10 +33,10 @@
 pub fn version_of(number: Number, state: State, variant: u8) -> Version {
     let summary = Summary { root: state.root(), batch: digest(&[variant]), length: 1 };
     let head = Head::new(number, [variant; 32], 0, &summary.text());
-    let ballot = Ballot { round: 1, by: 0, life: 1 };
+    let ballot = Ballot { round: 1, proposer: 0, incarnation: 1 };
     let vote = |acceptor| Vote::sign(&hand(acceptor), acceptor, number, ballot, head.digest());
     let signed = Signed { head, signature: hand(0).sign(&head.signed_bytes()) };
-    let certificate = Certified { signed, votes: a_quorum().map(vote).collect(), goes: vec![] };
+    let certificate = Certified { signed, votes: a_quorum().map(vote).collect(), activation_grants: vec![] };
     Version { certificate, summary, state }
 }
 
@@ -57,9 +57,9 @@
     }
 
     /// These acceptors' words that it may be acted on.
-    pub fn goes(&self, acceptors: impl Iterator<Item = MachineId>) -> Vec<Go> {
+    pub fn goes(&self, acceptors: impl Iterator<Item = MachineId>) -> Vec<ActivationGrant> {
         let (number, digest) = (self.number(), self.certificate.digest());
-        acceptors.map(|acceptor| Go::sign(&hand(acceptor), acceptor, number, digest)).collect()
+        acceptors.map(|acceptor| ActivationGrant::sign(&hand(acceptor), acceptor, number, digest)).collect()
     }
 }
 
--- a/crates/distribution/src/tests/control/acceptor.rs
+++ b/crates/distribution/src/tests/control/acceptor.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerledge_revisions::word::Word;
+use badgerledge_revisions::message::Message;
 use badgerledge_revisions::{Ballot, Head};
 
 use super::super::edits::{entry, put};
@@ -13,7 +13,7 @@
 use crate::control::{Config, ControlMachine, ControlOutput, Stored, StoredItem};
 use crate::message::PeerMessage;
 use crate::state::State;
-use crate::{Hand, MachineId, Signed};
+use crate::{MachineId, Signed, Signer};
 
 const ACCEPTORS: MachineId = 3;
 /// The machine that proposes.
@@ -42,7 +42,7 @@
         out
     }
 
-    fn hear_word(&mut self, word: Word) -> Vec<ControlOutput> {
+    fn hear_word(&mut self, word: Message) -> Vec<ControlOutput> {
         self.hear(PeerMessage::Agreement(word.write()))
     }
 
@@ -50,17 +50,17 @@
     fn propose(&mut self, round: u32, summary: &Summary) -> Vec<ControlOutput> {
         let head = Head::new(1, [0; 32], PROPOSER, &summary.text());
         let signature = DigestHand::new(PROPOSER, ACCEPTORS).sign(&head.signed_bytes());
-        let ballot = Ballot { round, by: PROPOSER, life: 1 };
-        self.hear_word(Word::Prepare { number: 1, ballot });
-        self.hear_word(Word::Head(Signed { head, signature }));
-        self.hear_word(Word::Accept { number: 1, ballot, digest: head.digest() })
+        let ballot = Ballot { round, proposer: PROPOSER, incarnation: 1 };
+        self.hear_word(Message::Prepare { number: 1, ballot });
+        self.hear_word(Message::Head(Signed { head, signature }));
+        self.hear_word(Message::Accept { number: 1, ballot, digest: head.digest() })
     }
 }
 
 fn votes(out: &[ControlOutput]) -> bool {
     out.iter().any(|output| match output {
         ControlOutput::ToPeer(_, PeerMessage::Agreement(bytes)) => {
-            matches!(Word::read(bytes), Some(Word::Vote(_)))
+            matches!(Message::read(bytes), Some(Message::Vote(_)))
         }
         _ => false,
     })
@@ -147,9 +147,9 @@
     acceptor.hear(PeerMessage::Batch { summary, bytes });
     let head = Head::new(1, [0; 32], PROPOSER, &summary.text());
     let signature = DigestHand::new(2, ACCEPTORS).sign(&head.signed_bytes());
-    let ballot = Ballot { round: 9, by: PROPOSER, life: 1 };
+    let ballot = Ballot { round: 9, proposer: PROPOSER, incarnation: 1 };
     let mut fresh = Acceptor::new();
-    fresh.hear_word(Word::Prepare { number: 1, ballot });
-    fresh.hear_word(Word::Head(Signed { head, signature }));
-    assert!(!votes(&fresh.hear_word(Word::Accept { number: 1, ballot, digest: head.digest() })));
+    fresh.hear_word(Message::Prepare { number: 1, ballot });
+    fresh.hear_word(Message::Head(Signed { head, signature }));
+    assert!(!votes(&fresh.hear_word(Message::Accept { number: 1, ballot, digest: head.digest() })));
 }
--- a/crates/distribution/src/tests/hand.rs
+++ b/crates/distribution/src/tests/hand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{digest, Author, Hand, MachineId, Signature};
+use crate::{digest, Author, MachineId, Signature, Signer};
 
 /// Authors sign under numbers that no machine has.
 const AUTHORS: u32 = 1 << 16;
@@ -33,20 +33,20 @@
     seal(AUTHORS + u32::from(author), bytes)
 }
 
-impl Hand for DigestHand {
+impl Signer for DigestHand {
     fn sign(&self, bytes: &[u8]) -> Signature {
         seal(u32::from(self.me), bytes)
     }
 
-    fn by_member(&self, machine: MachineId, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, machine: MachineId, bytes: &[u8], signature: &Signature) -> bool {
         *signature == seal(u32::from(machine), bytes)
     }
 
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        !self.revoked.contains(&author) && self.by_author_ever(author, bytes, signature)
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        !self.revoked.contains(&author) && self.verify_author_any_key(author, bytes, signature)
     }
 
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
         *signature == sign_as_author(author, bytes)
     }
 
@@ -54,7 +54,7 @@
         &self.machines
     }
 
-    fn keepers(&self) -> &[MachineId] {
+    fn acceptors(&self) -> &[MachineId] {
         &self.acceptors
     }
 }
--- a/crates/distribution/src/tests/net/checks.rs
+++ b/crates/distribution/src/tests/net/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_revisions::word::Word;
+use badgerledge_revisions::message::Message;
 
 use super::{Net, Node};
 use crate::change::{Batch, ChangeId, Rejection, Summary};
@@ -74,14 +74,17 @@
 
     pub fn sent_to_peer(&mut self, message: &PeerMessage) {
         let word = match message {
-            PeerMessage::Agreement(bytes) => Word::read(bytes),
+            PeerMessage::Agreement(bytes) => Message::read(bytes),
             PeerMessage::AskRegionalGrant { .. } | PeerMessage::RegionalGrant(_) => {
                 self.apart_messages += 1;
                 None
             }
             _ => None,
         };
-        if let Some(Word::AskRelayLease { .. } | Word::RelayLease { .. } | Word::Able { .. }) = word {
+        if let Some(
+            Message::RelayLeaseRequest { .. } | Message::RelayLease { .. } | Message::ReadyToActivate { .. },
+        ) = word
+        {
             self.apart_messages += 1;
         }
     }
--- a/crates/distribution/src/tests/sample.rs
+++ b/crates/distribution/src/tests/sample.rs
@@ -1,6 +1,6 @@
 //! Messages for tests, whole and in order.
 
-use badgerledge_revisions::word::{Go, Vote};
+use badgerledge_revisions::message::{ActivationGrant, Vote};
 use badgerledge_revisions::{Ballot, Head};
 
 use super::edits::{entry, put, removal};
@@ -10,7 +10,7 @@
 use crate::message::{ApartStatus, PeerMessage, ToRelay, ToWatcher};
 use crate::regional::{RegionalGrant, RegionalProof};
 use crate::state::Edit;
-use crate::{Certified, Hand, MachineId, Number, Signed};
+use crate::{Certified, MachineId, Number, Signed, Signer};
 
 /// Acceptors of the ring that samples are of.
 const ACCEPTORS: MachineId = 7;
@@ -26,10 +26,14 @@
 /// A certificate of revision 12 with so many votes.
 pub fn certificate(votes: MachineId) -> Certified {
     let head = Head::new(12, [3; 32], 0, &summary().text());
-    let ballot = Ballot { round: 1, by: 0, life: 1 };
+    let ballot = Ballot { round: 1, proposer: 0, incarnation: 1 };
     let vote = |machine| Vote::sign(&DigestHand::new(machine, ACCEPTORS), machine, 12, ballot, head.digest());
     let signature = DigestHand::new(0, ACCEPTORS).sign(&head.signed_bytes());
-    Certified { signed: Signed { head, signature }, votes: (0..votes).map(vote).collect(), goes: vec![] }
+    Certified {
+        signed: Signed { head, signature },
+        votes: (0..votes).map(vote).collect(),
+        activation_grants: vec![],
+    }
 }
 
 /// The lease of one of so many watchers of a relay, with so many grants.
@@ -72,7 +76,7 @@
 
 /// One message of each kind that a relay sends.
 pub fn to_watcher() -> Vec<ToWatcher> {
-    let go = Go::sign(&DigestHand::new(1, ACCEPTORS), 1, 12, [3; 32]);
+    let go = ActivationGrant::sign(&DigestHand::new(1, ACCEPTORS), 1, 12, [3; 32]);
     let rejection = Rejection::Conflict { key: "a".to_owned(), base: 11, changed_in: 12 };
     let id = ChangeId { author: 1, sequence: 2 };
     vec![
--- a/crates/distribution/src/tests/watcher/revisions.rs
+++ b/crates/distribution/src/tests/watcher/revisions.rs
@@ -90,7 +90,7 @@
 fn a_certificate_that_brings_the_words_to_act_is_enough() {
     let mut bench = Bench::served(2, 1);
     let (mut one, edits) = first();
-    one.certificate.goes = one.goes(a_quorum());
+    one.certificate.activation_grants = one.goes(a_quorum());
     bench.hear(0, delta(&one, 0, &own_state(), &edits));
     assert_eq!(bench.numbers(), (1, None));
 }
@@ -325,7 +325,7 @@
         |message| with(message, |version, _| version.certificate.votes.clear()),
         |message| with(message, |version, _| version.certificate.votes.truncate(2)),
         |message| with(message, |version, _| version.certificate.votes[0].signature[0] ^= 1),
-        |message| with(message, |version, _| version.certificate.votes[0].keeper = 9),
+        |message| with(message, |version, _| version.certificate.votes[0].acceptor = 9),
         |message| with(message, |version, _| version.certificate.votes[1] = version.certificate.votes[0]),
         |message| with(message, |version, _| version.summary.root[0] ^= 1),
         |message| with(message, |version, _| version.certificate.signed.head.number = 2),
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -36,7 +36,7 @@
 use crate::message::{ToRelay, ToWatcher};
 use crate::regional::RegionalProof;
 use crate::state::State;
-use crate::Hand;
+use crate::Signer;
 use lease_requests::LeaseRequests;
 use links::{Contradiction, Leave, LinkAction, Links, Wanted};
 use revisions::{RevisionFault, Revisions};
@@ -75,7 +75,7 @@
     now: Duration,
 }
 
-impl<H: Hand> Watcher<H> {
+impl<H: Signer> Watcher<H> {
     /// A watcher that acts on what it stored, or else on `own`, the state of the program's own file. What was stored and
     /// this program can't act on is as if it were not stored.
     pub fn new(
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 use thiserror::Error;
 
 use super::stored::{Stored, StoredRevision};
@@ -10,7 +10,7 @@
 use crate::lease::MAX_GRANTS;
 use crate::state::{Edit, Entry, State, StateFault};
 use crate::transfer::{check_groups, PartRequest, Progress, Taken, Transfer, TransferFault};
-use crate::{quorum, Certified, Digest, Hand, MachineId, Number};
+use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 
 /// Votes, or words to act, that a certificate may have: more than there are acceptors in any deployment.
 const MOST_VOTES: usize = MAX_GRANTS;
@@ -128,7 +128,7 @@
     /// A revision, certified, as edits on the state of another one.
     pub fn take_delta(
         &mut self, certificate: Certified, summary: Summary, base: (Number, Digest), edits: &[Edit],
-        hand: &impl Hand,
+        hand: &impl Signer,
     ) -> Result<Offered, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
@@ -174,7 +174,7 @@
 
     /// A certified revision of which parts can be fetched. What earlier snapshots brought stays of use.
     pub fn take_snapshot(
-        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], hand: &impl Hand,
+        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], hand: &impl Signer,
     ) -> Result<Offered, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
@@ -248,7 +248,9 @@
     ///
     /// # Errors
     /// Where no quorum of them does, or they name another revision with this number than the one held.
-    pub fn take_goes(&mut self, number: Number, goes: &[Go], hand: &impl Hand) -> Result<(), RevisionFault> {
+    pub fn take_goes(
+        &mut self, number: Number, goes: &[ActivationGrant], hand: &impl Signer,
+    ) -> Result<(), RevisionFault> {
         if number <= self.allowed.number.max(self.active()) {
             return Ok(());
         }
@@ -281,7 +283,7 @@
 /// # Errors
 /// Where it is not.
 pub(super) fn check_snapshot(
-    certificate: &Certified, summary: &Summary, groups: &[Digest], hand: &impl Hand,
+    certificate: &Certified, summary: &Summary, groups: &[Digest], hand: &impl Signer,
 ) -> Result<(), RevisionFault> {
     check_certificate(certificate, summary, hand)?;
     let fault = |fault| RevisionFault::Transfer(certificate.number(), fault);
@@ -289,13 +291,13 @@
 }
 
 fn check_certificate(
-    certificate: &Certified, summary: &Summary, hand: &impl Hand,
+    certificate: &Certified, summary: &Summary, hand: &impl Signer,
 ) -> Result<(), RevisionFault> {
     let number = certificate.number();
     if certificate.signed.head.check_text(&summary.text()).is_err() {
         return Err(RevisionFault::Summary(number));
     }
-    let bounded = certificate.votes.len() <= MOST_VOTES && certificate.goes.len() <= MOST_VOTES;
+    let bounded = certificate.votes.len() <= MOST_VOTES && certificate.activation_grants.len() <= MOST_VOTES;
     match bounded && certificate.holds(hand) {
         true => Ok(()),
         false => Err(RevisionFault::Certificate(number)),
@@ -303,14 +305,14 @@
 }
 
 /// The digest of the revision with this number that a quorum of acceptors allowed to be acted on.
-fn allowed_digest(number: Number, goes: &[Go], hand: &impl Hand) -> Option<Digest> {
+fn allowed_digest(number: Number, goes: &[ActivationGrant], hand: &impl Signer) -> Option<Digest> {
     let mut acceptors: BTreeMap<Digest, BTreeSet<MachineId>> = BTreeMap::new();
     for go in goes.iter().take(MOST_VOTES).filter(|go| go.number == number) {
         let named = acceptors.entry(go.digest).or_default();
-        if !named.contains(&go.keeper) && go.holds(hand) {
-            named.insert(go.keeper);
+        if !named.contains(&go.acceptor) && go.holds(hand) {
+            named.insert(go.acceptor);
         }
     }
-    let needed = quorum(hand.keepers().len());
+    let needed = quorum(hand.acceptors().len());
     acceptors.into_iter().find(|(_, named)| named.len() >= needed).map(|(digest, _)| digest)
 }
--- a/crates/distribution/src/watcher/updates.rs
+++ b/crates/distribution/src/watcher/updates.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 
 use super::revisions::{check_snapshot, Offered, RevisionFault, Revisions};
 use super::{RelayFault, StoredRevision, Watcher, WatcherOutput};
@@ -11,7 +11,7 @@
 use crate::message::ToRelay;
 use crate::state::Edit;
 use crate::transfer::PartRequest;
-use crate::{quorum, Certified, Digest, Hand, Number};
+use crate::{quorum, Certified, Digest, Number, Signer};
 
 /// Bytes at most of a reason why a revision can't be acted on.
 const LONGEST_REASON: usize = 1024;
@@ -59,12 +59,12 @@
     }
 }
 
-impl<H: Hand> Watcher<H> {
+impl<H: Signer> Watcher<H> {
     pub(super) fn take_delta(
         &mut self, now: Duration, relay: usize, (certificate, summary): (Certified, Summary),
         base: (Number, Digest), edits: &[Edit], out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        let (number, goes) = (certificate.number(), certificate.goes.clone());
+        let (number, goes) = (certificate.number(), certificate.activation_grants.clone());
         let offered = self.revisions.take_delta(certificate, summary, base, edits, &self.hand)?;
         if offered == Offered::NoBase {
             self.links.restarted(relay)?;
@@ -95,14 +95,14 @@
             } else if self.source.number() == Some(number) {
                 self.links.restarted(relay)?;
             }
-            let goes = offer.certificate.goes.clone();
+            let goes = offer.certificate.activation_grants.clone();
             self.source.change(relay, offer);
             self.links.updated(now, relay);
             self.take_certified_goes(now, relay, number, &goes, out);
             return Ok(());
         }
         self.take_offered(now, relay, offered, out);
-        self.take_certified_goes(now, relay, number, &offer.certificate.goes, out);
+        self.take_certified_goes(now, relay, number, &offer.certificate.activation_grants, out);
         Ok(())
     }
 
@@ -163,16 +163,18 @@
 
     /// Words to act that came with a certificate: they count where they are enough.
     fn take_certified_goes(
-        &mut self, now: Duration, relay: usize, number: Number, goes: &[Go], out: &mut Vec<WatcherOutput>,
+        &mut self, now: Duration, relay: usize, number: Number, goes: &[ActivationGrant],
+        out: &mut Vec<WatcherOutput>,
     ) {
-        if goes.len() >= quorum(self.hand.keepers().len()) {
+        if goes.len() >= quorum(self.hand.acceptors().len()) {
             // Those that are not enough say nothing against the relay: the certificate held without them.
             let _ = self.take_goes(now, relay, number, goes, out);
         }
     }
 
     pub(super) fn take_goes(
-        &mut self, now: Duration, relay: usize, number: Number, goes: &[Go], out: &mut Vec<WatcherOutput>,
+        &mut self, now: Duration, relay: usize, number: Number, goes: &[ActivationGrant],
+        out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
         let before = self.revisions.allowed();
         self.revisions.take_goes(number, goes, &self.hand)?;
--- a/crates/failure_reports/src/item.rs
+++ b/crates/failure_reports/src/item.rs
@@ -12,11 +12,11 @@
 
 use badgerledge_gossip::statement::ITEM_BYTES;
 
-use crate::Trouble;
+use crate::Failure;
 
 /// What a report says of a streamer. A build that does not know a kind ignores the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FailureKind {
     /// Joins on it were lost because it was silent or ended.
     Lost = 1,
     /// It refused joins for lack of capacity or delivered less than requested, or its link was overloaded.
@@ -27,7 +27,7 @@
 const AGE_UNIT: Duration = Duration::from_millis(100);
 
 /// The encoded item.
-pub fn write((streamer, kind): Trouble, elapsed: Duration) -> [u8; ITEM_BYTES] {
+pub fn write((streamer, kind): Failure, elapsed: Duration) -> [u8; ITEM_BYTES] {
     let mut item = [0; ITEM_BYTES];
     item[..4].copy_from_slice(&streamer.ip().octets());
     item[4..6].copy_from_slice(&streamer.port().to_be_bytes());
@@ -37,14 +37,14 @@
 }
 
 /// The streamer and kind of an item, and how long ago it was observed; `None` for unknown kinds.
-pub fn read(item: &[u8; ITEM_BYTES]) -> Option<(Trouble, Duration)> {
+pub fn read(item: &[u8; ITEM_BYTES]) -> Option<(Failure, Duration)> {
     let streamer = SocketAddrV4::new(
         Ipv4Addr::new(item[0], item[1], item[2], item[3]),
         u16::from_be_bytes([item[4], item[5]]),
     );
     let kind = match item[6] {
-        1 => Kind::Lost,
-        2 => Kind::Strained,
+        1 => FailureKind::Lost,
+        2 => FailureKind::Strained,
         _ => return None,
     };
     Some(((streamer, kind), AGE_UNIT * u32::from(item[7])))
--- a/crates/failure_reports/src/lib.rs
+++ b/crates/failure_reports/src/lib.rs
@@ -23,10 +23,10 @@
 use badgerledge_gossip::Member;
 
 use crate::credit::Credit;
-pub use crate::item::Kind;
+pub use crate::item::FailureKind;
 
 /// A streamer and the kind of failure.
-pub type Trouble = (StreamerId, Kind);
+pub type Failure = (StreamerId, FailureKind);
 
 /// Age at which a report has no weight left: a streamer that was silent for longer is off the list, or works.
 const REPORT_LIFETIME: Duration = Duration::from_secs(8);
@@ -63,27 +63,27 @@
 /// Local observations, reports of others, and the credit of each member.
 #[derive(Clone, Debug, Default)]
 pub struct FailureReports {
-    observations: BTreeMap<Trouble, Observation>,
-    reports: BTreeMap<Trouble, Vec<Report>>,
+    observations: BTreeMap<Failure, Observation>,
+    reports: BTreeMap<Failure, Vec<Report>>,
     credits: BTreeMap<Member, Credit>,
     /// When each failure was last returned as believed, and how many times in a row.
-    alerts: BTreeMap<Trouble, (Duration, u32)>,
+    alerts: BTreeMap<Failure, (Duration, u32)>,
 }
 
 impl FailureReports {
     /// Records the outcome of a local join: it plays, or was lost because the streamer was silent or ended.
     pub fn observe_join(&mut self, now: Duration, streamer: StreamerId, succeeded: bool) {
-        self.observe(now, (streamer, Kind::Lost), succeeded);
+        self.observe(now, (streamer, FailureKind::Lost), succeeded);
     }
 
     /// Records that a streamer refused a join, delivered less than requested or had a full link; or, with
     /// `is_good`, that it is at ease.
     pub fn observe_strain(&mut self, now: Duration, streamer: StreamerId, at_ease: bool) {
-        self.observe(now, (streamer, Kind::Strained), at_ease);
+        self.observe(now, (streamer, FailureKind::Strained), at_ease);
     }
 
     /// Records a local observation of a streamer, and judges current reports by it.
-    fn observe(&mut self, now: Duration, failure: Trouble, is_good: bool) {
+    fn observe(&mut self, now: Duration, failure: Failure, is_good: bool) {
         make_room(&mut self.observations, |observation| observation.last_lost.max(observation.last_good));
         let observation = self.observations.entry(failure).or_default();
         if is_good {
@@ -107,7 +107,7 @@
     /// Takes a member's bulletin of the given age. Returns the failures that are now believed.
     pub fn take_bulletin(
         &mut self, now: Duration, author: Member, age: Duration, items: &[[u8; ITEM_BYTES]],
-    ) -> Vec<Trouble> {
+    ) -> Vec<Failure> {
         let mut believed = Vec::new();
         for item in items {
             let Some((failure, elapsed)) = item::read(item) else { continue };
@@ -125,7 +125,7 @@
 
     /// Whether a believed failure is to be returned now: when it becomes believed, and repeatedly while
     /// reports continue.
-    fn alert_is_due(&mut self, now: Duration, failure: Trouble) -> bool {
+    fn alert_is_due(&mut self, now: Duration, failure: Failure) -> bool {
         make_room(&mut self.alerts, |(last_alert, _)| Some(*last_alert));
         let (last_alert, alerts) = self.alerts.entry(failure).or_insert((Duration::ZERO, 0));
         let due = *alerts == 0 || now >= *last_alert + ALERT_INTERVAL;
@@ -136,7 +136,7 @@
     }
 
     /// Whether a join has succeeded locally since that time.
-    fn is_cleared(&self, failure: Trouble, observed_at: Duration) -> bool {
+    fn is_cleared(&self, failure: Failure, observed_at: Duration) -> bool {
         self.observations
             .get(&failure)
             .and_then(|observation| observation.last_good)
@@ -144,7 +144,7 @@
     }
 
     /// Stores a report: the latest of each member, and of the members those with the latest reports.
-    fn add_report(&mut self, failure: Trouble, report: Report) {
+    fn add_report(&mut self, failure: Failure, report: Report) {
         make_room(&mut self.reports, |reports| reports.iter().map(|report| report.observed_at).max());
         let reports = self.reports.entry(failure).or_default();
         if let Some(known) = reports.iter_mut().find(|known| known.author == report.author) {
@@ -164,10 +164,10 @@
     /// Whether a streamer is believed to be failing. A single member's report is never enough; a local
     /// observation counts as one more report.
     pub fn believes(&self, now: Duration, streamer: StreamerId) -> bool {
-        self.believes_failure(now, (streamer, Kind::Lost))
+        self.believes_failure(now, (streamer, FailureKind::Lost))
     }
 
-    fn believes_failure(&self, now: Duration, failure: Trouble) -> bool {
+    fn believes_failure(&self, now: Duration, failure: Failure) -> bool {
         let freshness = |observed_at: Duration| {
             1.0 - now.saturating_sub(observed_at).as_secs_f64() / REPORT_LIFETIME.as_secs_f64()
         };
@@ -211,12 +211,12 @@
     }
 
     /// Own recent losses, the most severe first; any loss is more severe than strain.
-    fn fresh_losses(&self, now: Duration) -> Vec<(u32, Trouble, Duration)> {
-        let recent_loss = |(failure, observation): (&Trouble, &Observation)| {
+    fn fresh_losses(&self, now: Duration) -> Vec<(u32, Failure, Duration)> {
+        let recent_loss = |(failure, observation): (&Failure, &Observation)| {
             let elapsed = now.saturating_sub(observation.last_lost?);
             (elapsed < PUBLICATION_PERIOD).then_some((observation.lost, *failure, elapsed))
         };
-        let mut losses: Vec<(u32, Trouble, Duration)> =
+        let mut losses: Vec<(u32, Failure, Duration)> =
             self.observations.iter().filter_map(recent_loss).collect();
         losses.sort_by(|a, b| a.1 .1.cmp(&b.1 .1).then(b.cmp(a)));
         losses.truncate(MAX_ITEMS);
--- a/crates/failure_reports/src/tests.rs
+++ b/crates/failure_reports/src/tests.rs
@@ -6,14 +6,14 @@
 use quickcheck::{Gen, QuickCheck};
 
 use crate::credit::MIN_CREDIT;
-use crate::{item, FailureReports, Kind, REPORT_LIFETIME};
+use crate::{item, FailureKind, FailureReports, REPORT_LIFETIME};
 
 const T0: Duration = Duration::from_secs(1000);
 const A: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 const B: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 2);
 
 fn write(streamer: SocketAddrV4, elapsed: Duration) -> [u8; 8] {
-    item::write((streamer, Kind::Lost), elapsed)
+    item::write((streamer, FailureKind::Lost), elapsed)
 }
 
 fn ms(count: u64) -> Duration {
@@ -36,7 +36,7 @@
 fn reports_of_two_members_are_believed_until_they_expire() {
     let mut reports = FailureReports::default();
     assert!(reports.take_bulletin(T0, 1, ms(200), &[write(A, ms(300))]).is_empty());
-    assert_eq!(reports.take_bulletin(T0, 2, ms(200), &[write(A, ms(100))]), [(A, Kind::Lost)]);
+    assert_eq!(reports.take_bulletin(T0, 2, ms(200), &[write(A, ms(100))]), [(A, FailureKind::Lost)]);
     assert!(reports.believes(T0 + ms(500), A));
     assert!(!reports.believes(T0 + REPORT_LIFETIME, A));
     // A late bulletin counts with its age.
@@ -65,7 +65,10 @@
     let mut reports = FailureReports::default();
     reports.observe_join(T0, A, false);
     assert!(!reports.believes(T0, A));
-    assert_eq!(reports.take_bulletin(T0, 1, Duration::ZERO, &[write(A, Duration::ZERO)]), [(A, Kind::Lost)]);
+    assert_eq!(
+        reports.take_bulletin(T0, 1, Duration::ZERO, &[write(A, Duration::ZERO)]),
+        [(A, FailureKind::Lost)]
+    );
 }
 
 #[test]
@@ -163,10 +166,10 @@
 #[test]
 fn strain_is_reported_beside_losses() {
     let mut reports = FailureReports::default();
-    let items = [item::write((A, Kind::Strained), Duration::ZERO)];
+    let items = [item::write((A, FailureKind::Strained), Duration::ZERO)];
     assert!(reports.take_bulletin(T0, 1, Duration::ZERO, &items).is_empty());
     reports.observe_join(T0, A, true);
-    assert_eq!(reports.take_bulletin(T0 + ms(10), 2, Duration::ZERO, &items), [(A, Kind::Strained)]);
+    assert_eq!(reports.take_bulletin(T0 + ms(10), 2, Duration::ZERO, &items), [(A, FailureKind::Strained)]);
     assert!(!reports.believes(T0 + ms(10), A), "strain is not a loss");
     reports.observe_strain(T0 + ms(20), A, true);
     assert!(
--- a/crates/gossip/src/budget.rs
+++ b/crates/gossip/src/budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether statements may be sent: the bytes reserved for probes remain available.
-    pub fn spares(&mut self, now: Duration, bytes: usize) -> bool {
+    pub fn has_reserve(&mut self, now: Duration, bytes: usize) -> bool {
         self.0.available(now) >= RESERVED_FOR_PROBES_BYTES.max(bytes as f64)
     }
 }
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -31,10 +31,10 @@
 /// and is passed on unchanged.
 pub const PING: u8 = 1;
 pub const ACK: u8 = 2;
-pub const ASK: u8 = 3;
+pub const PING_REQ: u8 = 3;
 pub const NACK: u8 = 4;
 pub const DIGEST: u8 = 5;
-pub const NEWS: u8 = 6;
+pub const STATEMENTS: u8 = 6;
 pub const MESSAGE: u8 = 7;
 
 /// Why a datagram is dropped.
@@ -64,7 +64,7 @@
     pub kind: u8,
     pub from: Member,
     pub to: Member,
-    pub life: u32,
+    pub process_incarnation: u32,
     pub counter: u32,
 }
 
@@ -75,7 +75,7 @@
     bytes.push(header.kind);
     bytes.extend(header.from.to_be_bytes());
     bytes.extend(header.to.to_be_bytes());
-    bytes.extend(header.life.to_be_bytes());
+    bytes.extend(header.process_incarnation.to_be_bytes());
     bytes.extend(header.counter.to_be_bytes());
     bytes
 }
@@ -101,7 +101,7 @@
         kind: bytes[3],
         from: member(4),
         to: member(6),
-        life: be_u32(&bytes[8..12]),
+        process_incarnation: be_u32(&bytes[8..12]),
         counter: be_u32(&bytes[12..16]),
     };
     Ok((header, &signed[HEADER_BYTES..], signed, signature))
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use budget::{Budget, MAX_BYTES_PER_SECOND};
 pub use envelope::{Fault, MAX_DATAGRAM_BYTES};
-pub use member::{Counts, Event, Gossip, Transport};
+pub use member::{Counters, Event, Gossip, Transport};
 pub use rate_limits::RateLimits;
 pub use statement::{Keyring, SIGNATURE_BYTES};
 pub use view::{MemberState, View};
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -12,7 +12,7 @@
 use crate::outbox::Outbox;
 use crate::probe::Probes;
 use crate::rate_limits::RateLimits;
-use crate::statement::{incarnation, life_of, Keyring};
+use crate::statement::{incarnation, process_incarnation_of, Keyring};
 use crate::token_bucket::TokenBucket;
 use crate::view::{MemberEntry, MemberState, View, PROBE_PERIOD};
 use crate::window::Window;
@@ -27,7 +27,7 @@
 mod sending;
 mod suspicion;
 
-pub use events::{Counts, Event, Transport};
+pub use events::{Counters, Event, Transport};
 
 /// Interval at which queued statements are sent to a random member; about what the byte budget allows, so
 /// that many members with something to announce at once are not delayed further.
@@ -74,15 +74,15 @@
     stale_notices: TokenBucket,
     /// When `tick` requested to be called next.
     due: Duration,
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
 impl<H: Keyring> Gossip<H> {
-    /// Creates a member. `life` must be later than in all earlier processes of this member; `seeds` are
+    /// Creates a member. `process_incarnation` must be later than in all earlier processes of this member; `seeds` are
     /// addresses of some other members.
     pub fn new(
-        local_id: Member, keyring: H, life: u32, address: SocketAddrV4, seeds: Vec<SocketAddrV4>,
-        now: Duration, seed: u64,
+        local_id: Member, keyring: H, process_incarnation: u32, address: SocketAddrV4,
+        seeds: Vec<SocketAddrV4>, now: Duration, seed: u64,
     ) -> Self {
         let mut rng = Rng(seed);
         // A random offset, so that members started in the same second do not act in step.
@@ -90,7 +90,7 @@
         let mut gossip = Self {
             keyring,
             local_id,
-            incarnation: incarnation(life, 0),
+            incarnation: incarnation(process_incarnation, 0),
             address,
             seeds,
             view: View::new(local_id),
@@ -115,7 +115,7 @@
             refute_at: None,
             stale_notices: TokenBucket::new(STALE_NOTICES_PER_SECOND, STALE_NOTICES_PER_SECOND, now),
             due: now,
-            counts: Counts::default(),
+            counts: Counters::default(),
         };
         gossip.view.set_ring_size(gossip.keyring.ring().len());
         gossip.publish_record(now, false);
@@ -138,8 +138,8 @@
     }
 
     /// The process incarnation of this member.
-    pub fn life(&self) -> u32 {
-        life_of(self.incarnation)
+    pub fn process_incarnation(&self) -> u32 {
+        process_incarnation_of(self.incarnation)
     }
 
     /// The local health score: 0 unless this member itself appears to be slow.
@@ -196,7 +196,7 @@
 
     /// Whether no other member is known to be alive.
     fn is_alone(&self) -> bool {
-        self.view.taking_part() < 2
+        self.view.active_count() < 2
     }
 
     /// Performs the actions that are due at `now`.
@@ -236,6 +236,6 @@
     }
 }
 
-fn takes_part(known: Option<&MemberEntry>) -> bool {
-    known.is_some_and(|known| known.state.takes_part())
+fn is_active(known: Option<&MemberEntry>) -> bool {
+    known.is_some_and(|known| known.state.is_active())
 }
--- a/crates/gossip/src/member/anti_entropy.rs
+++ b/crates/gossip/src/member/anti_entropy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Gossip, Transport};
-use crate::envelope::{Header, DIGEST, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, NEWS};
+use crate::envelope::{Header, DIGEST, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, STATEMENTS};
 use crate::probe::shuffle;
 use crate::statement::{Keyring, Statement};
 use crate::Member;
@@ -30,7 +30,7 @@
         let salt = (self.counter + 1) as u8;
         body.extend(slice.iter().map(|member| self.view.digest(*member, salt)));
         self.comparison_start = start + slice.len();
-        if self.budget.spares(now, MAX_DATAGRAM_BYTES) {
+        if self.budget.has_reserve(now, MAX_DATAGRAM_BYTES) {
             self.send(now, DIGEST, to, &body, false, out);
         }
     }
@@ -69,8 +69,8 @@
     /// Sends the statements collected so far, if there are any and the byte budget allows it.
     fn send_answer(&mut self, now: Duration, to: Member, body: &mut Vec<u8>, out: &mut impl Transport) {
         let body = std::mem::take(body);
-        if !body.is_empty() && self.budget.spares(now, MAX_DATAGRAM_BYTES) {
-            self.send(now, NEWS, to, &body, false, out);
+        if !body.is_empty() && self.budget.has_reserve(now, MAX_DATAGRAM_BYTES) {
+            self.send(now, STATEMENTS, to, &body, false, out);
         }
     }
 }
--- a/crates/gossip/src/member/dissemination.rs
+++ b/crates/gossip/src/member/dissemination.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::{Event, Gossip, Transport};
-use crate::envelope::{Fault, MAX_BODY_BYTES, MESSAGE, NEWS};
+use crate::envelope::{Fault, MAX_BODY_BYTES, MESSAGE, STATEMENTS};
 use crate::outbox::Rank;
-use crate::statement::{life_of, Bulletin, Claim, Keyring, Statement, ITEM_BYTES, MAX_ITEMS};
+use crate::statement::{process_incarnation_of, Bulletin, Claim, Keyring, Statement, ITEM_BYTES, MAX_ITEMS};
 use crate::{Member, MAX_DATAGRAM_BYTES};
 
 impl<H: Keyring> Gossip<H> {
@@ -14,8 +14,12 @@
     pub fn publish(&mut self, now: Duration, items: Vec<[u8; ITEM_BYTES]>) {
         self.bulletin_number += 1;
         let items = items.into_iter().take(MAX_ITEMS).collect();
-        let bulletin =
-            Bulletin { author: self.local_id, life: self.life(), number: self.bulletin_number, items };
+        let bulletin = Bulletin {
+            author: self.local_id,
+            process_incarnation: self.process_incarnation(),
+            number: self.bulletin_number,
+            items,
+        };
         self.counts.signed += 1;
         self.outbox.put(Claim::Bulletin(bulletin).sign(&self.keyring), Rank::Normal, now);
     }
@@ -30,12 +34,12 @@
 
     /// Sends the most urgent statements to a random member.
     pub(super) fn send_statements(&mut self, now: Duration, out: &mut impl Transport) {
-        if !self.budget.spares(now, MAX_DATAGRAM_BYTES) {
+        if !self.budget.has_reserve(now, MAX_DATAGRAM_BYTES) {
             self.counts.held_back += 1;
             return;
         }
         if let Some(to) = self.random_members(1, None).first().copied() {
-            self.send(now, NEWS, to, &[], true, out);
+            self.send(now, STATEMENTS, to, &[], true, out);
         }
     }
 
@@ -91,7 +95,7 @@
                     && self
                         .bulletins
                         .get(&bulletin.author)
-                        .is_none_or(|latest| *latest < (bulletin.life, bulletin.number))
+                        .is_none_or(|latest| *latest < (bulletin.process_incarnation, bulletin.number))
             }
         }
     }
@@ -103,10 +107,10 @@
     ) {
         let Some(known) = self.view.get(bulletin.author) else { return };
         // Bulletins of an earlier process incarnation are outdated.
-        if bulletin.life != life_of(known.record.incarnation) {
+        if bulletin.process_incarnation != process_incarnation_of(known.record.incarnation) {
             return;
         }
-        self.bulletins.insert(bulletin.author, (bulletin.life, bulletin.number));
+        self.bulletins.insert(bulletin.author, (bulletin.process_incarnation, bulletin.number));
         let observed_at = now.saturating_sub(age);
         self.outbox.put(statement, Rank::Normal, observed_at);
         events.push(Event::Bulletin(bulletin, age));
--- a/crates/gossip/src/member/events.rs
+++ b/crates/gossip/src/member/events.rs
@@ -34,7 +34,7 @@
 
 /// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
     pub taken: u64,
--- a/crates/gossip/src/member/joining.rs
+++ b/crates/gossip/src/member/joining.rs
@@ -4,11 +4,13 @@
 use std::time::Duration;
 
 use super::probing::HELPER_COUNT;
-use super::{takes_part, Event, Gossip, Transport};
-use crate::envelope::{ANYONE, NEWS};
+use super::{is_active, Event, Gossip, Transport};
+use crate::envelope::{ANYONE, STATEMENTS};
 use crate::outbox::Rank;
 use crate::probe::shuffle;
-use crate::statement::{incarnation, life_of, Claim, Keyring, Record, Statement, LAST_INCARNATION};
+use crate::statement::{
+    incarnation, process_incarnation_of, Claim, Keyring, Record, Statement, LAST_INCARNATION,
+};
 use crate::view::{Change, MemberEntry, MemberState};
 use crate::Member;
 
@@ -27,7 +29,7 @@
         self.incarnation = (self.incarnation + 1).min(LAST_INCARNATION);
         self.publish_record(now, true);
         for to in self.random_members(HELPER_COUNT * 2, None) {
-            self.send(now, NEWS, to, &[], true, out);
+            self.send(now, STATEMENTS, to, &[], true, out);
         }
     }
 
@@ -56,7 +58,7 @@
         if record.subject == self.local_id {
             // The record is from an earlier process that stored nothing, so the incarnation of this one must
             // become later.
-            let next = incarnation(life_of(record.incarnation).saturating_add(1), 0);
+            let next = incarnation(process_incarnation_of(record.incarnation).saturating_add(1), 0);
             self.incarnation = self.incarnation.max(next).max(record.incarnation);
             self.counter = 0;
             return self.publish_record(now, false);
@@ -111,7 +113,7 @@
     /// Pings the first seed at whose address no known member takes part.
     fn contact_absent_seed(&mut self, now: Duration, out: &mut impl Transport) {
         let known = |seed: &SocketAddrV4| {
-            self.addresses.get(seed).is_some_and(|member| takes_part(self.view.get(*member)))
+            self.addresses.get(seed).is_some_and(|member| is_active(self.view.get(*member)))
         };
         let unheard = self.seeds.iter().copied().find(|seed| *seed != self.address && !known(seed));
         if let Some(seed) = unheard {
@@ -133,6 +135,6 @@
             .iter()
             .take(1)
             .for_each(|statement| statement.write(Duration::ZERO, &mut body));
-        self.send_at(now, NEWS, (member, at), &body, false, out);
+        self.send_at(now, STATEMENTS, (member, at), &body, false, out);
     }
 }
--- a/crates/gossip/src/member/probing.rs
+++ b/crates/gossip/src/member/probing.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::{takes_part, Event, Gossip, Transport};
-use crate::envelope::{Header, ACK, ANYONE, ASK, NACK, PING};
+use super::{is_active, Event, Gossip, Transport};
+use crate::envelope::{Header, ACK, ANYONE, NACK, PING, PING_REQ};
 use crate::probe::{IndirectProbe, Probe};
 use crate::statement::{Accusation, Claim, Keyring};
 use crate::view::PROBE_PERIOD;
@@ -25,7 +25,7 @@
         // The period is extended with the health score too, so that the timeout stays within the period.
         self.next_period = now + self.health.stretch(PROBE_PERIOD);
         let (local_id, view) = (self.local_id, &self.view);
-        let is_candidate = |member: Member| member != local_id && takes_part(view.get(member));
+        let is_candidate = |member: Member| member != local_id && is_active(view.get(member));
         let all =
             || view.members().map(|(member, _)| member).filter(|member| is_candidate(*member)).collect();
         let Some(target) = self.probes.next_target(is_candidate, all, &mut self.rng) else { return };
@@ -57,7 +57,7 @@
         let helpers = self.random_members(HELPER_COUNT, Some(target));
         let body = [number.to_be_bytes(), target.to_be_bytes()].concat();
         let sent: Vec<Member> =
-            helpers.into_iter().filter(|to| self.send(now, ASK, *to, &body, true, out)).collect();
+            helpers.into_iter().filter(|to| self.send(now, PING_REQ, *to, &body, true, out)).collect();
         if let Some(probe) = &mut self.probes.current {
             (probe.helpers_asked, probe.helpers) = (true, sent);
         }
@@ -73,7 +73,7 @@
         // Helpers that are silent too indicate a fault of the local member; if no helper could be asked, so
         // does the missing answer.
         self.health.worsen(if probe.helpers.is_empty() { 1 } else { silent_helpers });
-        let Some(known) = self.view.get(probe.target).filter(|known| takes_part(Some(known))) else { return };
+        let Some(known) = self.view.get(probe.target).filter(|known| is_active(Some(known))) else { return };
         let accusation = Accusation {
             subject: probe.target,
             incarnation: known.record.incarnation,
--- a/crates/gossip/src/member/receiving.rs
+++ b/crates/gossip/src/member/receiving.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Event, Gossip, Transport};
-use crate::envelope::{self, Fault, Header, ACK, ANYONE, ASK, DIGEST, MESSAGE, NACK, NEWS, PING};
+use crate::envelope::{self, Fault, Header, ACK, ANYONE, DIGEST, MESSAGE, NACK, PING, PING_REQ, STATEMENTS};
 use crate::statement::Keyring;
 use crate::Member;
 
@@ -35,7 +35,9 @@
             return Err(Fault::Elsewhere);
         }
         let window = self.windows.get(&header.from).copied().unwrap_or_default();
-        if header.life == window.life() && !window.accepts(header.life, header.counter) {
+        if header.process_incarnation == window.process_incarnation()
+            && !window.accepts(header.process_incarnation, header.counter)
+        {
             return Err(Fault::Replayed);
         }
         // A forged source address of a member uses up that member's rate limit only.
@@ -47,11 +49,11 @@
         if !self.keyring.signed(header.from, signed, &signature) {
             return Err(Fault::Unsigned);
         }
-        if header.life < window.life() {
+        if header.process_incarnation < window.process_incarnation() {
             self.send_stale_notice(now, header.from, from, out);
             return Err(Fault::Stale);
         }
-        self.windows.entry(header.from).or_default().record(header.life, header.counter);
+        self.windows.entry(header.from).or_default().record(header.process_incarnation, header.counter);
         self.view.record_contact(now, header.from);
         self.handle_body(now, &header, from, source, body, out, events);
         Ok(())
@@ -66,8 +68,8 @@
         let number = body.get(..2).map(|bytes| u16::from_be_bytes([bytes[0], bytes[1]]));
         let fixed_bytes = match header.kind {
             PING | ACK | NACK => 2,
-            ASK => 4,
-            NEWS => 0,
+            PING_REQ => 4,
+            STATEMENTS => 0,
             _ => body.len(),
         };
         // The statements come first, since the answer may depend on them.
@@ -75,7 +77,7 @@
             self.take_statements(now, source, body.get(fixed_bytes..).unwrap_or(&[]), events);
         let cost = match header.kind {
             PING => 1.0,
-            ASK => 2.0,
+            PING_REQ => 2.0,
             DIGEST => 4.0,
             _ => 0.0,
         };
@@ -87,7 +89,7 @@
             (PING, Some(number)) => self.handle_ping(now, header, from, number, sender_is_outdated, out),
             (ACK, Some(number)) => self.handle_ack(now, header.from, number, out),
             (NACK, Some(number)) => self.handle_nack(header.from, number),
-            (ASK, Some(number)) => {
+            (PING_REQ, Some(number)) => {
                 if let Some(target) = body.get(2..4).map(|bytes| u16::from_be_bytes([bytes[0], bytes[1]])) {
                     self.handle_indirect_probe_request(now, header.from, number, target, out);
                 }
--- a/crates/gossip/src/member/sending.rs
+++ b/crates/gossip/src/member/sending.rs
@@ -46,8 +46,13 @@
         &mut self, now: Duration, kind: u8, to: (Member, SocketAddrV4), body: &[u8], with_statements: bool,
         out: &mut impl Transport,
     ) -> bool {
-        let header =
-            Header { kind, from: self.local_id, to: to.0, life: self.life(), counter: self.counter + 1 };
+        let header = Header {
+            kind,
+            from: self.local_id,
+            to: to.0,
+            process_incarnation: self.process_incarnation(),
+            counter: self.counter + 1,
+        };
         let mut bytes = envelope::begin(&header);
         bytes.extend(body);
         if with_statements {
@@ -81,7 +86,7 @@
                 statement.write(Duration::ZERO, bytes);
             }
         }
-        let (members, room) = (self.view.taking_part(), room(bytes));
+        let (members, room) = (self.view.active_count(), room(bytes));
         self.outbox.fill(now, members, room, bytes);
     }
 }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -52,14 +52,14 @@
         self.number
     }
 
-    /// The next member in the order that `takes_part` accepts; `members_of_next_round` returns the members of the next round.
+    /// The next member in the order that `is_active` accepts; `members_of_next_round` returns the members of the next round.
     pub fn next_target(
-        &mut self, mut takes_part: impl FnMut(Member) -> bool,
+        &mut self, mut is_active: impl FnMut(Member) -> bool,
         members_of_next_round: impl Fn() -> Vec<Member>, rng: &mut Rng,
     ) -> Option<Member> {
         for _ in 0..2 {
             while let Some(member) = self.order.pop() {
-                if takes_part(member) {
+                if is_active(member) {
                     return Some(member);
                 }
             }
--- a/crates/gossip/src/statement.rs
+++ b/crates/gossip/src/statement.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bulletin {
     pub author: Member,
-    pub life: u32,
+    pub process_incarnation: u32,
     pub number: u32,
     pub items: Vec<[u8; ITEM_BYTES]>,
 }
@@ -89,15 +89,15 @@
 }
 
 /// The incarnation of a process after a number of refutations.
-pub fn incarnation(life: u32, refutations: u16) -> u64 {
-    u64::from(life) << 16 | u64::from(refutations)
+pub fn incarnation(process_incarnation: u32, refutations: u16) -> u64 {
+    u64::from(process_incarnation) << 16 | u64::from(refutations)
 }
 
 /// The highest incarnation that can be encoded.
 pub const LAST_INCARNATION: u64 = (1 << 48) - 1;
 
 /// The process incarnation within an incarnation.
-pub fn life_of(incarnation: u64) -> u32 {
+pub fn process_incarnation_of(incarnation: u64) -> u32 {
     (incarnation >> 16) as u32
 }
 
@@ -131,7 +131,7 @@
             Claim::Bulletin(bulletin) => {
                 bytes.push(BULLETIN);
                 bytes.extend(bulletin.author.to_be_bytes());
-                bytes.extend(bulletin.life.to_be_bytes());
+                bytes.extend(bulletin.process_incarnation.to_be_bytes());
                 bytes.extend(bulletin.number.to_be_bytes());
                 bytes.push(bulletin.items.len() as u8);
                 bulletin.items.iter().for_each(|item| bytes.extend(item));
@@ -216,7 +216,7 @@
             let items = items.chunks_exact(ITEM_BYTES).filter_map(|item| item.try_into().ok()).collect();
             Some(Claim::Bulletin(Bulletin {
                 author: be_u16(&fixed[1..3]),
-                life: be_u32(&fixed[3..7]),
+                process_incarnation: be_u32(&fixed[3..7]),
                 number: be_u32(&fixed[7..11]),
                 items,
             }))
--- a/crates/gossip/src/tests.rs
+++ b/crates/gossip/src/tests.rs
@@ -36,21 +36,22 @@
 fn a_window_accepts_each_counter_once_like_a_set() {
     fn matches_set(counters: Vec<(bool, u8)>) -> bool {
         let mut window = Window::default();
-        let (mut life, mut highest, mut seen) = (0u32, 0u32, BTreeSet::new());
+        let (mut process_incarnation, mut highest, mut seen) = (0u32, 0u32, BTreeSet::new());
         counters.iter().all(|(later, step)| {
             // Occasionally a later process incarnation; counters around the highest.
-            let incoming_life = life + u32::from(*later && step % 16 == 0);
+            let incoming_incarnation = process_incarnation + u32::from(*later && step % 16 == 0);
             let counter = (highest + u32::from(*step)).saturating_sub(120);
-            let expected = incoming_life > life || (counter + 64 > highest && !seen.contains(&counter));
-            let same = window.accepts(incoming_life, counter) == expected;
+            let expected = incoming_incarnation > process_incarnation
+                || (counter + 64 > highest && !seen.contains(&counter));
+            let same = window.accepts(incoming_incarnation, counter) == expected;
             if expected {
-                if incoming_life > life {
-                    (life, highest) = (incoming_life, counter);
+                if incoming_incarnation > process_incarnation {
+                    (process_incarnation, highest) = (incoming_incarnation, counter);
                     seen.clear();
                 }
                 highest = highest.max(counter);
                 seen.insert(counter);
-                window.record(incoming_life, counter);
+                window.record(incoming_incarnation, counter);
             }
             same
         })
@@ -86,8 +87,8 @@
         Claim::Record(record(513, 65_535)),
         Claim::Record(Record { left: true, ..record(1, 2) }),
         Claim::Accusation(accusation(3, 65_534, 9)),
-        Claim::Bulletin(Bulletin { author: 9, life: u32::MAX, number: 77, items }),
-        Claim::Bulletin(Bulletin { author: 9, life: 1, number: 1, items: Vec::new() }),
+        Claim::Bulletin(Bulletin { author: 9, process_incarnation: u32::MAX, number: 77, items }),
+        Claim::Bulletin(Bulletin { author: 9, process_incarnation: 1, number: 1, items: Vec::new() }),
     ];
     for claim in all {
         let statement = Statement { claim, signature: [7; SIGNATURE_BYTES] };
@@ -146,11 +147,12 @@
 #[test]
 fn a_restart_is_not_a_mistake_of_the_accusers() {
     let mut view = view(0);
-    for life in 1..20u32 {
-        let incarnation = incarnation(life, 0);
+    for process_incarnation in 1..20u32 {
+        let incarnation = incarnation(process_incarnation, 0);
         let accusation = Accusation { subject: 1, incarnation, author: 2 };
         assert_eq!(view.accuse(T0, accusation, &[0; SIGNATURE_BYTES]), Change::Suspected);
-        let restarted = Record { incarnation: crate::statement::incarnation(life + 1, 0), ..record(1, 0) };
+        let restarted =
+            Record { incarnation: crate::statement::incarnation(process_incarnation + 1, 0), ..record(1, 0) };
         view.record(T0, restarted, &[0; SIGNATURE_BYTES]);
     }
 }
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::statement::{life_of, Accusation, Claim, Record, Signature, Statement};
+use crate::statement::{process_incarnation_of, Accusation, Claim, Record, Signature, Statement};
 use crate::Member;
 
 /// The state of a member.
@@ -18,7 +18,7 @@
 
 impl MemberState {
     /// Whether the member is probed and sent statements.
-    pub fn takes_part(self) -> bool {
+    pub fn is_active(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
@@ -132,8 +132,8 @@
     }
 
     /// The number of members that are alive or suspected, including the local one.
-    pub fn taking_part(&self) -> usize {
-        self.known.values().filter(|known| known.state.takes_part()).count().max(1)
+    pub fn active_count(&self) -> usize {
+        self.known.values().filter(|known| known.state.is_active()).count().max(1)
     }
 
     /// Takes a member's record of itself.
@@ -158,8 +158,9 @@
         }
         let previous = std::mem::replace(known, new_entry());
         // A member with a new process incarnation had died, so its accusers were right.
-        let same_life = life_of(previous.record.incarnation) == life_of(record.incarnation);
-        if !record.left && same_life {
+        let same_process =
+            process_incarnation_of(previous.record.incarnation) == process_incarnation_of(record.incarnation);
+        if !record.left && same_process {
             previous
                 .accusations
                 .iter()
@@ -169,7 +170,7 @@
             (_, MemberState::Left) => Change::Left,
             (MemberState::Suspect, _) => Change::Refuted,
             // Others may take it for dead as well, so its record is as urgent as any refutation.
-            (MemberState::Dead, _) if same_life => Change::Refuted,
+            (MemberState::Dead, _) if same_process => Change::Refuted,
             (MemberState::Dead | MemberState::Left, _) => Change::Joined,
             (MemberState::Alive, _) => Change::Renewed,
         }
--- a/crates/gossip/src/window.rs
+++ b/crates/gossip/src/window.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Window {
     /// The member's process incarnation, which grows with each start.
-    life: u32,
+    process_incarnation: u32,
     highest: u32,
     /// Bit n stands for the counter `highest - n`.
     seen: u64,
@@ -16,14 +16,14 @@
 
 impl Window {
     /// The process incarnation that the counters belong to.
-    pub fn life(&self) -> u32 {
-        self.life
+    pub fn process_incarnation(&self) -> u32 {
+        self.process_incarnation
     }
 
     /// Whether a datagram with this counter may be accepted: it is neither a duplicate nor too old.
-    pub fn accepts(&self, life: u32, counter: u32) -> bool {
-        if life != self.life {
-            return life > self.life;
+    pub fn accepts(&self, process_incarnation: u32, counter: u32) -> bool {
+        if process_incarnation != self.process_incarnation {
+            return process_incarnation > self.process_incarnation;
         }
         match self.highest.checked_sub(counter) {
             None => true,
@@ -32,9 +32,9 @@
     }
 
     /// Records an accepted counter.
-    pub fn record(&mut self, life: u32, counter: u32) {
-        if life > self.life {
-            *self = Self { life, highest: counter, seen: 1 };
+    pub fn record(&mut self, process_incarnation: u32, counter: u32) {
+        if process_incarnation > self.process_incarnation {
+            *self = Self { process_incarnation, highest: counter, seen: 1 };
             return;
         }
         if let Some(distance) = self.highest.checked_sub(counter) {
--- a/crates/gossip_lab/src/watch.rs
+++ b/crates/gossip_lab/src/watch.rs
@@ -33,7 +33,7 @@
                 _ => found.missed += 1,
             }
         }
-        let held = gossip.view().members().filter(|(_, known)| known.state.takes_part());
+        let held = gossip.view().members().filter(|(_, known)| known.state.is_active());
         found.haunted += held.filter(|(member, _)| live.binary_search(member).is_err()).count();
     }
     found
--- a/crates/gossip_lab/tests/many.rs
+++ b/crates/gossip_lab/tests/many.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_gossip::envelope::{Header, NEWS, PING};
+use badgerledge_gossip::envelope::{Header, PING, STATEMENTS};
 use badgerledge_gossip::statement::{incarnation, Accusation, Claim, Record, Statement};
 use badgerledge_gossip::{Fault, Keyring, Member, MemberState, MAX_BYTES_PER_SECOND};
 use badgerledge_gossip_lab::{address, settled, Net};
@@ -114,7 +114,7 @@
     // Its clock is wrong and its store is lost.
     net.start(5, 2);
     net.run_until(s(60), |net| settled(net).is()).expect("alive to all");
-    assert!(net.get(5).unwrap().life() > 9);
+    assert!(net.get(5).unwrap().process_incarnation() > 9);
 }
 
 #[test]
@@ -140,10 +140,10 @@
         let told = net.get(13).unwrap().view().get(20).unwrap().record;
         let accusation = Accusation { subject: 20, incarnation: told.incarnation, author: 13 };
         let statement = Claim::Accusation(accusation).sign(&net.keyring(13));
-        let life = net.get(13).unwrap().life();
+        let life = net.get(13).unwrap().process_incarnation();
         for to in (0..50).filter(|to| *to != 13) {
             let counter = 1_000_000 + (net.now - since).as_millis() as u32;
-            let head = Header { kind: NEWS, from: 13, to, life, counter };
+            let head = Header { kind: STATEMENTS, from: 13, to, process_incarnation: life, counter };
             net.forge(13, &head, &[], std::slice::from_ref(&statement));
         }
         net.run(Duration::from_millis(100));
@@ -168,16 +168,27 @@
 fn what_is_not_the_members_own_is_dropped_and_counted() {
     let mut net = together(10, 11);
     let before = net.get(1).unwrap().counts.dropped.clone();
-    let life = net.get(2).unwrap().life();
-    let head = |from: Member, to: Member, counter: u32| Header { kind: PING, from, to, life, counter };
+    let life = net.get(2).unwrap().process_incarnation();
+    let head = |from: Member, to: Member, counter: u32| Header {
+        kind: PING,
+        from,
+        to,
+        process_incarnation: life,
+        counter,
+    };
     // In another's name; to another; from an unknown one; of a life long ago; too long; no datagram at all.
     net.forge(3, &head(2, 1, 900_000), &[0, 1], &[]);
     net.forge(2, &head(2, 4, 900_001), &[0, 1], &[]);
     let bytes = net.get(2).unwrap().keyring().sign(b"");
     net.raw(2, 1, [&[0u8; 300][..], &bytes].concat());
     net.raw(2, 1, b"hello".to_vec());
-    net.forge(40, &Header { kind: PING, from: 40, to: 1, life, counter: 5 }, &[0, 1], &[]);
-    net.forge(2, &Header { kind: PING, from: 2, to: 1, life: 0, counter: 5 }, &[0, 1], &[]);
+    net.forge(
+        40,
+        &Header { kind: PING, from: 40, to: 1, process_incarnation: life, counter: 5 },
+        &[0, 1],
+        &[],
+    );
+    net.forge(2, &Header { kind: PING, from: 2, to: 1, process_incarnation: 0, counter: 5 }, &[0, 1], &[]);
     // The same twice.
     net.forge(2, &head(2, 1, 900_002), &[0, 1], &[]);
     net.forge(2, &head(2, 1, 900_002), &[0, 1], &[]);
@@ -185,7 +196,12 @@
     let forged =
         Claim::Record(Record { subject: 6, incarnation: incarnation(50, 0), left: true, at: address(6) });
     let forged: Statement = forged.sign(&net.keyring(2));
-    net.forge(2, &Header { kind: NEWS, from: 2, to: 1, life, counter: 900_003 }, &[], &[forged]);
+    net.forge(
+        2,
+        &Header { kind: STATEMENTS, from: 2, to: 1, process_incarnation: life, counter: 900_003 },
+        &[],
+        &[forged],
+    );
     net.run(Duration::from_millis(5));
     let after = &net.get(1).unwrap().counts.dropped;
     let more = |fault: Fault| after.get(&fault).unwrap_or(&0) - before.get(&fault).unwrap_or(&0);
@@ -202,10 +218,15 @@
 fn a_flood_from_one_source_costs_a_bounded_number_of_checks_and_others_are_heard() {
     let mut net = together(10, 12);
     let (checked, since) = (net.get(1).unwrap().counts.checked, net.now);
-    let life = net.get(2).unwrap().life();
+    let life = net.get(2).unwrap().process_incarnation();
     for n in 0..10_000u32 {
         // From the address of member 2, in its name, with a signature that is not its own.
-        net.forge(3, &Header { kind: PING, from: 2, to: 1, life, counter: 1_000_000 + n }, &[0, 1], &[]);
+        net.forge(
+            3,
+            &Header { kind: PING, from: 2, to: 1, process_incarnation: life, counter: 1_000_000 + n },
+            &[0, 1],
+            &[],
+        );
         if n % 1000 == 999 {
             net.run(s(1));
         }
@@ -271,9 +292,14 @@
     let mut net = together(3, 16);
     let last = Record { subject: 1, incarnation: incarnation(u32::MAX, 0), left: false, at: address(1) };
     let statement = Claim::Record(last).sign(&net.keyring(1));
-    let life = net.get(2).unwrap().life();
-    net.forge(2, &Header { kind: NEWS, from: 2, to: 1, life, counter: 900_000 }, &[], &[statement]);
+    let life = net.get(2).unwrap().process_incarnation();
+    net.forge(
+        2,
+        &Header { kind: STATEMENTS, from: 2, to: 1, process_incarnation: life, counter: 900_000 },
+        &[],
+        &[statement],
+    );
     net.run(s(5));
-    assert_eq!(net.get(1).unwrap().life(), u32::MAX);
+    assert_eq!(net.get(1).unwrap().process_incarnation(), u32::MAX);
     assert_eq!(net.get(0).unwrap().view().state_of(1), Some(MemberState::Alive));
 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -35,20 +35,20 @@
     }
 }
 
-impl badgerledge_revisions::Hand for Keys {
+impl badgerledge_revisions::Signer for Keys {
     fn sign(&self, bytes: &[u8]) -> Signature {
         self.private.sign(bytes)
     }
 
-    fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.signed_by_member(member, bytes, signature)
     }
 
-    fn by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.signed_by_author(author, bytes, signature)
     }
 
-    fn by_author_ever(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author_any_key(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.ever_signed_by_author(author, bytes, signature)
     }
 
@@ -56,8 +56,8 @@
         self.ring.members()
     }
 
-    fn keepers(&self) -> &[Member] {
-        self.ring.keepers()
+    fn acceptors(&self) -> &[Member] {
+        self.ring.acceptors()
     }
 }
 
@@ -73,21 +73,21 @@
     }
 }
 
-impl badgerledge_revisions::Hand for Verifier {
+impl badgerledge_revisions::Signer for Verifier {
     /// It has no key: what it gives is no signature of anybody's.
     fn sign(&self, _bytes: &[u8]) -> Signature {
         [0; 64]
     }
 
-    fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.signed_by_member(member, bytes, signature)
     }
 
-    fn by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.signed_by_author(author, bytes, signature)
     }
 
-    fn by_author_ever(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author_any_key(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.ring.ever_signed_by_author(author, bytes, signature)
     }
 
@@ -95,8 +95,8 @@
         self.ring.members()
     }
 
-    fn keepers(&self) -> &[Member] {
-        self.ring.keepers()
+    fn acceptors(&self) -> &[Member] {
+        self.ring.acceptors()
     }
 }
 
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -95,7 +95,7 @@
     }
 
     /// The members that certify revisions.
-    pub fn keepers(&self) -> &[Member] {
+    pub fn acceptors(&self) -> &[Member] {
         &self.keepers
     }
 
--- a/crates/keys/src/tests.rs
+++ b/crates/keys/src/tests.rs
@@ -70,12 +70,14 @@
 
 #[test]
 fn a_verifier_knows_what_members_signed_and_signs_nothing() {
-    use badgerledge_revisions::Hand;
+    use badgerledge_revisions::Signer;
     let member = PrivateKey::make(Role::Member(3)).unwrap();
     let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public());
     let verifier = crate::Verifier::new(Ring::of(&Sheet::parse("ring", &text).unwrap()).unwrap());
     let signature = member.sign(b"bytes");
-    assert!(verifier.by_member(3, b"bytes", &signature) && !verifier.by_member(3, b"other", &signature));
-    assert!(!verifier.by_member(3, b"bytes", &verifier.sign(b"bytes")));
-    assert_eq!((verifier.members(), verifier.keepers()), ([3].as_slice(), [3].as_slice()));
+    assert!(
+        verifier.verify_member(3, b"bytes", &signature) && !verifier.verify_member(3, b"other", &signature)
+    );
+    assert!(!verifier.verify_member(3, b"bytes", &verifier.sign(b"bytes")));
+    assert_eq!((verifier.members(), verifier.acceptors()), ([3].as_slice(), [3].as_slice()));
 }
--- a/crates/relay/src/envelope.rs
+++ b/crates/relay/src/envelope.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use badgerledge_distribution::message::{FrameFault, PeerMessage, LONGEST_FROM_RELAY};
-use badgerledge_distribution::{Hand, MachineId, Signature};
+use badgerledge_distribution::{MachineId, Signature, Signer};
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
 use thiserror::Error;
@@ -139,7 +139,7 @@
     }
 
     /// The next envelope. Its sequence number can be asked for with [`Sealer::sequence`].
-    pub fn seal(&mut self, payload: &Payload, hand: &impl Hand) -> PeerFrame {
+    pub fn seal(&mut self, payload: &Payload, hand: &impl Signer) -> PeerFrame {
         self.sequence += 1;
         let mut envelope = Envelope {
             from: self.identity.machine,
@@ -195,13 +195,13 @@
     /// # Errors
     /// Why it is refused.
     pub fn open(
-        &mut self, envelope: &Envelope, hand: &impl Hand, lives: &mut Lives,
+        &mut self, envelope: &Envelope, hand: &impl Signer, lives: &mut Lives,
     ) -> Result<Payload, Refusal> {
         let Envelope { from, to, life, session, sequence, .. } = *envelope;
         if to != self.me || from == self.me || self.peer.is_some_and(|peer| peer != from) {
             return Err(Refusal::Foreign { from, to });
         }
-        if !hand.by_member(from, &envelope.signed_bytes(), &envelope.signature) {
+        if !hand.verify_member(from, &envelope.signed_bytes(), &envelope.signature) {
             return Err(Refusal::Unsigned(from));
         }
         let known = lives.0.get(&from).copied().unwrap_or(0);
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -162,7 +162,7 @@
             let (file, role) = (place.key.display(), private.role());
             anyhow::bail!("{file}: the key of {role}, where that of member {number} is wanted");
         }
-        if ring.keepers().is_empty() {
+        if ring.acceptors().is_empty() {
             anyhow::bail!("{ring_file}: it names no acceptors; `badgerledge-keys keepers` does");
         }
         for member in ring.members() {
--- a/crates/relay/src/tests/storage.rs
+++ b/crates/relay/src/tests/storage.rs
@@ -18,7 +18,7 @@
 
 fn checkpoint(number: u32) -> Checkpoint {
     let signed = Signed { head: Head::new(number, [0; 32], 1, b""), signature: [0; 64] };
-    let certificate = Certified { signed, votes: Vec::new(), goes: Vec::new() };
+    let certificate = Certified { signed, votes: Vec::new(), activation_grants: Vec::new() };
     let entry = Entry { key: "fleet\tcells".to_owned(), value: b"12".to_vec() };
     let state = State::from_entries([entry]).unwrap();
     Checkpoint { certificate, summary: Summary { root: state.root(), batch: [0; 32], length: 0 }, state }
@@ -110,8 +110,8 @@
     let folder = tempfile::tempdir().unwrap();
     found(folder.path()).unwrap();
     let (_, stored) = Storage::open(folder.path()).unwrap();
-    let agreement = badgerledge_revisions::Stored::read(&stored.agreement.unwrap()).unwrap();
-    assert!(agreement.keeper.is_some());
+    let agreement = badgerledge_revisions::StoredState::read(&stored.agreement.unwrap()).unwrap();
+    assert!(agreement.acceptor.is_some());
     assert!(found(folder.path()).is_err());
 }
 
--- a/crates/relay/src/tests/watchers.rs
+++ b/crates/relay/src/tests/watchers.rs
@@ -143,7 +143,7 @@
     let Some(WatcherEvent::Opened(line)) = relay.events.pop() else { panic!("{:?}", relay.events) };
     let signed = Signed { head: Head::new(1, [0; 32], 1, b""), signature: [0; 64] };
     let message = ToWatcher::Snapshot {
-        certificate: Certified { signed, votes: Vec::new(), goes: Vec::new() },
+        certificate: Certified { signed, votes: Vec::new(), activation_grants: Vec::new() },
         summary: Summary { root: [0; 32], batch: [0; 32], length: 0 },
         groups: vec![[0; 32]; 64],
     };
--- a/crates/relay/src/verbs/check.rs
+++ b/crates/relay/src/verbs/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Result};
-use badgerledge_distribution::Hand;
+use badgerledge_distribution::Signer;
 
 use crate::settings::{read_genesis, RelaySettings};
 use crate::Outcome;
@@ -16,7 +16,7 @@
     match (keys, genesis) {
         (Ok(keys), Ok(genesis)) => {
             let (peers, entries) = (settings.peers.len(), genesis.len());
-            let acceptors = keys.keepers().len();
+            let acceptors = keys.acceptors().len();
             let root = hex::encode(genesis.root());
             println!(
                 "{}: in order, {peers} control machines, {acceptors} of them acceptors, {entries} entries, root {root}",
--- a/crates/relay/src/verbs/found.rs
+++ b/crates/relay/src/verbs/found.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use anyhow::{bail, Context, Result};
-use badgerledge_distribution::Hand;
+use badgerledge_distribution::Signer;
 
 use crate::settings::RelaySettings;
 use crate::{storage, Outcome};
@@ -13,7 +13,7 @@
 pub fn run(file: &Path) -> Result<Outcome> {
     let settings = RelaySettings::read(file)?;
     let (number, state) = (settings.place.number, &settings.place.state);
-    if !settings.read_keys()?.keepers().contains(&number) {
+    if !settings.read_keys()?.acceptors().contains(&number) {
         bail!("member {number} is no acceptor in {}: it needs no such state", settings.place.ring.display());
     }
     storage::found(state).with_context(|| state.display().to_string())?;
--- a/crates/replay/src/operators.rs
+++ b/crates/replay/src/operators.rs
@@ -10,7 +10,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_revision_tool::{Client, Push, Voice};
-use badgerledge_revisions::order::Report;
+use badgerledge_revisions::requests::Report;
 use badgerledge_settings::Sheet;
 
 use crate::script::PushDay;
--- a/crates/replay/src/revisions.rs
+++ b/crates/replay/src/revisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::SubscriptionRequest;
-use badgerledge_revisions::{bound, lease_for};
+use badgerledge_revisions::{bound, lease_duration_for};
 
 use crate::operators::Pushed;
 use crate::script::RevisionsDay;
@@ -92,7 +92,7 @@
 
 /// How long two controllers may act on contradicting revisions in a day.
 pub fn day_bound(members: usize, tick: Duration) -> Duration {
-    bound(lease_for(members), tick * 2)
+    bound(lease_duration_for(members), tick * 2)
 }
 
 /// What a set-up can show to be acted on: a number of cells, or a place of a title.
--- a/crates/replay/tests/distribution/lying_relay.rs
+++ b/crates/replay/tests/distribution/lying_relay.rs
@@ -14,7 +14,7 @@
 };
 use badgerledge_distribution::state::{Edit, State};
 use badgerledge_distribution::{Certified, ControllerId, MachineId, Signed};
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 use badgerledge_revisions::Head;
 use serde::de::DeserializeOwned;
 
@@ -155,7 +155,7 @@
     let summary = Summary::of(State::new().root(), b"batch");
     let head = Head::new(1, [0; 32], 0, &summary.text());
     let signed = Signed { head, signature: FORGED };
-    let certificate = Certified { signed, votes: Vec::new(), goes: forged_goes(head.digest()) };
+    let certificate = Certified { signed, votes: Vec::new(), activation_grants: forged_goes(head.digest()) };
     ToWatcher::Delta { certificate, summary, base: 0, base_root, edits }
 }
 
@@ -163,8 +163,10 @@
     ToWatcher::Activate { number: 1, goes: forged_goes([1; 32]) }
 }
 
-fn forged_goes(digest: [u8; 32]) -> Vec<Go> {
-    ACCEPTORS.map(|keeper| Go { keeper, number: 1, digest, signature: FORGED }).to_vec()
+fn forged_goes(digest: [u8; 32]) -> Vec<ActivationGrant> {
+    ACCEPTORS
+        .map(|keeper| ActivationGrant { acceptor: keeper, number: 1, digest, signature: FORGED })
+        .to_vec()
 }
 
 #[test]
--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -13,8 +13,8 @@
 use badgerledge_deployment::kinds::{canonical, changes, revised, Change, Kind, Side};
 use badgerledge_deployment::SHARED_SECTIONS;
 use badgerledge_keys::{PrivateKey, Role};
-use badgerledge_revisions::order::{self, Answer, Order, Report};
-use badgerledge_revisions::word::Gone;
+use badgerledge_revisions::message::MemberRemoval;
+use badgerledge_revisions::requests::{self, Report, Request, Response};
 use badgerledge_revisions::{digest, Head, Member, Signed};
 use badgerledge_settings::Sheet;
 use clap::{Parser, Subcommand};
@@ -212,11 +212,11 @@
     let follows = hex::decode(&before.digest).ok().and_then(|of| of.try_into().ok()).context("a digest")?;
     let head = Head::new(before.certified + 1, follows, author, text.as_bytes());
     let signed = Signed { head, signature: private.sign(&head.signed_bytes()) };
-    let order = Order::Push { head: order::to_hex(&signed), bytes: text.len() };
+    let order = Request::Push { head: requests::to_hex(&signed), bytes: text.len() };
     let begun = Instant::now();
     match client.ask(&order, text.as_bytes())? {
-        (Answer::Taken, _) => {}
-        (Answer::Refused(why), _) => {
+        (Response::Taken, _) => {}
+        (Response::Refused(why), _) => {
             voice.say(json!({"refused": why}), &format!("refused: {why}"));
             return Ok(REFUSED);
         }
@@ -272,15 +272,16 @@
     let (private, author) = author(key)?;
     // Later than all words before it, by this operator's clock: one that is behind is refused, and says so.
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
-    let mut word = Gone { member, sequence: since.as_secs() as u32, gone, author, signature: [0; 64] };
+    let mut word =
+        MemberRemoval { member, sequence: since.as_secs() as u32, removed: gone, author, signature: [0; 64] };
     word.signature = private.sign(&word.signed_bytes());
-    match Client::connect(at)?.ask(&Order::Gone { gone: order::to_hex(&word) }, &[])? {
-        (Answer::Taken, _) => {
+    match Client::connect(at)?.ask(&Request::Gone { gone: requests::to_hex(&word) }, &[])? {
+        (Response::Taken, _) => {
             let how = if gone { "is waited for no more" } else { "is waited for" };
             voice.say(json!({"member": member, "gone": gone}), &format!("member {member} {how}"));
             Ok(DONE)
         }
-        (Answer::Refused(why), _) => {
+        (Response::Refused(why), _) => {
             voice.say(json!({"refused": why}), &format!("refused: {why}"));
             Ok(REFUSED)
         }
--- a/crates/revisions/src/acceptor.rs
+++ b/crates/revisions/src/acceptor.rs
@@ -1,12 +1,12 @@
 //! The acceptor of the consensus protocol: what it promised and accepted for the current number, and which
 //! votes it must refuse after it was restarted without its disk. Its replies depend on its state:
-//! [`Keeper::kept`] must be durable before a reply is sent.
+//! [`Acceptor::state`] must be durable before a reply is sent.
 //!
 //! **Restart without the disk.** Such an acceptor does not know what its previous incarnation signed. An
 //! acceptor votes only for the number after the highest that it knows certified, and each certified number
 //! was accepted by a quorum. The restarted acceptor therefore asks the others for the highest number that
 //! each has voted for, promised or seen certified. Once so many have answered that they share an acceptor
-//! with every quorum that the previous incarnation may have been part of ([`Keeper::answers_needed`]), the
+//! with every quorum that the previous incarnation may have been part of ([`Acceptor::answers_needed`]), the
 //! highest answer is at least the last certified number that the previous incarnation knew, and from the
 //! second number after it on the acceptor may vote again. Answers from acceptors that are recovering
 //! themselves don't count.
@@ -23,19 +23,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u32,
-    pub by: Member,
-    pub life: u32,
+    pub proposer: Member,
+    pub incarnation: u32,
 }
 
 /// The durable state of an acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct AcceptorState {
     /// The number that it takes part in now: the one after the highest that it knows certified.
     pub number: Number,
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Digest)>,
     /// The highest number for which it must not vote.
-    pub barred: Number,
+    pub no_vote_through: Number,
     /// The highest number whose activation it granted.
     pub activation_granted: Number,
 }
@@ -55,34 +55,34 @@
 
 /// An acceptor: its durable state, and the progress of its recovery after a restart without the disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Keeper {
-    kept: Kept,
+pub struct Acceptor {
+    state: AcceptorState,
     /// While it is recovering: the acceptors that answered, and the highest number that each named.
     recovery: Option<BTreeMap<Member, Number>>,
 }
 
-impl Keeper {
+impl Acceptor {
     /// An acceptor that has its durable state.
-    pub fn with_state(kept: Kept) -> Self {
-        Self { kept: Kept { number: kept.number.max(1), ..kept }, recovery: None }
+    pub fn with_state(state: AcceptorState) -> Self {
+        Self { state: AcceptorState { number: state.number.max(1), ..state }, recovery: None }
     }
 
     /// An acceptor that has lost its durable state, or can't read it.
     pub fn recovering() -> Self {
-        Self { recovery: Some(BTreeMap::new()), ..Self::with_state(Kept::default()) }
+        Self { recovery: Some(BTreeMap::new()), ..Self::with_state(AcceptorState::default()) }
     }
 
     /// The state that must be durable before a reply is sent.
-    pub fn kept(&self) -> &Kept {
-        &self.kept
+    pub fn state(&self) -> &AcceptorState {
+        &self.state
     }
 
     /// Whether it is still recovering, and does not know what its previous incarnation may have signed.
-    pub fn is_asking(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// How many answers a recovering acceptor needs, out of `keepers` acceptors. Any quorum that
+    /// How many answers a recovering acceptor needs, out of `acceptors` acceptors. Any quorum that
     /// includes it consists of it and `quorum - 1` others, and the answers must intersect every such set.
     pub fn answers_needed(acceptors: usize) -> usize {
         acceptors + 1 - quorum(acceptors)
@@ -91,9 +91,10 @@
     /// The highest number in which this acceptor or a previous incarnation may have taken part; `None` while
     /// it is recovering itself.
     pub fn highest_involved(&self) -> Option<Number> {
-        let took_part = self.kept.promised != Ballot::default();
-        let own = if took_part { self.kept.number } else { self.kept.number.saturating_sub(1) };
-        (!self.is_asking()).then_some(own.max(self.kept.activation_granted).max(self.kept.barred))
+        let took_part = self.state.promised != Ballot::default();
+        let own = if took_part { self.state.number } else { self.state.number.saturating_sub(1) };
+        (!self.is_recovering())
+            .then_some(own.max(self.state.activation_granted).max(self.state.no_vote_through))
     }
 
     /// Takes another acceptor's answer about the highest number that it knows of. Returns whether recovery is
@@ -106,31 +107,31 @@
         }
         let highest = answers.values().copied().max().unwrap_or(0);
         self.recovery = None;
-        self.kept.barred = self.kept.barred.max(highest + 1);
+        self.state.no_vote_through = self.state.no_vote_through.max(highest + 1);
         // At least one acceptor of each quorum that granted an activation has answered, so this acceptor
         // never again reports an older number as the highest whose activation it granted.
-        self.kept.activation_granted = self.kept.activation_granted.max(highest);
+        self.state.activation_granted = self.state.activation_granted.max(highest);
         true
     }
 
     /// Records that a number is certified: its ballots are over.
     pub fn on_certified(&mut self, number: Number) {
-        if self.kept.number <= number {
-            self.kept.number = number + 1;
-            (self.kept.promised, self.kept.accepted) = (Ballot::default(), None);
+        if self.state.number <= number {
+            self.state.number = number + 1;
+            (self.state.promised, self.state.accepted) = (Ballot::default(), None);
         }
     }
 
     /// Whether it takes part in a ballot for a number; otherwise the reply to send instead, if any.
     fn check_ballot(&self, number: Number, ballot: Ballot) -> Result<(), Option<Reply>> {
-        if number < self.kept.number {
+        if number < self.state.number {
             return Err(Some(Reply::Over { number }));
         }
-        if self.is_asking() || number <= self.kept.barred || number != self.kept.number {
+        if self.is_recovering() || number <= self.state.no_vote_through || number != self.state.number {
             return Err(None);
         }
-        if ballot < self.kept.promised {
-            return Err(Some(Reply::Higher { number, ballot: self.kept.promised }));
+        if ballot < self.state.promised {
+            return Err(Some(Reply::Higher { number, ballot: self.state.promised }));
         }
         Ok(())
     }
@@ -140,8 +141,8 @@
         if let Err(instead) = self.check_ballot(number, ballot) {
             return instead;
         }
-        self.kept.promised = ballot;
-        Some(Reply::Promise { number, ballot, accepted: self.kept.accepted })
+        self.state.promised = ballot;
+        Some(Reply::Promise { number, ballot, accepted: self.state.accepted })
     }
 
     /// Handles a proposer's accept request.
@@ -150,17 +151,17 @@
             return instead;
         }
         // A ballot has one proposer, which names one digest in it; a second digest is forged.
-        if self.kept.accepted.is_some_and(|(accepted_ballot, accepted_digest)| {
+        if self.state.accepted.is_some_and(|(accepted_ballot, accepted_digest)| {
             accepted_ballot == ballot && accepted_digest != digest
         }) {
             return None;
         }
-        (self.kept.promised, self.kept.accepted) = (ballot, Some((ballot, digest)));
+        (self.state.promised, self.state.accepted) = (ballot, Some((ballot, digest)));
         Some(Reply::Vote { number, ballot, digest })
     }
 
     /// Records that this acceptor grants the activation of a number.
     pub fn grant_activation(&mut self, number: Number) {
-        self.kept.activation_granted = self.kept.activation_granted.max(number);
+        self.state.activation_granted = self.state.activation_granted.max(number);
     }
 }
--- a/crates/revisions/src/certify.rs
+++ b/crates/revisions/src/certify.rs
@@ -5,25 +5,25 @@
 use std::time::Duration;
 
 use crate::acceptor::Reply;
-use crate::member::{Given, Revisions};
+use crate::member::{MemberOutput, Revisions};
+use crate::message::{ActivationGrant, Message, Vote};
 use crate::proposal::{Proposal, RESEND_INTERVAL};
-use crate::word::{Go, Vote, Word};
-use crate::{Ballot, Digest, Hand, Head, Keeper, Member, Number, Refused, Regime, Signed};
+use crate::{Acceptor, ActivationMode, Ballot, Digest, Head, Member, Number, Refused, Signed, Signer};
 
 /// An acceptor proposes what it accepted itself if it is not certified after this, since its proposer may
 /// have died. It is more than twice the longest ballot; a random addition of up to the same length keeps
 /// acceptors from outbidding each other.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(8);
 
-impl<H: Hand> Revisions<H> {
+impl<H: Signer> Revisions<H> {
     /// Whether a head is signed by its author and has the next number; checked before its text is received.
     ///
     /// # Errors
     /// If it can't become the next revision.
     pub fn may_be_next(&self, signed: &Signed) -> Result<(), Refused> {
-        let Head { number, before, author, .. } = signed.head;
-        if self.signer.keepers().is_empty() {
-            return Err(Refused::NoKeepers);
+        let Head { number, predecessor: before, author, .. } = signed.head;
+        if self.signer.acceptors().is_empty() {
+            return Err(Refused::NoAcceptors);
         }
         if !signed.is_signed(&self.signer) {
             return Err(Refused::Author(author));
@@ -33,7 +33,7 @@
             return Err(Refused::Number(number, next));
         }
         if before != predecessor {
-            return Err(Refused::Before(next - 1));
+            return Err(Refused::Predecessor(next - 1));
         }
         Ok(())
     }
@@ -43,7 +43,7 @@
     /// # Errors
     /// If it can't become the next revision; nothing has changed then.
     pub fn push(
-        &mut self, now: Duration, signed: Signed, text: Arc<[u8]>, out: &mut Vec<Given>,
+        &mut self, now: Duration, signed: Signed, text: Arc<[u8]>, out: &mut Vec<MemberOutput>,
     ) -> Result<(), Refused> {
         self.may_be_next(&signed)?;
         signed.head.check_text(&text)?;
@@ -57,9 +57,13 @@
         Ok(())
     }
 
-    fn propose(&mut self, now: Duration, signed: Signed, round: u32, out: &mut Vec<Given>) {
+    fn propose(&mut self, now: Duration, signed: Signed, round: u32, out: &mut Vec<MemberOutput>) {
         self.highest_round = round.max(self.highest_round.saturating_add(1));
-        let ballot = Ballot { round: self.highest_round, by: self.config.me, life: self.config.life };
+        let ballot = Ballot {
+            round: self.highest_round,
+            proposer: self.config.local_id,
+            incarnation: self.config.incarnation,
+        };
         let proposal = Proposal::new(signed, ballot, now, &mut self.rng);
         self.proposal = Some(proposal);
         self.send_proposal_requests(now, out);
@@ -67,7 +71,7 @@
 
     /// Sends the requests of the proposal's current phase, or starts a higher ballot when the current one has
     /// expired.
-    pub(crate) fn send_proposal_requests(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn send_proposal_requests(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         if self.proposal.as_ref().is_some_and(|proposal| proposal.number() <= self.learner.number()) {
             self.proposal = None;
         }
@@ -79,26 +83,26 @@
         }
         proposal.resend_at = now + RESEND_INTERVAL;
         let (number, ballot, chosen) = (proposal.number(), proposal.ballot, proposal.chosen);
-        let accepted_by = proposal.accepted_by.filter(|member| *member != self.config.me);
+        let accepted_by = proposal.accepted_by.filter(|member| *member != self.config.local_id);
         let head = chosen.and_then(|digest| self.learner.head(&digest).copied());
         if let (Some(signed), Some(holder)) = (head, accepted_by) {
             // Acceptors that are to vote for the text fetch it from this member.
             if !self.texts.contains_key(&signed.head.text) {
-                out.push(Given::Fetch(signed, holder));
+                out.push(MemberOutput::Fetch(signed, holder));
             }
         }
         // If the author's key has been revoked, an acceptor's vote proves that it was valid before. With a
         // driver gate, a vote proves that the acceptor's driver had verified what the text stands for.
         let vote = head.filter(|signed| self.gate.is_some() || !signed.is_signed(&self.signer));
         let vote = vote.and_then(|signed| self.learner.votes_for(&signed.head.digest()).next().copied());
-        for keeper in self.signer.keepers().to_vec() {
+        for acceptor in self.signer.acceptors().to_vec() {
             match chosen {
-                None => self.send(now, keeper, Word::Prepare { number, ballot }, out),
+                None => self.send(now, acceptor, Message::Prepare { number, ballot }, out),
                 Some(digest) => {
                     if let Some(signed) = head {
-                        vote.into_iter().for_each(|vote| self.send(now, keeper, Word::Vote(vote), out));
-                        self.send(now, keeper, Word::Head(signed), out);
-                        self.send(now, keeper, Word::Accept { number, ballot, digest }, out);
+                        vote.into_iter().for_each(|vote| self.send(now, acceptor, Message::Vote(vote), out));
+                        self.send(now, acceptor, Message::Head(signed), out);
+                        self.send(now, acceptor, Message::Accept { number, ballot, digest }, out);
                     }
                 }
             }
@@ -107,21 +111,21 @@
 
     /// Handles a proposer's prepare request.
     pub(crate) fn handle_prepare(
-        &mut self, now: Duration, from: Member, number: Number, ballot: Ballot, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, number: Number, ballot: Ballot, out: &mut Vec<MemberOutput>,
     ) {
         // Only its proposer may use a ballot.
         let reply = self
             .acceptor
             .as_mut()
-            .filter(|_| ballot.by == from)
+            .filter(|_| ballot.proposer == from)
             .and_then(|acceptor| acceptor.prepare(number, ballot));
         if let Some(Reply::Promise { accepted: Some((accepted_ballot, digest)), .. }) = reply {
             if let Some(signed) = self.learner.head(&digest).copied() {
                 // The vote goes first: it makes the head valid for members that regard its author's key as
                 // revoked.
-                let vote = Vote::sign(&self.signer, self.config.me, number, accepted_ballot, digest);
-                self.send(now, from, Word::Vote(vote), out);
-                self.send(now, from, Word::Head(signed), out);
+                let vote = Vote::sign(&self.signer, self.config.local_id, number, accepted_ballot, digest);
+                self.send(now, from, Message::Vote(vote), out);
+                self.send(now, from, Message::Head(signed), out);
             }
         }
         self.send_reply(now, from, reply, out);
@@ -130,23 +134,23 @@
     /// Handles a proposer's accept request.
     pub(crate) fn handle_accept(
         &mut self, now: Duration, from: Member, (number, ballot, digest): (Number, Ballot, Digest),
-        out: &mut Vec<Given>,
+        out: &mut Vec<MemberOutput>,
     ) {
         let Some(signed) = self.learner.head(&digest).copied() else { return };
-        let follows = signed.head.number == number && signed.head.before == self.learner.digest();
+        let follows = signed.head.number == number && signed.head.predecessor == self.learner.digest();
         let already_certified = number <= self.learner.number();
-        if ballot.by != from || self.acceptor.is_none() || !(follows || already_certified) {
+        if ballot.proposer != from || self.acceptor.is_none() || !(follows || already_certified) {
             return;
         }
         // An acceptor votes only for a text that it has and could activate, so that no text is certified that
         // nobody has.
         match self.texts.get(&signed.head.text).cloned() {
-            None if !already_certified => out.push(Given::Fetch(signed, from)),
+            None if !already_certified => out.push(MemberOutput::Fetch(signed, from)),
             Some(text) if !already_certified && (self.config.check)(&text).is_err() => {}
             Some(_) if !already_certified && !self.may_vote_for(&signed) => {}
             text => {
                 if let Some(text) = text {
-                    out.push(Given::StoreText(signed.head.text, text));
+                    out.push(MemberOutput::StoreText(signed.head.text, text));
                 }
                 let reply =
                     self.acceptor.as_mut().and_then(|acceptor| acceptor.accept(number, ballot, digest));
@@ -159,18 +163,18 @@
         }
     }
 
-    fn send_reply(&mut self, now: Duration, to: Member, reply: Option<Reply>, out: &mut Vec<Given>) {
+    fn send_reply(&mut self, now: Duration, to: Member, reply: Option<Reply>, out: &mut Vec<MemberOutput>) {
         let message = match reply {
             None => return,
             Some(Reply::Over { .. }) => return self.send_catch_up(now, to, out),
-            Some(Reply::Higher { number, ballot }) => Word::Higher { number, ballot },
+            Some(Reply::Higher { number, ballot }) => Message::HigherBallot { number, ballot },
             Some(Reply::Promise { number, ballot, accepted }) => {
                 self.persist(out);
-                Word::Promise { number, ballot, accepted }
+                Message::Promise { number, ballot, accepted }
             }
             Some(Reply::Vote { number, ballot, digest }) => {
                 self.persist(out);
-                Word::Vote(Vote::sign(&self.signer, self.config.me, number, ballot, digest))
+                Message::Vote(Vote::sign(&self.signer, self.config.local_id, number, ballot, digest))
             }
         };
         self.send(now, to, message, out);
@@ -179,9 +183,9 @@
     /// Handles an acceptor's promise.
     pub(crate) fn handle_promise(
         &mut self, now: Duration, from: Member, (number, ballot): (Number, Ballot),
-        accepted: Option<(Ballot, Digest)>, out: &mut Vec<Given>,
+        accepted: Option<(Ballot, Digest)>, out: &mut Vec<MemberOutput>,
     ) {
-        let acceptors = self.signer.keepers();
+        let acceptors = self.signer.acceptors();
         let count = acceptors.len();
         let from_acceptor = acceptors.contains(&from);
         let proposal = self.proposal.as_mut().filter(|proposal| from_acceptor && proposal.number() == number);
@@ -206,7 +210,7 @@
     }
 
     /// Checks whether the known votes now form a certificate.
-    pub(crate) fn check_certified(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn check_certified(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         if !self.learner.update_latest(&self.signer) {
             return;
         }
@@ -218,7 +222,7 @@
     }
 
     /// Continues after a number has become known certified.
-    pub(crate) fn on_certified(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn on_certified(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let number = self.learner.number();
         self.gate.iter_mut().for_each(|gate| gate.on_certified(now));
         if let Some(acceptor) = &mut self.acceptor {
@@ -232,10 +236,10 @@
     }
 
     /// An acceptor that voted for a proposal which did not complete takes it over.
-    pub(crate) fn take_over_proposal(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn take_over_proposal(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         self.takeover_at = None;
         let accepted = self.acceptor.as_ref().and_then(|acceptor| {
-            let state = acceptor.kept();
+            let state = acceptor.state();
             state.accepted.map(|(ballot, digest)| (ballot.max(state.promised), digest))
         });
         let Some((ballot, digest)) = accepted else { return };
@@ -249,15 +253,15 @@
     pub fn waited_for(&self, now: Duration) -> Vec<Member> {
         let number = self.learner.number();
         let is_waited_for = |member: &Member| {
-            let has_prepared = if *member == self.config.me {
+            let has_prepared = if *member == self.config.local_id {
                 number == 0 || self.is_prepared(number)
             } else {
                 self.positions.get(member).is_some_and(|position| {
                     position.certified >= number && (position.has_text || number == 0)
                 })
             };
-            let is_removed = self.removals.get(member).is_some_and(|removal| removal.gone);
-            let may_exclude = self.config.regime == Regime::Hold && *member != self.config.me;
+            let is_removed = self.removals.get(member).is_some_and(|removal| removal.removed);
+            let may_exclude = self.config.mode == ActivationMode::Hold && *member != self.config.local_id;
             let gate_expired = self.gate.as_ref().is_some_and(|gate| gate.is_expired(now));
             let is_excluded = is_removed
                 || may_exclude
@@ -268,11 +272,12 @@
     }
 
     /// Grants the activation of the certified revision once no member is waited for.
-    pub(crate) fn grant_activation_if_ready(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn grant_activation_if_ready(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let Some(latest) = &self.learner.latest else { return };
         let (number, digest) = (latest.number(), latest.digest());
-        let can_grant =
-            |acceptor: &&mut Keeper| !acceptor.is_asking() && acceptor.kept().activation_granted < number;
+        let can_grant = |acceptor: &&mut Acceptor| {
+            !acceptor.is_recovering() && acceptor.state().activation_granted < number
+        };
         if self.acceptor.as_mut().filter(can_grant).is_none() || !self.waited_for(now).is_empty() {
             return;
         }
@@ -282,7 +287,7 @@
         if let Some(acceptor) = &mut self.acceptor {
             acceptor.grant_activation(number);
         }
-        let grant = Go::sign(&self.signer, self.config.me, number, digest);
+        let grant = ActivationGrant::sign(&self.signer, self.config.local_id, number, digest);
         self.learner.add_activation_grant(grant, &self.signer);
         self.persist(out);
         self.send_activation_grant(now, grant, out);
@@ -292,24 +297,29 @@
 
     /// Asks the other acceptors for the highest number that they know of, if this one was restarted without
     /// its disk.
-    pub(crate) fn request_recovery(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn request_recovery(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         self.next_recovery_request_at = now + RESEND_INTERVAL;
-        if !self.acceptor.as_ref().is_some_and(Keeper::is_asking) {
+        if !self.acceptor.as_ref().is_some_and(Acceptor::is_recovering) {
             return;
         }
-        for keeper in self.signer.keepers().to_vec() {
-            if keeper != self.config.me {
-                self.send(now, keeper, Word::Recall { nonce: u64::from(self.config.life) }, out);
+        for acceptor in self.signer.acceptors().to_vec() {
+            if acceptor != self.config.local_id {
+                self.send(
+                    now,
+                    acceptor,
+                    Message::RecoveryRequest { nonce: u64::from(self.config.incarnation) },
+                    out,
+                );
             }
         }
     }
 
     /// Handles another acceptor's answer to a recovery request.
     pub(crate) fn handle_recovery_answer(
-        &mut self, from: Member, nonce: u64, highest: Number, out: &mut Vec<Given>,
+        &mut self, from: Member, nonce: u64, highest: Number, out: &mut Vec<MemberOutput>,
     ) {
-        let count = self.signer.keepers().len();
-        let is_valid = self.signer.keepers().contains(&from) && nonce == u64::from(self.config.life);
+        let count = self.signer.acceptors().len();
+        let is_valid = self.signer.acceptors().contains(&from) && nonce == u64::from(self.config.incarnation);
         let recovered = self
             .acceptor
             .as_mut()
--- a/crates/revisions/src/dissemination.rs
+++ b/crates/revisions/src/dissemination.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use crate::acceptor::Keeper;
+use crate::acceptor::Acceptor;
 use crate::lease::REQUESTS_PER_LEASE;
-use crate::member::{Given, Revisions};
-use crate::word::{Position, Word};
-use crate::{Hand, Member, Regime};
+use crate::member::{MemberOutput, Revisions};
+use crate::message::{Message, Position};
+use crate::{ActivationMode, Member, Signer};
 
 /// Interval at which a member sends its position to another one, chosen at random: 112 bytes each, a tenth of
 /// the traffic for membership.
@@ -33,91 +33,98 @@
 /// Maximum number of member removals sent to an acceptor in one interval.
 const MAX_REMOVALS_PER_INTERVAL: usize = 4;
 
-impl<H: Hand> Revisions<H> {
+impl<H: Signer> Revisions<H> {
     /// Sends a message to a member; a message to itself is handled immediately.
-    pub(crate) fn send(&mut self, now: Duration, to: Member, message: Word, out: &mut Vec<Given>) {
-        if to == self.config.me {
+    pub(crate) fn send(&mut self, now: Duration, to: Member, message: Message, out: &mut Vec<MemberOutput>) {
+        if to == self.config.local_id {
             self.dispatch(now, to, message, out);
         } else {
-            out.push(Given::Send(to, message.write()));
+            out.push(MemberOutput::Send(to, message.write()));
         }
     }
 
     /// Handles a message from another member.
-    pub fn heard(&mut self, now: Duration, from: Member, message: Word, out: &mut Vec<Given>) {
-        if from != self.config.me {
+    pub fn receive(&mut self, now: Duration, from: Member, message: Message, out: &mut Vec<MemberOutput>) {
+        if from != self.config.local_id {
             self.dispatch(now, from, message, out);
         }
     }
 
-    fn dispatch(&mut self, now: Duration, from: Member, message: Word, out: &mut Vec<Given>) {
+    fn dispatch(&mut self, now: Duration, from: Member, message: Message, out: &mut Vec<MemberOutput>) {
         match message {
-            Word::Position(position) => self.handle_position(now, from, position, out),
-            Word::Head(signed) => {
+            Message::Position(position) => self.handle_position(now, from, position, out),
+            Message::Head(signed) => {
                 self.learner.add_head(signed, &self.signer);
                 self.check_certified(now, out);
             }
-            Word::Vote(vote) => {
+            Message::Vote(vote) => {
                 self.learner.add_vote(vote, &self.signer);
                 self.check_certified(now, out);
             }
-            Word::Go(grant) => {
+            Message::ActivationGrant(grant) => {
                 self.learner.add_activation_grant(grant, &self.signer);
                 self.activate(now, out);
             }
-            Word::Prepare { number, ballot } => self.handle_prepare(now, from, number, ballot, out),
-            Word::Promise { number, ballot, accepted } => {
+            Message::Prepare { number, ballot } => self.handle_prepare(now, from, number, ballot, out),
+            Message::Promise { number, ballot, accepted } => {
                 self.handle_promise(now, from, (number, ballot), accepted, out);
             }
-            Word::Accept { number, ballot, digest } => {
+            Message::Accept { number, ballot, digest } => {
                 self.handle_accept(now, from, (number, ballot, digest), out);
             }
-            Word::Higher { number, ballot } => self.handle_higher_ballot(now, number, ballot),
-            Word::Ask { nonce, position } => self.handle_lease_request(now, from, nonce, position, out),
-            Word::Lease { nonce, activation_granted } => {
+            Message::HigherBallot { number, ballot } => self.handle_higher_ballot(now, number, ballot),
+            Message::LeaseRequest { nonce, position } => {
+                self.handle_lease_request(now, from, nonce, position, out)
+            }
+            Message::Lease { nonce, activation_granted } => {
                 self.handle_lease(now, from, nonce, activation_granted, out)
             }
-            Word::Recall { nonce } => {
-                let highest = self.acceptor.as_ref().and_then(Keeper::highest_involved);
-                if let Some(highest) = highest.filter(|_| self.signer.keepers().contains(&from)) {
-                    self.send(now, from, Word::Recalled { nonce, highest }, out);
+            Message::RecoveryRequest { nonce } => {
+                let highest = self.acceptor.as_ref().and_then(Acceptor::highest_involved);
+                if let Some(highest) = highest.filter(|_| self.signer.acceptors().contains(&from)) {
+                    self.send(now, from, Message::RecoveryAnswer { nonce, highest }, out);
                 }
             }
-            Word::Recalled { nonce, highest } => self.handle_recovery_answer(from, nonce, highest, out),
-            Word::Gone(removal) => drop(self.take_gone(now, removal, out)),
+            Message::RecoveryAnswer { nonce, highest } => {
+                self.handle_recovery_answer(from, nonce, highest, out)
+            }
+            Message::Removal(removal) => drop(self.add_removal(now, removal, out)),
             // Handled by the driver.
-            Word::List(_) => {}
-            Word::AskRelayLease { nonce, position } => {
+            Message::ListReport(_) => {}
+            Message::RelayLeaseRequest { nonce, position } => {
                 self.handle_relay_lease_request(now, from, nonce, position, out);
             }
-            Word::RelayLease { nonce, activation_granted, for_ms } => {
+            Message::RelayLease { nonce, activation_granted, for_ms } => {
                 self.handle_relay_lease(from, nonce, activation_granted, for_ms);
             }
-            Word::Able { number } => self.handle_readiness(now, from, number, out),
+            Message::ReadyToActivate { number } => self.handle_readiness(now, from, number, out),
         }
     }
 
     fn handle_position(
-        &mut self, now: Duration, from: Member, their_position: Position, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, their_position: Position, out: &mut Vec<MemberOutput>,
     ) {
         self.positions.insert(from, their_position);
         self.grant_activation_if_ready(now, out);
         let own_position = self.position(now);
-        let may_be_active =
-            if self.learner.may_act(&self.signer) { own_position.certified } else { own_position.active };
+        let may_be_active = if self.learner.may_activate(&self.signer) {
+            own_position.certified
+        } else {
+            own_position.active
+        };
         if their_position.certified < own_position.certified || their_position.active < may_be_active {
             self.send_catch_up(now, from, out);
         } else if their_position.certified > own_position.certified || their_position.active > may_be_active {
             let due = self.last_catch_up.get(&from).is_none_or(|at| now >= *at + MEMBER_CATCH_UP_INTERVAL);
             if due {
                 self.last_catch_up.insert(from, now);
-                self.send(now, from, Word::Position(own_position), out);
+                self.send(now, from, Message::Position(own_position), out);
             }
         }
     }
 
     /// Sends a member the certificate and the activation grants that it lacks, unless this was done recently.
-    pub(crate) fn send_catch_up(&mut self, now: Duration, to: Member, out: &mut Vec<Given>) {
+    pub(crate) fn send_catch_up(&mut self, now: Duration, to: Member, out: &mut Vec<MemberOutput>) {
         let recently = self.last_catch_up.get(&to).is_some_and(|at| now < *at + MEMBER_CATCH_UP_INTERVAL);
         if recently || now < self.next_catch_up_at {
             return;
@@ -128,36 +135,38 @@
         let behind =
             self.positions.get(&to).is_none_or(|their_position| their_position.certified < latest.number());
         if behind {
-            self.send(now, to, Word::Head(latest.signed), out);
+            self.send(now, to, Message::Head(latest.signed), out);
             for vote in latest.votes {
-                self.send(now, to, Word::Vote(vote), out);
+                self.send(now, to, Message::Vote(vote), out);
             }
         }
-        for grant in latest.goes {
-            self.send(now, to, Word::Go(grant), out);
+        for grant in latest.activation_grants {
+            self.send(now, to, Message::ActivationGrant(grant), out);
         }
     }
 
     fn handle_lease_request(
-        &mut self, now: Duration, from: Member, nonce: u64, their_position: Position, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, nonce: u64, their_position: Position,
+        out: &mut Vec<MemberOutput>,
     ) {
         let granted_through = self
             .acceptor
             .as_ref()
-            .filter(|acceptor| !acceptor.is_asking())
-            .map(|acceptor| acceptor.kept().activation_granted);
+            .filter(|acceptor| !acceptor.is_recovering())
+            .map(|acceptor| acceptor.state().activation_granted);
         let Some(activation_granted) = granted_through else { return };
         let activation_granted =
             self.granted_leases.answer(from, now, activation_granted, their_position.active);
-        self.send(now, from, Word::Lease { nonce, activation_granted }, out);
+        self.send(now, from, Message::Lease { nonce, activation_granted }, out);
         // The position in the request may be what the activation waits for.
         self.handle_position(now, from, their_position, out);
     }
 
     fn handle_lease(
-        &mut self, now: Duration, from: Member, nonce: u64, activation_granted: u32, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, nonce: u64, activation_granted: u32,
+        out: &mut Vec<MemberOutput>,
     ) {
-        if !self.signer.keepers().contains(&from) {
+        if !self.signer.acceptors().contains(&from) {
             return;
         }
         if activation_granted <= self.active {
@@ -170,14 +179,17 @@
     /// Whether this member currently needs a lease.
     fn needs_lease(&self, now: Duration) -> bool {
         let position = self.position(now);
-        self.config.regime == Regime::Hold || position.certified > position.active || position.held
+        self.config.mode == ActivationMode::Hold || position.certified > position.active || position.held
     }
 
-    /// When [`Revisions::tend`] must be called at the latest.
+    /// When [`Revisions::poll`] must be called at the latest.
     pub fn next_due(&self) -> Duration {
         let proposal = self.proposal.as_ref().map(|proposal| proposal.resend_at);
-        let recovery =
-            self.acceptor.as_ref().is_some_and(Keeper::is_asking).then_some(self.next_recovery_request_at);
+        let recovery = self
+            .acceptor
+            .as_ref()
+            .is_some_and(Acceptor::is_recovering)
+            .then_some(self.next_recovery_request_at);
         let fetch = self.missing_text().map(|_| self.next_fetch_at);
         let grant_resend = self.acceptor.as_ref().map(|_| self.next_grant_resend_at);
         let due = [
@@ -193,7 +205,7 @@
     }
 
     /// Performs the actions that are due at `now`.
-    pub fn tend(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub fn poll(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.resend_at) {
             self.send_proposal_requests(now, out);
         }
@@ -229,52 +241,53 @@
             self.grant_activation_if_ready(now, out);
             if self.learner.number() > self.active {
                 // Member removals must reach the acceptors even if messages are lost.
-                let keepers = self.signer.keepers().to_vec();
+                let acceptors = self.signer.acceptors().to_vec();
                 let removals: Vec<_> =
                     self.removals.values().copied().take(MAX_REMOVALS_PER_INTERVAL).collect();
-                if let Some(keeper) = self.random_member(&keepers) {
-                    removals.into_iter().for_each(|removal| self.send(now, keeper, Word::Gone(removal), out));
+                if let Some(acceptor) = self.random_member(&acceptors) {
+                    removals
+                        .into_iter()
+                        .for_each(|removal| self.send(now, acceptor, Message::Removal(removal), out));
                 }
             }
-            let me = self.config.me;
-            let others: Vec<Member> = self.signer.members().iter().copied().filter(|m| *m != me).collect();
+            let local_id = self.config.local_id;
+            let others: Vec<Member> =
+                self.signer.members().iter().copied().filter(|m| *m != local_id).collect();
             if let Some(to) = self.random_member(&others) {
                 let position = self.position(now);
-                self.send(now, to, Word::Position(position), out);
+                self.send(now, to, Message::Position(position), out);
             }
         }
     }
 
-    fn resend_activation_grant(&mut self, now: Duration, out: &mut Vec<Given>) {
-        if self.learner.may_act(&self.signer) {
+    fn resend_activation_grant(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
+        if self.learner.may_activate(&self.signer) {
             return;
         }
-        let me = self.config.me;
-        let own_grant = self
-            .learner
-            .latest
-            .as_ref()
-            .and_then(|latest| latest.goes.iter().find(|grant| grant.keeper == me).copied());
+        let local_id = self.config.local_id;
+        let own_grant = self.learner.latest.as_ref().and_then(|latest| {
+            latest.activation_grants.iter().find(|grant| grant.acceptor == local_id).copied()
+        });
         let Some(grant) = own_grant else { return };
-        for keeper in self.signer.keepers().to_vec() {
-            if keeper != me {
-                self.send(now, keeper, Word::Go(grant), out);
+        for acceptor in self.signer.acceptors().to_vec() {
+            if acceptor != local_id {
+                self.send(now, acceptor, Message::ActivationGrant(grant), out);
             }
         }
     }
 
-    fn request_leases(&mut self, now: Duration, out: &mut Vec<Given>) {
+    fn request_leases(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let nonce = self.held_leases.new_request(now);
         let position = self.position(now);
         // After a revision was prepared, the request is repeated until each acceptor has answered, since the
         // activation waits for the report in it.
         let urgent = self.lease_retry_interval < self.lease_duration / (REQUESTS_PER_LEASE + 1);
         let since = self.last_report_at();
-        let is_pending = |keeper: &Member| !urgent || !self.held_leases.answered_since(*keeper, since);
-        let keepers: Vec<Member> = self.signer.keepers().iter().copied().filter(is_pending).collect();
-        for keeper in &keepers {
-            self.send(now, *keeper, Word::Ask { nonce, position }, out);
+        let is_pending = |acceptor: &Member| !urgent || !self.held_leases.answered_since(*acceptor, since);
+        let acceptors: Vec<Member> = self.signer.acceptors().iter().copied().filter(is_pending).collect();
+        for acceptor in &acceptors {
+            self.send(now, *acceptor, Message::LeaseRequest { nonce, position }, out);
         }
-        self.request_relay_leases(now, nonce, &keepers, out);
+        self.request_relay_leases(now, nonce, &acceptors, out);
     }
 }
