--- a/crates/revisions/src/gate.rs
+++ b/crates/revisions/src/gate.rs
@@ -1,16 +1,16 @@
 //! Conditions that a member's driver adds to the protocol if the text of a revision stands for more than
 //! itself: for example, if the text is the summary of a batch that an acceptor must have and have verified
 //! before it votes, and that the watchers below this member must have prepared. Nothing here has an effect
-//! unless [`Revisions::gated`] was called.
+//! unless [`Revisions::enable_gate`] was called.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::dissemination::LEASE_RETRY_INTERVAL;
-use crate::member::{Given, Revisions};
-use crate::word::{Go, Word};
-use crate::{Certified, Digest, Hand, Keeper, Member, Number, Signed};
+use crate::member::{MemberOutput, Revisions};
+use crate::message::{ActivationGrant, Message};
+use crate::{Acceptor, Certified, Digest, Member, Number, Signed, Signer};
 
 /// Maximum number of texts that may be voted for at one time; more than there are concurrent proposers.
 const MAX_VOTABLE_TEXTS: usize = 64;
@@ -57,17 +57,17 @@
 
     /// A number was certified, so the permitted texts were for the previous number.
     pub(crate) fn on_certified(&mut self, now: Duration) {
-        self.forget_votable();
+        self.revoke_vote_permits();
         self.certified_at = now;
     }
 
-    fn forget_votable(&mut self) {
+    fn revoke_vote_permits(&mut self) {
         self.votable_texts.clear();
         self.votable_if_voted.clear();
     }
 }
 
-impl<H: Hand> Revisions<H> {
+impl<H: Signer> Revisions<H> {
     /// Whether the driver permits this acceptor to vote for a head.
     pub(crate) fn may_vote_for(&self, signed: &Signed) -> bool {
         let Some(gate) = &self.gate else { return true };
@@ -76,17 +76,17 @@
         gate.may_vote_for(&signed.head.text, voted)
     }
 
-    /// Enables the gate. From now on an acceptor votes only for texts that [`Revisions::let_vote`] permitted,
+    /// Enables the gate. From now on an acceptor votes only for texts that [`Revisions::permit_vote`] permitted,
     /// this member counts as prepared only once [`Revisions::subtree_ready`] was called, and certificates and
-    /// activation grants are sent to all members at once. Under [`crate::Regime::Hold`] an acceptor waits for
+    /// activation grants are sent to all members at once. Under [`crate::ActivationMode::Hold`] an acceptor waits for
     /// other members no longer than `max_wait`; the bound depends on the leases alone.
-    pub fn gated(&mut self, now: Duration, max_wait: Duration) {
+    pub fn enable_gate(&mut self, now: Duration, max_wait: Duration) {
         self.gate = Some(Gate { max_wait, certified_at: now, ready: self.active, ..Gate::default() });
     }
 
     /// Permits this acceptor to vote for a text for the next number; the proposer will ask again. With
     /// `again` it may vote only if another acceptor has voted for the text already.
-    pub fn let_vote(&mut self, text: Digest, again: bool) {
+    pub fn permit_vote(&mut self, text: Digest, again: bool) {
         let Some(gate) = &mut self.gate else { return };
         let texts = if again { &mut gate.votable_if_voted } else { &mut gate.votable_texts };
         if texts.len() < MAX_VOTABLE_TEXTS {
@@ -94,18 +94,18 @@
         }
     }
 
-    /// Whether [`Revisions::let_vote`] permitted this text for the next number.
-    pub fn lets_vote_for(&self, text: &Digest) -> bool {
+    /// Whether [`Revisions::permit_vote`] permitted this text for the next number.
+    pub fn is_vote_permitted(&self, text: &Digest) -> bool {
         self.gate.as_ref().is_some_and(|gate| gate.may_vote_for(text, true))
     }
 
-    /// Revokes all permissions of [`Revisions::let_vote`]: the driver verified the texts by an earlier ring.
-    pub fn forget_votable(&mut self) {
-        self.gate.iter_mut().for_each(Gate::forget_votable);
+    /// Revokes all permissions of [`Revisions::permit_vote`]: the driver verified the texts by an earlier ring.
+    pub fn revoke_vote_permits(&mut self) {
+        self.gate.iter_mut().for_each(Gate::revoke_vote_permits);
     }
 
     /// Takes a text that the driver made itself and whose content it holds.
-    pub fn take_own_text(&mut self, now: Duration, text: Arc<[u8]>, out: &mut Vec<Given>) {
+    pub fn take_own_text(&mut self, now: Duration, text: Arc<[u8]>, out: &mut Vec<MemberOutput>) {
         let digest = crate::digest(&text);
         if !self.texts.contains_key(&digest) {
             self.cache_text(digest, text);
@@ -114,7 +114,7 @@
     }
 
     /// Reports that all below this member are ready for a number, or have been waited for long enough.
-    pub fn subtree_ready(&mut self, now: Duration, number: Number, out: &mut Vec<Given>) {
+    pub fn subtree_ready(&mut self, now: Duration, number: Number, out: &mut Vec<MemberOutput>) {
         let Some(gate) = self.gate.as_mut().filter(|gate| gate.ready < number) else { return };
         (gate.ready, gate.ready_since) = (number, now);
         if self.prepared == Some(self.learner.number()) {
@@ -126,30 +126,32 @@
     }
 
     /// The latest certified revision, with the activation grants known so far.
-    pub fn top(&self) -> Option<&Certified> {
+    pub fn latest_certified(&self) -> Option<&Certified> {
         self.learner.latest.as_ref()
     }
 
-    /// Whether a quorum of acceptors has granted the activation of [`Revisions::top`].
-    pub fn may_act(&self) -> bool {
-        self.learner.may_act(&self.signer)
+    /// Whether a quorum of acceptors has granted the activation of [`Revisions::latest_certified`].
+    pub fn may_activate(&self) -> bool {
+        self.learner.may_activate(&self.signer)
     }
 
     /// The highest number whose activation this acceptor has granted; a lease that it grants now must name
     /// it. `None` if this member is no acceptor, or is still recovering its state.
-    pub fn grantable(&self) -> Option<Number> {
-        let acceptor = self.acceptor().filter(|acceptor| !acceptor.is_asking())?;
-        Some(acceptor.kept().activation_granted)
+    pub fn grantable_number(&self) -> Option<Number> {
+        let acceptor = self.acceptor().filter(|acceptor| !acceptor.is_recovering())?;
+        Some(acceptor.state().activation_granted)
     }
 
     /// The acceptor state of this member, if the ring lists it as an acceptor.
-    pub fn acceptor(&self) -> Option<&Keeper> {
-        self.acceptor.as_ref().filter(|_| self.signer.keepers().contains(&self.config.me))
+    pub fn acceptor(&self) -> Option<&Acceptor> {
+        self.acceptor.as_ref().filter(|_| self.signer.acceptors().contains(&self.config.local_id))
     }
 
     /// Takes a certificate that arrived by another path than messages, for example with the state that it
     /// certifies.
-    pub fn take_certified(&mut self, now: Duration, certified: Certified, out: &mut Vec<Given>) -> bool {
+    pub fn take_certified(
+        &mut self, now: Duration, certified: Certified, out: &mut Vec<MemberOutput>,
+    ) -> bool {
         if certified.number() <= self.learner.number() || !certified.holds(&self.signer) {
             return false;
         }
@@ -159,29 +161,31 @@
     }
 
     /// Sends a certificate to all members. The proposer does so, since it is the first to have the votes.
-    pub(crate) fn broadcast_certificate(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn broadcast_certificate(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let Some(latest) = self.learner.latest.clone().filter(|_| self.gate.is_some()) else { return };
         for member in self.other_members() {
-            self.send(now, member, Word::Head(latest.signed), out);
+            self.send(now, member, Message::Head(latest.signed), out);
             for vote in &latest.votes {
-                self.send(now, member, Word::Vote(*vote), out);
+                self.send(now, member, Message::Vote(*vote), out);
             }
         }
     }
 
     /// Sends this acceptor's activation grant to the acceptors, or with a gate to all members.
-    pub(crate) fn send_activation_grant(&mut self, now: Duration, grant: Go, out: &mut Vec<Given>) {
-        let me = self.config.me;
+    pub(crate) fn send_activation_grant(
+        &mut self, now: Duration, grant: ActivationGrant, out: &mut Vec<MemberOutput>,
+    ) {
+        let local_id = self.config.local_id;
         let recipients =
-            if self.gate.is_some() { self.other_members() } else { self.signer.keepers().to_vec() };
-        for member in recipients.into_iter().filter(|member| *member != me) {
-            self.send(now, member, Word::Go(grant), out);
+            if self.gate.is_some() { self.other_members() } else { self.signer.acceptors().to_vec() };
+        for member in recipients.into_iter().filter(|member| *member != local_id) {
+            self.send(now, member, Message::ActivationGrant(grant), out);
         }
     }
 
     fn other_members(&self) -> Vec<Member> {
-        let me = self.config.me;
-        self.signer.members().iter().copied().filter(|member| *member != me).collect()
+        let local_id = self.config.local_id;
+        self.signer.members().iter().copied().filter(|member| *member != local_id).collect()
     }
 
     /// Whether this member has prepared a number; with a gate, the members below it included.
--- a/crates/revisions/src/head.rs
+++ b/crates/revisions/src/head.rs
@@ -12,10 +12,10 @@
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
 
-use crate::{digest, Author, Digest, Hand, Number, Refused, Signature};
+use crate::{digest, Author, Digest, Number, Refused, Signature, Signer};
 
 /// Maximum length of a text in bytes. A catalogue of 100,000 titles has some 10 MB.
-pub const LONGEST_TEXT: usize = 16 * 1024 * 1024;
+pub const MAX_TEXT_BYTES: usize = 16 * 1024 * 1024;
 const HEAD_BYTES: usize = 74;
 const SIGNATURE_DOMAIN: &[u8] = b"badgerledge revision 1";
 
@@ -24,7 +24,7 @@
 pub struct Head {
     pub number: Number,
     /// Digest of the preceding head; zeros before the first.
-    pub before: Digest,
+    pub predecessor: Digest,
     pub author: Author,
     /// Length of the text in bytes.
     pub length: u32,
@@ -34,15 +34,15 @@
 
 impl Head {
     /// The head of this text.
-    pub fn new(number: Number, before: Digest, author: Author, text: &[u8]) -> Self {
-        Self { number, before, author, length: text.len() as u32, text: digest(text) }
+    pub fn new(number: Number, predecessor: Digest, author: Author, text: &[u8]) -> Self {
+        Self { number, predecessor, author, length: text.len() as u32, text: digest(text) }
     }
 
     /// The encoded head.
     pub fn bytes(&self) -> [u8; HEAD_BYTES] {
         let mut bytes = [0; HEAD_BYTES];
         bytes[..4].copy_from_slice(&self.number.to_be_bytes());
-        bytes[4..36].copy_from_slice(&self.before);
+        bytes[4..36].copy_from_slice(&self.predecessor);
         bytes[36..38].copy_from_slice(&self.author.to_be_bytes());
         bytes[38..42].copy_from_slice(&self.length.to_be_bytes());
         bytes[42..].copy_from_slice(&self.text);
@@ -64,7 +64,7 @@
     /// # Errors
     /// If it is too long, or its length or digest differs.
     pub fn check_text(&self, text: &[u8]) -> Result<(), Refused> {
-        if text.len() != self.length as usize || text.len() > LONGEST_TEXT {
+        if text.len() != self.length as usize || text.len() > MAX_TEXT_BYTES {
             return Err(Refused::Length(text.len(), self.length as usize));
         }
         if digest(text) != self.text {
@@ -84,12 +84,12 @@
 
 impl Signed {
     /// Whether the author signed it with a key that is valid now.
-    pub fn is_signed(&self, signer: &impl Hand) -> bool {
-        signer.by_author(self.head.author, &self.head.signed_bytes(), &self.signature)
+    pub fn is_signed(&self, signer: &impl Signer) -> bool {
+        signer.verify_author(self.head.author, &self.head.signed_bytes(), &self.signature)
     }
 
     /// Whether the author signed it with a key that is or was valid.
-    pub fn was_signed(&self, signer: &impl Hand) -> bool {
-        signer.by_author_ever(self.head.author, &self.head.signed_bytes(), &self.signature)
+    pub fn was_signed(&self, signer: &impl Signer) -> bool {
+        signer.verify_author_any_key(self.head.author, &self.head.signed_bytes(), &self.signature)
     }
 }
--- a/crates/revisions/src/learner.rs
+++ b/crates/revisions/src/learner.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::word::{Go, Vote};
-use crate::{quorum, Ballot, Digest, Hand, Member, Number, Signed};
+use crate::message::{ActivationGrant, Vote};
+use crate::{quorum, Ballot, Digest, Member, Number, Signed, Signer};
 
 /// A certified revision with its certificate: the votes, and the activation grants known so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Certified {
     pub signed: Signed,
     pub votes: Vec<Vote>,
-    pub goes: Vec<Go>,
+    pub activation_grants: Vec<ActivationGrant>,
 }
 
 impl Certified {
@@ -28,18 +28,18 @@
 
     /// Whether the votes form a certificate by this ring. The author's signature is not verified again: the
     /// acceptors did so when they voted, and revoking the key later does not invalidate the certificate.
-    pub fn holds(&self, signer: &impl Hand) -> bool {
+    pub fn holds(&self, signer: &impl Signer) -> bool {
         let digest = self.digest();
         let is_vote_for_it =
             |vote: &&Vote| vote.digest == digest && vote.number == self.number() && vote.holds(signer);
         let mut acceptors_by_ballot: BTreeMap<Ballot, Vec<Member>> = BTreeMap::new();
         for vote in self.votes.iter().filter(is_vote_for_it) {
             let acceptors = acceptors_by_ballot.entry(vote.ballot).or_default();
-            if !acceptors.contains(&vote.keeper) {
-                acceptors.push(vote.keeper);
+            if !acceptors.contains(&vote.acceptor) {
+                acceptors.push(vote.acceptor);
             }
         }
-        acceptors_by_ballot.values().any(|acceptors| acceptors.len() >= quorum(signer.keepers().len()))
+        acceptors_by_ballot.values().any(|acceptors| acceptors.len() >= quorum(signer.acceptors().len()))
     }
 }
 
@@ -67,7 +67,7 @@
     /// first, the others in order of arrival.
     votes: BTreeMap<(Number, Member, Digest), Vec<Vote>>,
     /// Activation grants for numbers that are not known certified yet.
-    grants: BTreeMap<Member, Go>,
+    grants: BTreeMap<Member, ActivationGrant>,
 }
 
 impl Learner {
@@ -91,7 +91,7 @@
     /// Whether a head is valid: its author's key is valid, or was valid when an acceptor voted for the head.
     /// Such a head may be certified already, so the next proposer must be able to name it, or the number
     /// would be blocked permanently.
-    fn is_valid(&self, signed: &Signed, signer: &impl Hand) -> bool {
+    fn is_valid(&self, signed: &Signed, signer: &impl Signer) -> bool {
         let digest = signed.head.digest();
         signed.is_signed(signer) || signed.was_signed(signer) && self.votes_for(&digest).next().is_some()
     }
@@ -102,7 +102,7 @@
     }
 
     /// Adds a valid head. Returns whether it is new.
-    pub fn add_head(&mut self, signed: Signed, signer: &impl Hand) -> bool {
+    pub fn add_head(&mut self, signed: Signed, signer: &impl Signer) -> bool {
         let digest = signed.head.digest();
         let is_new = signed.head.number > self.number() && !self.heads.contains_key(&digest);
         if !is_new || !self.is_valid(&signed, signer) {
@@ -128,8 +128,8 @@
     }
 
     /// Adds a vote, if an acceptor of the ring signed it.
-    pub fn add_vote(&mut self, vote: Vote, signer: &impl Hand) {
-        let key = (vote.number, vote.keeper, vote.digest);
+    pub fn add_vote(&mut self, vote: Vote, signer: &impl Signer) {
+        let key = (vote.number, vote.acceptor, vote.digest);
         let known = self
             .votes
             .get(&key)
@@ -147,24 +147,25 @@
     }
 
     /// Adds an activation grant, if an acceptor of the ring signed it.
-    pub fn add_activation_grant(&mut self, grant: Go, signer: &impl Hand) {
+    pub fn add_activation_grant(&mut self, grant: ActivationGrant, signer: &impl Signer) {
         if let Some(latest) = self.latest.as_mut().filter(|latest| latest.number() == grant.number) {
-            let known = latest.goes.iter().any(|known_grant| known_grant.keeper == grant.keeper);
+            let known =
+                latest.activation_grants.iter().any(|known_grant| known_grant.acceptor == grant.acceptor);
             if !known && grant.digest == latest.digest() && grant.holds(signer) {
-                latest.goes.push(grant);
+                latest.activation_grants.push(grant);
             }
             return;
         }
         let is_later =
-            self.grants.get(&grant.keeper).is_none_or(|known_grant| known_grant.number < grant.number);
+            self.grants.get(&grant.acceptor).is_none_or(|known_grant| known_grant.number < grant.number);
         if grant.number > self.number() && is_later && grant.holds(signer) {
-            self.grants.insert(grant.keeper, grant);
+            self.grants.insert(grant.acceptor, grant);
         }
     }
 
     /// Returns whether the known votes and heads now certify a later revision.
-    pub fn update_latest(&mut self, signer: &impl Hand) -> bool {
-        let needed = quorum(signer.keepers().len());
+    pub fn update_latest(&mut self, signer: &impl Signer) -> bool {
+        let needed = quorum(signer.acceptors().len());
         let mut counts: BTreeMap<(Number, Ballot, Digest), usize> = BTreeMap::new();
         for vote in self.votes.values().flatten() {
             *counts.entry((vote.number, vote.ballot, vote.digest)).or_default() += 1;
@@ -182,7 +183,11 @@
         let is_counted = |vote: &&Vote| (vote.number, vote.ballot, vote.digest) == (number, ballot, digest);
         let votes = self.votes.values().flatten().filter(is_counted).take(needed);
         let grants = self.grants.values().filter(|grant| (grant.number, grant.digest) == (number, digest));
-        let latest = Certified { signed, votes: votes.copied().collect(), goes: grants.copied().collect() };
+        let latest = Certified {
+            signed,
+            votes: votes.copied().collect(),
+            activation_grants: grants.copied().collect(),
+        };
         self.install(latest);
         true
     }
@@ -198,7 +203,7 @@
 
     /// Drops heads whose author's key is no longer valid, except those that an acceptor voted for: the local
     /// one, which accepted `accepted`, or another.
-    pub fn revalidate_heads(&mut self, accepted: Option<Digest>, signer: &impl Hand) {
+    pub fn revalidate_heads(&mut self, accepted: Option<Digest>, signer: &impl Signer) {
         let heads = std::mem::take(&mut self.heads);
         let is_kept =
             |(digest, head): &(Digest, Signed)| accepted == Some(*digest) || self.is_valid(head, signer);
@@ -213,7 +218,9 @@
     }
 
     /// Whether a quorum of acceptors has granted the activation of the latest certified revision.
-    pub fn may_act(&self, signer: &impl Hand) -> bool {
-        self.latest.as_ref().is_some_and(|latest| latest.goes.len() >= quorum(signer.keepers().len()))
+    pub fn may_activate(&self, signer: &impl Signer) -> bool {
+        self.latest
+            .as_ref()
+            .is_some_and(|latest| latest.activation_grants.len() >= quorum(signer.acceptors().len()))
     }
 }
--- a/crates/revisions/src/lease.rs
+++ b/crates/revisions/src/lease.rs
@@ -19,7 +19,7 @@
 
 /// What a member does that can't reach the acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Regime {
+pub enum ActivationMode {
     /// A change waits for each member that is not excluded; while no change is pending, no lease is needed.
     Wait,
     /// A member without a lease goes on hold, so that a change waits for the length of a lease at most.
@@ -27,7 +27,7 @@
 }
 
 /// The length of a lease in a fleet of this size: as short as the acceptors' byte limit allows.
-pub fn lease_for(members: usize) -> Duration {
+pub fn lease_duration_for(members: usize) -> Duration {
     let requests = members as f64 * f64::from(REQUESTS_PER_LEASE);
     Duration::from_secs_f64(requests / GRANTS_PER_SECOND).max(MIN_LEASE)
 }
@@ -39,10 +39,10 @@
 
 /// The longest time for which two members may have contradicting revisions active. A member activates the new
 /// one only after a quorum has granted it, and a member that still has the old one active sent its last
-/// successful lease request to an acceptor of that quorum before the grant, at most a lease ago. `late` is
+/// successful lease request to an acceptor of that quorum before the grant, at most a lease ago. `activation_delay` is
 /// how long decisions may still take to take effect.
-pub fn bound(lease: Duration, late: Duration) -> Duration {
-    with_drift(lease) + late
+pub fn bound(lease: Duration, activation_delay: Duration) -> Duration {
+    with_drift(lease) + activation_delay
 }
 
 /// The leases that a member holds.
@@ -93,7 +93,7 @@
         self.requested_at.get(&acceptor).is_some_and(|requested_at| *requested_at >= since)
     }
 
-    /// Until when leases from a quorum of `keepers` acceptors are valid.
+    /// Until when leases from a quorum of `acceptors` acceptors are valid.
     pub fn valid_until(&self, acceptors: usize, lease: Duration) -> Option<Duration> {
         let mut request_times: Vec<Duration> = self.requested_at.values().copied().collect();
         request_times.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/revisions/src/lib.rs
+++ b/crates/revisions/src/lib.rs
@@ -8,7 +8,7 @@
 //! have it. It becomes *active* once a quorum of acceptors has granted its activation (`Go`), which an
 //! acceptor does when every member that is not excluded has prepared it. A member that has reported a
 //! revision as prepared and has not been answered by a quorum of acceptors for the length of a lease suspends
-//! whatever the change governs ([`Acting::held`]).
+//! whatever the change governs ([`ActiveRevision::held`]).
 
 mod acceptor;
 mod certify;
@@ -19,11 +19,11 @@
 mod lease;
 pub mod lists;
 mod member;
-pub mod order;
+pub mod message;
 mod proposal;
 mod relay_leases;
+pub mod requests;
 mod store;
-pub mod word;
 
 #[cfg(test)]
 mod tests;
@@ -31,12 +31,12 @@
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
 
-pub use acceptor::{Ballot, Keeper, Kept, Reply};
-pub use head::{Head, Signed, LONGEST_TEXT};
+pub use acceptor::{Acceptor, AcceptorState, Ballot, Reply};
+pub use head::{Head, Signed, MAX_TEXT_BYTES};
 pub use learner::Certified;
-pub use lease::{bound, lease_for, Regime};
-pub use member::{Acting, Check, Given, Hold, Revisions, Status, Terms};
-pub use store::{Stored, StoredFault};
+pub use lease::{bound, lease_duration_for, ActivationMode};
+pub use member::{ActiveRevision, Check, HoldReason, MemberConfig, MemberOutput, Revisions, Status};
+pub use store::{StoredState, StoredStateError};
 
 /// The number of a member in the ring.
 pub type Member = u16;
@@ -55,23 +55,23 @@
 }
 
 /// Signs as the local member, and verifies signatures of members and authors.
-pub trait Hand {
+pub trait Signer {
     fn sign(&self, bytes: &[u8]) -> Signature;
     /// Whether `member` signed `bytes`.
-    fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool;
+    fn verify_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool;
     /// Whether `author` signed `bytes` with a key that is valid now.
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
     /// Whether `author` signed `bytes` with any key that the ring ever listed for it, including revoked ones.
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool;
     /// All members that have keys, in ascending order.
     fn members(&self) -> &[Member];
     /// The members that are acceptors.
-    fn keepers(&self) -> &[Member];
+    fn acceptors(&self) -> &[Member];
 }
 
-/// The size of a quorum of `keepers` acceptors: any two quorums have an acceptor in common.
-pub fn quorum(keepers: usize) -> usize {
-    keepers / 2 + 1
+/// The size of a quorum of `acceptors` acceptors: any two quorums have an acceptor in common.
+pub fn quorum(acceptors: usize) -> usize {
+    acceptors / 2 + 1
 }
 
 /// Why a pushed revision is refused.
@@ -82,13 +82,13 @@
     #[error("number {0} is not the next number, {1}")]
     Number(Number, Number),
     #[error("its predecessor is not the revision certified as number {0}")]
-    Before(Number),
-    #[error("its text has {0} bytes; its head names {1}, and at most {LONGEST_TEXT} are allowed")]
+    Predecessor(Number),
+    #[error("its text has {0} bytes; its head names {1}, and at most {MAX_TEXT_BYTES} are allowed")]
     Length(usize, usize),
     #[error("its text does not match the digest in its head")]
     Digest,
     #[error("its text can't be activated: {0}")]
     Text(String),
     #[error("the ring lists no acceptors")]
-    NoKeepers,
+    NoAcceptors,
 }
--- a/crates/revisions/src/lists.rs
+++ b/crates/revisions/src/lists.rs
@@ -44,7 +44,7 @@
 /// A streamer process, identified by its address and start time: a process started later at that address is
 /// another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Off {
+pub struct RemovedStreamer {
     pub ip: [u8; 4],
     pub port: u16,
     pub start: u64,
@@ -53,9 +53,9 @@
 /// A member's report about its list: its position, and the streamers that its last changes removed or
 /// drained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ListReport {
     pub position: ListPosition,
-    pub off: Vec<Off>,
+    pub removed: Vec<RemovedStreamer>,
 }
 
 #[derive(Debug, Default)]
@@ -69,19 +69,21 @@
 
 /// The position of the own list, and what other members report about theirs.
 #[derive(Debug, Default)]
-pub struct Lists {
+pub struct ListPositions {
     own: ListPosition,
     /// Streamers recently removed from or drained in the own list, with the time, newest last.
-    own_removals: Vec<(Duration, Off)>,
+    own_removals: Vec<(Duration, RemovedStreamer)>,
     members: BTreeMap<Member, MemberReports>,
-    reports: BTreeMap<Off, BTreeMap<Member, (Duration, ListPosition)>>,
+    reports: BTreeMap<RemovedStreamer, BTreeMap<Member, (Duration, ListPosition)>>,
     refresh_at: Duration,
     refresh_wanted: bool,
 }
 
-impl Lists {
+impl ListPositions {
     /// The own list has reached `position`; the changes on the way removed or drained these streamers.
-    pub fn reached(&mut self, now: Duration, position: ListPosition, off: impl IntoIterator<Item = Off>) {
+    pub fn update_own_position(
+        &mut self, now: Duration, position: ListPosition, off: impl IntoIterator<Item = RemovedStreamer>,
+    ) {
         self.own = position;
         self.own_removals.extend(off.into_iter().map(|off| (now, off)));
         self.own_removals.retain(|(at, _)| now < *at + REPORT_LIFETIME);
@@ -95,14 +97,14 @@
     }
 
     /// What this member reports about its own list.
-    pub fn tells(&self, now: Duration) -> Told {
+    pub fn own_report(&self, now: Duration) -> ListReport {
         let off = self
             .own_removals
             .iter()
             .filter(|(at, _)| now < *at + REPORT_LIFETIME)
             .map(|(_, off)| *off)
             .collect();
-        Told { position: self.own, off }
+        ListReport { position: self.own, removed: off }
     }
 
     /// Whether a position is unknown here: a later change of this run, or any change of another run. Which of
@@ -112,7 +114,9 @@
     }
 
     /// Takes a member's report. Returns the streamers that now have enough reports to be treated as removed.
-    pub fn hears(&mut self, now: Duration, from: Member, report: &Told) -> Vec<Off> {
+    pub fn receive_report(
+        &mut self, now: Duration, from: Member, report: &ListReport,
+    ) -> Vec<RemovedStreamer> {
         self.check_unconfirmed(now);
         let unknown = self.is_unknown(report.position);
         let member = self.members.entry(from).or_default();
@@ -126,7 +130,7 @@
             member.unconfirmed.get_or_insert((report.position, now));
         }
         let mut confirmed = Vec::new();
-        for off in report.off.iter().take(MAX_REMOVALS_PER_MESSAGE) {
+        for off in report.removed.iter().take(MAX_REMOVALS_PER_MESSAGE) {
             if self.reports.len() >= MAX_REPORTED_STREAMERS && !self.reports.contains_key(off) {
                 continue;
             }
@@ -161,7 +165,7 @@
     }
 
     /// Whether the list is to be refreshed from the service now.
-    pub fn asks(&mut self, now: Duration) -> bool {
+    pub fn take_refresh(&mut self, now: Duration) -> bool {
         self.check_unconfirmed(now);
         let due = self.refresh_wanted && now >= self.refresh_at;
         if due {
@@ -170,7 +174,7 @@
         due
     }
 
-    /// When [`Lists::asks`] is to be called next.
+    /// When [`ListPositions::take_refresh`] is to be called next.
     pub fn next_due(&self) -> Option<Duration> {
         self.refresh_wanted.then_some(self.refresh_at)
     }
@@ -184,12 +188,12 @@
         ListPosition { epoch, revision }
     }
 
-    fn off(port: u16) -> Off {
-        Off { ip: [127, 0, 0, 1], port, start: 1 }
+    fn off(port: u16) -> RemovedStreamer {
+        RemovedStreamer { ip: [127, 0, 0, 1], port, start: 1 }
     }
 
-    fn report(position: ListPosition, off: &[Off]) -> Told {
-        Told { position, off: off.to_vec() }
+    fn report(position: ListPosition, off: &[RemovedStreamer]) -> ListReport {
+        ListReport { position, removed: off.to_vec() }
     }
 
     fn ms(n: u64) -> Duration {
@@ -198,53 +202,55 @@
 
     #[test]
     fn a_later_position_is_asked_for_at_once_and_an_older_one_is_nothing() {
-        let mut lists = Lists::default();
-        lists.reached(ms(0), at(7, 10), []);
-        assert!(lists.hears(ms(1), 1, &report(at(7, 10), &[])).is_empty() && !lists.asks(ms(1)));
-        lists.hears(ms(2), 1, &report(at(7, 9), &[]));
-        assert!(!lists.asks(ms(2)));
-        lists.hears(ms(3), 1, &report(at(7, 11), &[]));
-        assert!(lists.asks(ms(3)) && !lists.asks(ms(4)));
+        let mut lists = ListPositions::default();
+        lists.update_own_position(ms(0), at(7, 10), []);
+        assert!(
+            lists.receive_report(ms(1), 1, &report(at(7, 10), &[])).is_empty() && !lists.take_refresh(ms(1))
+        );
+        lists.receive_report(ms(2), 1, &report(at(7, 9), &[]));
+        assert!(!lists.take_refresh(ms(2)));
+        lists.receive_report(ms(3), 1, &report(at(7, 11), &[]));
+        assert!(lists.take_refresh(ms(3)) && !lists.take_refresh(ms(4)));
         // After a restart the service counts from the beginning, so a lower number of another epoch is new.
-        lists.hears(ms(600), 2, &report(at(8, 1), &[]));
-        assert!(lists.asks(ms(600)));
+        lists.receive_report(ms(600), 2, &report(at(8, 1), &[]));
+        assert!(lists.take_refresh(ms(600)));
     }
 
     /// A streamer is set aside only on the reports of two members, and not for a position that the own list
     /// has reached.
     #[test]
     fn one_member_sets_no_streamer_aside() {
-        let mut lists = Lists::default();
-        lists.reached(ms(0), at(7, 10), []);
+        let mut lists = ListPositions::default();
+        lists.update_own_position(ms(0), at(7, 10), []);
         for n in 0..50 {
-            assert!(lists.hears(ms(n), 1, &report(at(7, 11 + n), &[off(5)])).is_empty());
+            assert!(lists.receive_report(ms(n), 1, &report(at(7, 11 + n), &[off(5)])).is_empty());
         }
-        assert_eq!(lists.hears(ms(60), 2, &report(at(7, 11), &[off(5), off(6)])), [off(5)]);
+        assert_eq!(lists.receive_report(ms(60), 2, &report(at(7, 11), &[off(5), off(6)])), [off(5)]);
         assert!(
-            lists.hears(ms(61), 3, &report(at(7, 11), &[off(5)])).is_empty(),
+            lists.receive_report(ms(61), 3, &report(at(7, 11), &[off(5)])).is_empty(),
             "the streamer is already reported"
         );
-        lists.reached(ms(70), at(7, 12), []);
-        assert!(lists.hears(ms(71), 2, &report(at(7, 12), &[off(6)])).is_empty());
-        let own = lists.tells(ms(71));
-        assert_eq!((own.position, own.off.len()), (at(7, 12), 0));
-        lists.reached(ms(80), at(7, 13), (0..20).map(off));
-        assert_eq!(lists.tells(ms(81)).off.len(), MAX_REMOVALS_PER_MESSAGE);
+        lists.update_own_position(ms(70), at(7, 12), []);
+        assert!(lists.receive_report(ms(71), 2, &report(at(7, 12), &[off(6)])).is_empty());
+        let own = lists.own_report(ms(71));
+        assert_eq!((own.position, own.removed.len()), (at(7, 12), 0));
+        lists.update_own_position(ms(80), at(7, 13), (0..20).map(off));
+        assert_eq!(lists.own_report(ms(81)).removed.len(), MAX_REMOVALS_PER_MESSAGE);
     }
 
     /// A faulty member that reports positions which never come causes a limited number of refreshes, and is
     /// then ignored.
     #[test]
     fn a_liar_is_bounded() {
-        let mut lists = Lists::default();
-        lists.reached(ms(0), at(7, 10), []);
+        let mut lists = ListPositions::default();
+        lists.update_own_position(ms(0), at(7, 10), []);
         let mut refreshes = 0;
         for n in 0..600 {
-            lists.hears(ms(n * 100), 1, &report(at(7, 1000 + n), &[off(5)]));
-            refreshes += u32::from(lists.asks(ms(n * 100)));
+            lists.receive_report(ms(n * 100), 1, &report(at(7, 1000 + n), &[off(5)]));
+            refreshes += u32::from(lists.take_refresh(ms(n * 100)));
         }
         assert!(refreshes <= 25, "{refreshes} refreshes in a minute");
-        lists.hears(ms(60_050), 2, &report(at(7, 11), &[]));
-        assert!(lists.asks(ms(60_050)), "reports of others still count");
+        lists.receive_report(ms(60_050), 2, &report(at(7, 11), &[]));
+        assert!(lists.take_refresh(ms(60_050)), "reports of others still count");
     }
 }
--- a/crates/revisions/src/member.rs
+++ b/crates/revisions/src/member.rs
@@ -10,11 +10,11 @@
 use crate::gate::Gate;
 use crate::learner::Learner;
 use crate::lease::{GrantedLeases, HeldLeases, REQUESTS_PER_LEASE};
+use crate::message::{MemberRemoval, Message, Position};
 use crate::proposal::Proposal;
 use crate::relay_leases::RelayLeases;
-use crate::store::Stored;
-use crate::word::{Gone, Position, Word};
-use crate::{bound, lease_for, Digest, Hand, Keeper, Member, Number, Regime, Signed};
+use crate::store::StoredState;
+use crate::{bound, lease_duration_for, Acceptor, ActivationMode, Digest, Member, Number, Signed, Signer};
 
 /// Checks whether this program can activate a text, and if not, why.
 pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String> + Send>;
@@ -27,20 +27,20 @@
 const MAX_UNREFERENCED_TEXTS: usize = 3;
 
 /// The configuration of a member.
-pub struct Terms {
-    pub me: Member,
+pub struct MemberConfig {
+    pub local_id: Member,
     /// Incarnation of the process; later than any that this member had before.
-    pub life: u32,
-    pub regime: Regime,
+    pub incarnation: u32,
+    pub mode: ActivationMode,
     /// How long a decision may take to take effect after it was made; part of the stated bound.
-    pub late: Duration,
+    pub activation_delay: Duration,
     pub check: Check,
 }
 
 /// Output of the state machine, in this order: whatever is to be stored must be durable before any later
 /// output is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum MemberOutput {
     Send(Member, Vec<u8>),
     Store(Vec<u8>),
     StoreText(Digest, Arc<[u8]>),
@@ -49,12 +49,12 @@
     /// The active or the prepared revision has changed.
     Changed,
     /// A certified revision can't be activated by this member, for the given reason.
-    Unfit(Number, String),
+    Unusable(Number, String),
 }
 
 /// Why a member is on hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hold {
+pub enum HoldReason {
     /// The member had no stored state, and no quorum of acceptors has confirmed yet that its own file is
     /// current.
     Unsure,
@@ -66,18 +66,18 @@
 
 /// The revisions that a member has active and prepared at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acting {
+pub struct ActiveRevision {
     pub active: Number,
     /// A later revision that this member has reported as prepared; others may activate it at any time.
     pub prepared: Option<Number>,
     /// Why the member is on hold, if it is.
-    pub held: Option<Hold>,
+    pub held: Option<HoldReason>,
 }
 
 /// The state of a member, for its operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    pub acting: Acting,
+    pub active_revision: ActiveRevision,
     pub certified: Number,
     pub digest: Digest,
     /// The longest time for which two members may have contradicting revisions active.
@@ -86,19 +86,19 @@
     /// Members that have not reported the certified revision as prepared, as far as this member knows.
     pub waited_for: Vec<Member>,
     /// Members that an author has declared removed.
-    pub gone: Vec<Member>,
-    pub keeper: Option<Keeper>,
+    pub removed: Vec<Member>,
+    pub acceptor: Option<Acceptor>,
     pub positions: BTreeMap<Member, Position>,
 }
 
 /// The state machine of a member. Time, messages and random seed come from the caller; results are returned
-/// as [`Given`].
+/// as [`MemberOutput`].
 pub struct Revisions<H> {
     pub(crate) signer: H,
-    pub(crate) config: Terms,
+    pub(crate) config: MemberConfig,
     pub(crate) lease_duration: Duration,
     pub(crate) learner: Learner,
-    pub(crate) acceptor: Option<Keeper>,
+    pub(crate) acceptor: Option<Acceptor>,
     pub(crate) granted_leases: GrantedLeases,
     pub(crate) held_leases: HeldLeases,
     pub(crate) positions: BTreeMap<Member, Position>,
@@ -117,7 +117,7 @@
     pub(crate) proposal: Option<Proposal>,
     /// The highest round of this member's ballots in this incarnation; no round is used for two texts.
     pub(crate) highest_round: u32,
-    pub(crate) removals: BTreeMap<Member, Gone>,
+    pub(crate) removals: BTreeMap<Member, MemberRemoval>,
     pub(crate) rng: Rng,
     pub(crate) next_position_at: Duration,
     pub(crate) next_lease_request_at: Duration,
@@ -139,25 +139,25 @@
     pub(crate) relay_leases: Option<RelayLeases>,
 }
 
-impl<H: Hand> Revisions<H> {
+impl<H: Signer> Revisions<H> {
     /// Creates a member from its stored state, or else from its own file. `texts` are the stored texts that
     /// were found.
     pub fn new(
-        signer: H, config: Terms, own_text: Arc<[u8]>, stored: Option<Stored>, texts: Vec<Arc<[u8]>>,
-        now: Duration, seed: u64,
+        signer: H, config: MemberConfig, own_text: Arc<[u8]>, stored: Option<StoredState>,
+        texts: Vec<Arc<[u8]>>, now: Duration, seed: u64,
     ) -> Self {
-        let lease_duration = lease_for(signer.members().len());
-        let is_acceptor = signer.keepers().contains(&config.me);
-        let acceptor_state = stored.as_ref().and_then(|stored| stored.keeper.clone());
+        let lease_duration = lease_duration_for(signer.members().len());
+        let is_acceptor = signer.acceptors().contains(&config.local_id);
+        let acceptor_state = stored.as_ref().and_then(|stored| stored.acceptor.clone());
         let acceptor =
-            is_acceptor.then(|| acceptor_state.map_or_else(Keeper::recovering, Keeper::with_state));
+            is_acceptor.then(|| acceptor_state.map_or_else(Acceptor::recovering, Acceptor::with_state));
         let mut member = Self {
             unconfirmed: stored.as_ref().is_none_or(|stored| stored.unconfirmed),
             lease_duration,
             learner: Learner::default(),
             acceptor,
             granted_leases: GrantedLeases::new(now),
-            held_leases: HeldLeases::new(config.life),
+            held_leases: HeldLeases::new(config.incarnation),
             positions: BTreeMap::new(),
             texts: texts.into_iter().map(|text| (crate::digest(&text), text)).collect(),
             active: 0,
@@ -191,14 +191,14 @@
 
     /// Restores the stored state as far as it is complete: the active revision, and what was reported as
     /// prepared.
-    fn restore(&mut self, stored: Stored) {
+    fn restore(&mut self, stored: StoredState) {
         // The time of the report is not stored, so the grace period after it counts as over.
-        self.reported_prepared = (stored.told, Duration::ZERO);
-        self.removals = stored.gone.iter().map(|removal| (removal.member, *removal)).collect();
+        self.reported_prepared = (stored.reported_prepared, Duration::ZERO);
+        self.removals = stored.removals.iter().map(|removal| (removal.member, *removal)).collect();
         let is_usable = |texts: &BTreeMap<Digest, Arc<[u8]>>, signed: &Signed, check: &Check| {
             texts.get(&signed.head.text).is_some_and(|text| check(text).is_ok())
         };
-        if let Some(latest) = stored.top.filter(|latest| latest.holds(&self.signer)) {
+        if let Some(latest) = stored.latest.filter(|latest| latest.holds(&self.signer)) {
             if is_usable(&self.texts, &latest.signed, &self.config.check) {
                 self.prepared = Some(latest.number());
             }
@@ -219,13 +219,13 @@
     }
 
     /// The signer of this member.
-    pub fn hand(&self) -> &H {
+    pub fn signer(&self) -> &H {
         &self.signer
     }
 
     /// Replaces the ring. Acceptors that it adds or no longer lists count accordingly from now on.
-    pub fn take_hand(&mut self, signer: H) {
-        self.lease_duration = lease_for(signer.members().len());
+    pub fn replace_signer(&mut self, signer: H) {
+        self.lease_duration = lease_duration_for(signer.members().len());
         self.learner.revalidate_heads(self.accepted_digest(), &signer);
         let learner = &self.learner;
         self.proposal.take_if(|proposal| learner.head(&proposal.pushed.head.digest()).is_none());
@@ -234,11 +234,11 @@
 
     /// The digest that this acceptor accepted last, while its number is not certified.
     pub(crate) fn accepted_digest(&self) -> Option<Digest> {
-        self.acceptor.as_ref().and_then(|acceptor| acceptor.kept().accepted).map(|(_, digest)| digest)
+        self.acceptor.as_ref().and_then(|acceptor| acceptor.state().accepted).map(|(_, digest)| digest)
     }
 
     /// The length of a lease.
-    pub fn lease(&self) -> Duration {
+    pub fn lease_duration(&self) -> Duration {
         self.lease_duration
     }
 
@@ -263,7 +263,7 @@
     }
 
     /// The text with this digest, for other members that fetch it.
-    pub fn text_of(&self, text: &Digest) -> Option<&Arc<[u8]>> {
+    pub fn text_by_digest(&self, text: &Digest) -> Option<&Arc<[u8]>> {
         self.texts.get(text)
     }
 
@@ -279,34 +279,34 @@
     /// The revisions that are active and prepared, and whether the member is on hold. The caller evaluates it
     /// just before each decision that a revision governs, so that a process that was suspended for longer
     /// than its lease notices.
-    pub fn acting(&self, now: Duration) -> Acting {
+    pub fn active_revision(&self, now: Duration) -> ActiveRevision {
         let prepared = self.pending_prepared();
-        Acting { active: self.active, prepared, held: self.hold_reason(now) }
+        ActiveRevision { active: self.active, prepared, held: self.hold_reason(now) }
     }
 
-    fn hold_reason(&self, now: Duration) -> Option<Hold> {
-        if self.learner.may_act(&self.signer) && self.learner.number() > self.active {
-            return Some(Hold::Behind);
+    fn hold_reason(&self, now: Duration) -> Option<HoldReason> {
+        if self.learner.may_activate(&self.signer) && self.learner.number() > self.active {
+            return Some(HoldReason::Behind);
         }
-        if self.signer.keepers().is_empty() {
+        if self.signer.acceptors().is_empty() {
             return None;
         }
-        let until = self.held_leases.valid_until(self.signer.keepers().len(), self.lease_duration);
+        let until = self.held_leases.valid_until(self.signer.acceptors().len(), self.lease_duration);
         let leased = until.is_some_and(|until| now < until);
         if leased {
             return None;
         }
         if self.unconfirmed {
-            return Some(Hold::Unsure);
+            return Some(HoldReason::Unsure);
         }
         let pending = self.reported_prepared.0 > self.active;
         // Under `Wait` nobody can have activated a revision before this member reported it as prepared, so
         // for the length of a lease after that report no lease is needed.
-        let in_grace_period = self.config.regime == Regime::Wait
+        let in_grace_period = self.config.mode == ActivationMode::Wait
             && pending
             && now < self.reported_prepared.1 + self.lease_duration;
-        let needs_lease = self.config.regime == Regime::Hold || pending;
-        (needs_lease && !in_grace_period).then_some(Hold::NoLease)
+        let needs_lease = self.config.mode == ActivationMode::Hold || pending;
+        (needs_lease && !in_grace_period).then_some(HoldReason::NoLease)
     }
 
     /// What this member reports about itself to others.
@@ -323,51 +323,53 @@
 
     /// The longest time for which two members may have contradicting revisions active.
     pub fn bound(&self) -> Duration {
-        bound(self.lease_duration, self.config.late)
+        bound(self.lease_duration, self.config.activation_delay)
     }
 
     /// The state of this member, for its operator.
     pub fn status(&self, now: Duration) -> Status {
         Status {
-            acting: self.acting(now),
+            active_revision: self.active_revision(now),
             certified: self.learner.number(),
             digest: self.learner.digest(),
             bound: self.bound(),
-            lease_until: self.held_leases.valid_until(self.signer.keepers().len(), self.lease_duration),
+            lease_until: self.held_leases.valid_until(self.signer.acceptors().len(), self.lease_duration),
             waited_for: self.waited_for(now),
-            gone: self
+            removed: self
                 .removals
                 .values()
-                .filter(|removal| removal.gone)
+                .filter(|removal| removal.removed)
                 .map(|removal| removal.member)
                 .collect(),
-            keeper: self.acceptor.clone(),
+            acceptor: self.acceptor.clone(),
             positions: self.positions.clone(),
         }
     }
 
     /// Emits the state that must survive the process.
-    pub(crate) fn persist(&self, out: &mut Vec<Given>) {
-        let stored = Stored {
+    pub(crate) fn persist(&self, out: &mut Vec<MemberOutput>) {
+        let stored = StoredState {
             active: self.active,
             active_head: self.active_head,
-            told: self.reported_prepared.0,
-            top: self.learner.latest.clone(),
-            keeper: self
+            reported_prepared: self.reported_prepared.0,
+            latest: self.learner.latest.clone(),
+            acceptor: self
                 .acceptor
                 .as_ref()
-                .filter(|acceptor| !acceptor.is_asking())
-                .map(|acceptor| acceptor.kept().clone()),
-            gone: self.removals.values().copied().collect(),
+                .filter(|acceptor| !acceptor.is_recovering())
+                .map(|acceptor| acceptor.state().clone()),
+            removals: self.removals.values().copied().collect(),
             unconfirmed: self.unconfirmed,
             accepted_head: self.accepted_digest().and_then(|digest| self.learner.head(&digest).copied()),
         };
-        out.push(Given::Store(stored.write()));
+        out.push(MemberOutput::Store(stored.write()));
     }
 
     /// Takes an author's statement that a member is permanently removed, or is back. Returns whether it was
     /// new.
-    pub fn take_gone(&mut self, now: Duration, removal: Gone, out: &mut Vec<Given>) -> bool {
+    pub fn add_removal(
+        &mut self, now: Duration, removal: MemberRemoval, out: &mut Vec<MemberOutput>,
+    ) -> bool {
         let known = self
             .removals
             .get(&removal.member)
@@ -377,10 +379,10 @@
         }
         self.removals.insert(removal.member, removal);
         // Nobody waits for a removed member, so its active revision may be out of date.
-        self.unconfirmed |= removal.gone && removal.member == self.config.me;
+        self.unconfirmed |= removal.removed && removal.member == self.config.local_id;
         self.persist(out);
-        for keeper in self.signer.keepers().to_vec() {
-            self.send(now, keeper, Word::Gone(removal), out);
+        for acceptor in self.signer.acceptors().to_vec() {
+            self.send(now, acceptor, Message::Removal(removal), out);
         }
         self.grant_activation_if_ready(now, out);
         true
@@ -388,7 +390,7 @@
 
     /// Prepares the latest certified revision if its text is here: checks it, stores it and reports it to the
     /// acceptors.
-    pub(crate) fn prepare(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn prepare(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let Some(latest) = &self.learner.latest else { return };
         let (number, signed) = (latest.number(), latest.signed);
         let done = self.unusable == Some(number) || self.prepared >= Some(number);
@@ -401,16 +403,16 @@
         };
         if let Err(reason) = (self.config.check)(&text) {
             self.unusable = Some(number);
-            out.push(Given::Unfit(number, reason));
+            out.push(MemberOutput::Unusable(number, reason));
             return;
         }
         // The text must be durable before anybody relies on the report.
         let pending = self.reported_prepared.0 > self.active;
         self.reported_prepared = (number, if pending { self.reported_prepared.1 } else { now });
         self.prepared = Some(number);
-        out.push(Given::StoreText(signed.head.text, text));
+        out.push(MemberOutput::StoreText(signed.head.text, text));
         self.persist(out);
-        out.push(Given::Changed);
+        out.push(MemberOutput::Changed);
         (self.next_lease_request_at, self.lease_retry_interval) = (now, LEASE_RETRY_INTERVAL);
         self.use_short_interval(now);
         self.activate(now, out);
@@ -418,19 +420,19 @@
     }
 
     /// Activates the latest certified revision once a quorum of acceptors has granted its activation.
-    pub(crate) fn activate(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn activate(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let Some(latest) = self.learner.latest.as_ref().filter(|latest| latest.number() > self.active) else {
             return;
         };
         let ready = self.prepared == Some(latest.number());
-        if !ready || !self.learner.may_act(&self.signer) {
+        if !ready || !self.learner.may_activate(&self.signer) {
             return;
         }
         (self.active, self.active_head) = (latest.number(), Some(latest.signed));
         let in_use: Vec<Digest> = self.texts_in_use();
         self.texts.retain(|text, _| in_use.contains(text));
         self.persist(out);
-        out.push(Given::Changed);
+        out.push(MemberOutput::Changed);
         self.next_lease_request_at =
             self.next_lease_request_at.min(now + self.lease_duration / REQUESTS_PER_LEASE);
         self.use_short_interval(now);
@@ -456,15 +458,15 @@
     }
 
     /// Ends the unconfirmed state once a quorum of acceptors has granted leases.
-    pub(crate) fn confirm(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn confirm(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let leased = self
             .held_leases
-            .valid_until(self.signer.keepers().len(), self.lease_duration)
+            .valid_until(self.signer.acceptors().len(), self.lease_duration)
             .is_some_and(|until| now < until);
         if self.unconfirmed && leased {
             self.unconfirmed = false;
             self.persist(out);
-            out.push(Given::Changed);
+            out.push(MemberOutput::Changed);
         }
     }
 
@@ -476,7 +478,7 @@
     }
 
     /// Requests the missing text from a random member that has it, or else from an acceptor.
-    pub(crate) fn fetch_text(&mut self, now: Duration, out: &mut Vec<Given>) {
+    pub(crate) fn fetch_text(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
         let Some(signed) = self.missing_text() else { return };
         self.next_fetch_at = now + FETCH_RETRY_INTERVAL;
         let number = signed.head.number;
@@ -485,11 +487,16 @@
         let mut sources: Vec<Member> =
             self.positions.iter().filter(has_text).map(|(member, _)| *member).collect();
         if sources.is_empty() {
-            sources =
-                self.signer.keepers().iter().copied().filter(|keeper| *keeper != self.config.me).collect();
+            sources = self
+                .signer
+                .acceptors()
+                .iter()
+                .copied()
+                .filter(|acceptor| *acceptor != self.config.local_id)
+                .collect();
         }
         if let Some(source) = self.random_member(&sources) {
-            out.push(Given::Fetch(signed, source));
+            out.push(MemberOutput::Fetch(signed, source));
         }
     }
 
@@ -515,7 +522,7 @@
     /// # Errors
     /// If it is not the text that its head names; nothing has changed then.
     pub fn take_text(
-        &mut self, now: Duration, signed: &Signed, text: Arc<[u8]>, out: &mut Vec<Given>,
+        &mut self, now: Duration, signed: &Signed, text: Arc<[u8]>, out: &mut Vec<MemberOutput>,
     ) -> Result<(), crate::Refused> {
         signed.head.check_text(&text)?;
         self.cache_text(signed.head.text, text);
--- a/crates/revisions/src/word.rs
+++ b/crates/revisions/src/message.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
 
-use crate::lists::Told;
-use crate::{Ballot, Digest, Hand, Member, Number, Signature, Signed};
+use crate::lists::ListReport;
+use crate::{Ballot, Digest, Member, Number, Signature, Signed, Signer};
 
 const MAGIC: &[u8; 3] = b"rv1";
 const VOTE_DOMAIN: &[u8] = b"badgerledge vote 1";
@@ -30,7 +30,7 @@
 /// An acceptor's signed vote for a revision in a ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    pub keeper: Member,
+    pub acceptor: Member,
     pub number: Number,
     pub ballot: Ballot,
     pub digest: Digest,
@@ -40,8 +40,8 @@
 
 /// An acceptor's signed grant that a certified revision may be activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Go {
-    pub keeper: Member,
+pub struct ActivationGrant {
+    pub acceptor: Member,
     pub number: Number,
     pub digest: Digest,
     #[serde(with = "BigArray")]
@@ -51,12 +51,12 @@
 /// An author's signed statement that a member is permanently removed, or is back. Nobody waits for a removed
 /// member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct MemberRemoval {
     pub member: Member,
     /// Of two statements about a member the one with the higher sequence is valid.
     pub sequence: u32,
     /// Whether the member is removed.
-    pub gone: bool,
+    pub removed: bool,
     pub author: u16,
     #[serde(with = "BigArray")]
     pub signature: Signature,
@@ -64,11 +64,11 @@
 
 /// A message between members. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     Position(Position),
     Head(Signed),
     Vote(Vote),
-    Go(Go),
+    ActivationGrant(ActivationGrant),
     Prepare {
         number: Number,
         ballot: Ballot,
@@ -83,12 +83,12 @@
         ballot: Ballot,
         digest: Digest,
     },
-    Higher {
+    HigherBallot {
         number: Number,
         ballot: Ballot,
     },
     /// Requests a lease from an acceptor, and reports the member's position.
-    Ask {
+    LeaseRequest {
         nonce: u64,
         position: Position,
     },
@@ -98,20 +98,20 @@
         activation_granted: Number,
     },
     /// An acceptor that lost its disk asks what the others know.
-    Recall {
+    RecoveryRequest {
         nonce: u64,
     },
     /// The answer to it: the highest number that the sender may have taken part in.
-    Recalled {
+    RecoveryAnswer {
         nonce: u64,
         highest: Number,
     },
-    Gone(Gone),
+    Removal(MemberRemoval),
     /// Position of a member's list of streamers; not part of the revision protocol.
-    List(Told),
+    ListReport(ListReport),
     /// Requests a relay lease from an acceptor, and reports the member's position. `nonce` is that of the
-    /// [`Word::Ask`] sent at the same time; its upper half is the member's incarnation.
-    AskRelayLease {
+    /// [`Message::LeaseRequest`] sent at the same time; its upper half is the member's incarnation.
+    RelayLeaseRequest {
         nonce: u64,
         position: Position,
     },
@@ -122,12 +122,12 @@
         for_ms: u64,
     },
     /// This acceptor would grant the activation of all revisions up to this number, including exclusive ones.
-    Able {
+    ReadyToActivate {
         number: Number,
     },
 }
 
-impl Word {
+impl Message {
     /// The encoded message.
     pub fn write(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
@@ -154,52 +154,56 @@
 
 impl Vote {
     fn bytes(number: Number, ballot: Ballot, digest: &Digest) -> Vec<u8> {
-        let (round, proposer) = (ballot.round.to_be_bytes(), ballot.by.to_be_bytes());
+        let (round, proposer) = (ballot.round.to_be_bytes(), ballot.proposer.to_be_bytes());
         concat_domain(
             VOTE_DOMAIN,
-            &[&number.to_be_bytes(), &round, &proposer, &ballot.life.to_be_bytes(), digest],
+            &[&number.to_be_bytes(), &round, &proposer, &ballot.incarnation.to_be_bytes(), digest],
         )
     }
 
-    /// Signs a vote as acceptor `keeper`.
-    pub fn sign(signer: &impl Hand, keeper: Member, number: Number, ballot: Ballot, digest: Digest) -> Self {
+    /// Signs a vote as acceptor `acceptor`.
+    pub fn sign(
+        signer: &impl Signer, acceptor: Member, number: Number, ballot: Ballot, digest: Digest,
+    ) -> Self {
         let signature = signer.sign(&Self::bytes(number, ballot, &digest));
-        Self { keeper, number, ballot, digest, signature }
+        Self { acceptor, number, ballot, digest, signature }
     }
 
     /// Whether an acceptor of the ring signed it.
-    pub fn holds(&self, signer: &impl Hand) -> bool {
+    pub fn holds(&self, signer: &impl Signer) -> bool {
         let bytes = Self::bytes(self.number, self.ballot, &self.digest);
-        signer.keepers().contains(&self.keeper) && signer.by_member(self.keeper, &bytes, &self.signature)
+        signer.acceptors().contains(&self.acceptor)
+            && signer.verify_member(self.acceptor, &bytes, &self.signature)
     }
 }
 
-impl Go {
-    /// Signs an activation grant as acceptor `keeper`.
-    pub fn sign(signer: &impl Hand, keeper: Member, number: Number, digest: Digest) -> Self {
+impl ActivationGrant {
+    /// Signs an activation grant as acceptor `acceptor`.
+    pub fn sign(signer: &impl Signer, acceptor: Member, number: Number, digest: Digest) -> Self {
         let signature = signer.sign(&concat_domain(GRANT_DOMAIN, &[&number.to_be_bytes(), &digest]));
-        Self { keeper, number, digest, signature }
+        Self { acceptor, number, digest, signature }
     }
 
     /// Whether an acceptor of the ring signed it.
-    pub fn holds(&self, signer: &impl Hand) -> bool {
+    pub fn holds(&self, signer: &impl Signer) -> bool {
         let bytes = concat_domain(GRANT_DOMAIN, &[&self.number.to_be_bytes(), &self.digest]);
-        signer.keepers().contains(&self.keeper) && signer.by_member(self.keeper, &bytes, &self.signature)
+        signer.acceptors().contains(&self.acceptor)
+            && signer.verify_member(self.acceptor, &bytes, &self.signature)
     }
 }
 
-impl Gone {
+impl MemberRemoval {
     /// The bytes that its author signs.
     pub fn signed_bytes(&self) -> Vec<u8> {
         let (member, sequence) = (self.member.to_be_bytes(), self.sequence.to_be_bytes());
         concat_domain(
             REMOVAL_DOMAIN,
-            &[&member, &sequence, &[u8::from(self.gone)], &self.author.to_be_bytes()],
+            &[&member, &sequence, &[u8::from(self.removed)], &self.author.to_be_bytes()],
         )
     }
 
     /// Whether an author whose key is valid signed it.
-    pub fn holds(&self, signer: &impl Hand) -> bool {
-        signer.by_author(self.author, &self.signed_bytes(), &self.signature)
+    pub fn holds(&self, signer: &impl Signer) -> bool {
+        signer.verify_author(self.author, &self.signed_bytes(), &self.signature)
     }
 }
--- a/crates/revisions/src/relay_leases.rs
+++ b/crates/revisions/src/relay_leases.rs
@@ -1,5 +1,5 @@
 //! Relay leases: how long a member that can't reach the acceptors may go on vouching for its active revision,
-//! and how long an exclusive revision waits for it at most. Disabled unless [`Revisions::set_apart`] was
+//! and how long an exclusive revision waits for it at most. Disabled unless [`Revisions::enable_relay_leases`] was
 //! called. The safety argument is in `docs/distribution.md`, "Regions apart".
 //!
 //! Each member holds a long lease from a quorum of acceptors and renews it with its ordinary lease requests.
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use crate::lease::with_drift;
-use crate::member::{Given, Revisions};
-use crate::word::{Position, Word};
-use crate::{quorum, Hand, Keeper, Member, Number};
+use crate::member::{MemberOutput, Revisions};
+use crate::message::{Message, Position};
+use crate::{quorum, Acceptor, Member, Number, Signer};
 
 /// Maximum number of exclusive revisions that are recorded individually; once it is reached, all later ones
 /// count as exclusive.
@@ -136,16 +136,16 @@
     (nonce >> 32) as u32
 }
 
-impl<H: Hand> Revisions<H> {
+impl<H: Signer> Revisions<H> {
     /// Enables relay leases of this length: they are requested and granted from now on, and exclusive
     /// revisions wait for them. Revisions up to `classified_through` are of unknown kind and count as exclusive.
-    pub fn set_apart(&mut self, now: Duration, term: Duration, classified_through: Number) {
+    pub fn enable_relay_leases(&mut self, now: Duration, term: Duration, classified_through: Number) {
         self.relay_leases = (term > Duration::ZERO).then(|| RelayLeases::new(now, term, classified_through));
     }
 
     /// Called when the ring names other acceptors: earlier leases and readiness reports do not count towards
     /// their quorums.
-    pub fn keepers_changed(&mut self, now: Duration) {
+    pub fn acceptors_changed(&mut self, now: Duration) {
         if let Some(relay_leases) = &mut self.relay_leases {
             (relay_leases.started_at, relay_leases.granted, relay_leases.ready_through) =
                 (now, BTreeMap::new(), BTreeMap::new());
@@ -155,7 +155,7 @@
     /// Records whether a certified revision changes something on which two members must never disagree. The
     /// caller classifies the revisions in order, each before this member reports it as prepared; a revision
     /// that was skipped counts as exclusive.
-    pub fn judge(&mut self, number: Number, exclusive: bool) {
+    pub fn classify(&mut self, number: Number, exclusive: bool) {
         let active = self.active;
         if let Some(relay_leases) = &mut self.relay_leases {
             relay_leases.classify(number, exclusive, active);
@@ -165,9 +165,9 @@
     /// The revision that this member may currently vouch for to those that can't reach the acceptors.
     pub fn may_vouch(&self, now: Duration) -> Option<Number> {
         let relay_leases = self.relay_leases.as_ref()?;
-        let acceptors = self.signer.keepers();
+        let acceptors = self.signer.acceptors();
         let holds_lease =
-            |keeper: &&Member| relay_leases.held_until.get(keeper).is_some_and(|until| now < *until);
+            |acceptor: &&Member| relay_leases.held_until.get(acceptor).is_some_and(|until| now < *until);
         let has_quorum =
             !acceptors.is_empty() && acceptors.iter().filter(holds_lease).count() >= quorum(acceptors.len());
         let superseded = relay_leases.highest_exclusive(self.active, relay_leases.acknowledged).is_some();
@@ -193,49 +193,49 @@
     /// this acceptor.
     fn pending_exclusive(&self) -> Option<Number> {
         let granted_or_active =
-            self.acceptor.as_ref().map_or(0, |acceptor| acceptor.kept().activation_granted).max(self.active);
+            self.acceptor.as_ref().map_or(0, |acceptor| acceptor.state().activation_granted).max(self.active);
         self.relay_leases.as_ref()?.highest_exclusive(granted_or_active, self.learner.number())
     }
 
     /// Whether a quorum of acceptors is ready to grant the activation of all pending exclusive revisions. If
     /// one acceptor granted it alone, neither the old nor the new revision would have a quorum of grants for
     /// as long as the others wait.
-    pub(crate) fn quorum_is_ready(&mut self, now: Duration, out: &mut Vec<Given>) -> bool {
+    pub(crate) fn quorum_is_ready(&mut self, now: Duration, out: &mut Vec<MemberOutput>) -> bool {
         let Some(exclusive) = self.pending_exclusive() else { return true };
-        let (me, number) = (self.config.me, self.learner.number());
+        let (local_id, number) = (self.config.local_id, self.learner.number());
         let Some(relay_leases) = &mut self.relay_leases else { return true };
-        let reported = relay_leases.ready_through.insert(me, number);
+        let reported = relay_leases.ready_through.insert(local_id, number);
         if reported != Some(number) {
             self.send_readiness(now, number, out);
         }
         let Some(relay_leases) = &self.relay_leases else { return true };
-        let grants = self.learner.latest.iter().flat_map(|latest| &latest.goes);
-        let granted_by: BTreeSet<Member> = grants.map(|grant| grant.keeper).collect();
-        let acceptors = self.signer.keepers();
-        let is_ready = |keeper: &&Member| {
-            granted_by.contains(keeper)
+        let grants = self.learner.latest.iter().flat_map(|latest| &latest.activation_grants);
+        let granted_by: BTreeSet<Member> = grants.map(|grant| grant.acceptor).collect();
+        let acceptors = self.signer.acceptors();
+        let is_ready = |acceptor: &&Member| {
+            granted_by.contains(acceptor)
                 || relay_leases
                     .ready_through
-                    .get(keeper)
+                    .get(acceptor)
                     .is_some_and(|ready_through| *ready_through >= exclusive)
         };
         acceptors.iter().filter(is_ready).count() >= quorum(acceptors.len())
     }
 
-    fn send_readiness(&mut self, now: Duration, number: Number, out: &mut Vec<Given>) {
-        let me = self.config.me;
-        for keeper in self.signer.keepers().to_vec() {
-            if keeper != me {
-                self.send(now, keeper, Word::Able { number }, out);
+    fn send_readiness(&mut self, now: Duration, number: Number, out: &mut Vec<MemberOutput>) {
+        let local_id = self.config.local_id;
+        for acceptor in self.signer.acceptors().to_vec() {
+            if acceptor != local_id {
+                self.send(now, acceptor, Message::ReadyToActivate { number }, out);
             }
         }
     }
 
     /// Repeats this acceptor's readiness report while it waits for other acceptors.
-    pub(crate) fn resend_readiness(&mut self, now: Duration, out: &mut Vec<Given>) {
-        let (me, number) = (self.config.me, self.learner.number());
+    pub(crate) fn resend_readiness(&mut self, now: Duration, out: &mut Vec<MemberOutput>) {
+        let (local_id, number) = (self.config.local_id, self.learner.number());
         let is_ready =
-            self.relay_leases.as_ref().and_then(|relay_leases| relay_leases.ready_through.get(&me))
+            self.relay_leases.as_ref().and_then(|relay_leases| relay_leases.ready_through.get(&local_id))
                 == Some(&number);
         if is_ready && self.pending_exclusive().is_some() {
             self.send_readiness(now, number, out);
@@ -244,9 +244,9 @@
 
     /// Handles another acceptor's readiness report.
     pub(crate) fn handle_readiness(
-        &mut self, now: Duration, from: Member, number: Number, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, number: Number, out: &mut Vec<MemberOutput>,
     ) {
-        if !self.signer.keepers().contains(&from) {
+        if !self.signer.acceptors().contains(&from) {
             return;
         }
         if let Some(relay_leases) = &mut self.relay_leases {
@@ -259,7 +259,7 @@
     /// Requests relay leases from acceptors, with the nonce of the ordinary lease request that is sent at the
     /// same time.
     pub(crate) fn request_relay_leases(
-        &mut self, now: Duration, nonce: u64, acceptors: &[Member], out: &mut Vec<Given>,
+        &mut self, now: Duration, nonce: u64, acceptors: &[Member], out: &mut Vec<MemberOutput>,
     ) {
         let position = self.position(now);
         let Some(relay_leases) = &mut self.relay_leases else { return };
@@ -267,21 +267,23 @@
             relay_leases.acknowledged = relay_leases.acknowledged.max(position.certified);
         }
         for acceptor in acceptors {
-            self.send(now, *acceptor, Word::AskRelayLease { nonce, position }, out);
+            self.send(now, *acceptor, Message::RelayLeaseRequest { nonce, position }, out);
         }
     }
 
     /// Handles a member's request for a relay lease.
     pub(crate) fn handle_relay_lease_request(
-        &mut self, now: Duration, from: Member, nonce: u64, their_position: Position, out: &mut Vec<Given>,
+        &mut self, now: Duration, from: Member, nonce: u64, their_position: Position,
+        out: &mut Vec<MemberOutput>,
     ) {
         let pending = self.pending_exclusive();
         let granted_through = self
             .acceptor
             .as_ref()
-            .filter(|acceptor| !acceptor.is_asking())
-            .map(|acceptor| acceptor.kept().activation_granted);
-        let granted_through = granted_through.filter(|_| self.signer.keepers().contains(&self.config.me));
+            .filter(|acceptor| !acceptor.is_recovering())
+            .map(|acceptor| acceptor.state().activation_granted);
+        let granted_through =
+            granted_through.filter(|_| self.signer.acceptors().contains(&self.config.local_id));
         let (Some(activation_granted), Some(relay_leases)) = (granted_through, &mut self.relay_leases) else {
             return;
         };
@@ -293,7 +295,7 @@
             relay_leases.record_request(now, from, (incarnation_of(nonce), prepared), outdated);
         } else if relay_leases.record_request(now, from, (incarnation_of(nonce), prepared), pending) {
             let for_ms = relay_leases.term.as_millis() as u64;
-            self.send(now, from, Word::RelayLease { nonce, activation_granted, for_ms }, out);
+            self.send(now, from, Message::RelayLease { nonce, activation_granted, for_ms }, out);
         }
         self.grant_activation_if_ready(now, out);
     }
@@ -303,7 +305,7 @@
         &mut self, from: Member, nonce: u64, activation_granted: Number, for_ms: u64,
     ) {
         let requested_at = self.held_leases.request_time(nonce);
-        let is_valid = self.signer.keepers().contains(&from) && activation_granted <= self.active;
+        let is_valid = self.signer.acceptors().contains(&from) && activation_granted <= self.active;
         let (Some(requested_at), Some(relay_leases)) =
             (requested_at.filter(|_| is_valid), &mut self.relay_leases)
         else {
@@ -316,7 +318,7 @@
 
     /// Whether this acceptor still has to wait for a member's relay lease.
     pub(crate) fn awaits_relay_lease(&self, now: Duration, member: Member) -> bool {
-        self.acceptor.as_ref().is_some_and(|acceptor: &Keeper| !acceptor.is_asking())
+        self.acceptor.as_ref().is_some_and(|acceptor: &Acceptor| !acceptor.is_recovering())
             && self.remaining_relay_lease(now, member).is_some()
     }
 }
--- a/crates/revisions/src/order.rs
+++ b/crates/revisions/src/requests.rs
@@ -4,19 +4,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::word::Gone;
-use crate::{Member, Number, Signed, LONGEST_TEXT};
+use crate::message::MemberRemoval;
+use crate::{Member, Number, Signed, MAX_TEXT_BYTES};
 
 /// Maximum length of a line in bytes.
-pub const LONGEST_LINE: usize = 64 * 1024;
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Maximum number of bytes of a text in one response. It bounds the memory that a slow or vanished reader can
 /// occupy.
-pub const PIECE: usize = 256 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 256 * 1024;
 
 /// A request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
-pub enum Order {
+pub enum Request {
     /// Part of the text with this digest, beginning at byte `from`; the response says how many bytes follow
     /// it.
     Text {
@@ -42,7 +42,7 @@
 /// A response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum Response {
     /// This number of bytes follows.
     Bytes(usize),
     Taken,
@@ -80,14 +80,14 @@
 }
 
 /// Decodes a head; `None` unless its number and length are valid.
-pub fn head_of(text: &str) -> Option<Signed> {
+pub fn decode_head(text: &str) -> Option<Signed> {
     let signed: Signed = postcard::from_bytes(&hex::decode(text).ok()?).ok()?;
     let head = &signed.head;
-    (head.number > 0 && head.length as usize <= LONGEST_TEXT).then_some(signed)
+    (head.number > 0 && head.length as usize <= MAX_TEXT_BYTES).then_some(signed)
 }
 
 /// Decodes a removal.
-pub fn gone_of(text: &str) -> Option<Gone> {
+pub fn decode_removal(text: &str) -> Option<MemberRemoval> {
     postcard::from_bytes(&hex::decode(text).ok()?).ok()
 }
 
@@ -96,9 +96,9 @@
 ///
 /// # Errors
 /// If the line is too long, or is not a valid request or response.
-pub fn line<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<Option<(T, usize)>, String> {
+pub fn parse_line<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<Option<(T, usize)>, String> {
     match bytes.iter().position(|byte| *byte == b'\n') {
-        None if bytes.len() > LONGEST_LINE => Err(format!("a line of over {LONGEST_LINE} bytes")),
+        None if bytes.len() > MAX_LINE_BYTES => Err(format!("a line of over {MAX_LINE_BYTES} bytes")),
         None => Ok(None),
         Some(end) => serde_json::from_slice(&bytes[..end])
             .map(|value| Some((value, end + 1)))
@@ -107,7 +107,7 @@
 }
 
 /// Encodes a request or response as a line.
-pub fn write(value: &impl Serialize) -> Vec<u8> {
+pub fn encode_line(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = serde_json::to_vec(value).unwrap_or_default();
     bytes.push(b'\n');
     bytes
--- a/crates/revisions/src/tests/exhaustive.rs
+++ b/crates/revisions/src/tests/exhaustive.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, HashSet};
 
 use crate::acceptor::Reply;
-use crate::{Ballot, Digest, Keeper, Kept, Number};
+use crate::{Acceptor, AcceptorState, Ballot, Digest, Number};
 
 const ACCEPTORS: usize = 3;
 
@@ -21,7 +21,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    keepers: Vec<Keeper>,
+    acceptors: Vec<Acceptor>,
     /// Of each proposer: its current round, the promises received in it, and the text it chose.
     proposers: Vec<(u32, Vec<Promise>, Option<u8>)>,
     messages: BTreeSet<Message>,
@@ -34,8 +34,8 @@
     [text; 32]
 }
 
-fn ballot(round: u32, by: usize) -> Ballot {
-    Ballot { round, by: by as u16, life: 1 }
+fn ballot(round: u32, proposer: usize) -> Ballot {
+    Ballot { round, proposer: proposer as u16, incarnation: 1 }
 }
 
 fn two_texts_certified(votes: &BTreeSet<(usize, Ballot, u8)>) -> bool {
@@ -58,23 +58,25 @@
         let mut state = state.clone();
         let round = proposer.0 + 1;
         state.proposers[index] = (round, Vec::new(), None);
-        state.messages.extend((0..ACCEPTORS).map(|keeper| Message::Prepare(keeper, ballot(round, index))));
+        state
+            .messages
+            .extend((0..ACCEPTORS).map(|acceptor| Message::Prepare(acceptor, ballot(round, index))));
         all.push(state);
     }
     if !state.disk_lost {
-        for keeper in 0..ACCEPTORS {
+        for acceptor in 0..ACCEPTORS {
             let mut state = state.clone();
             state.disk_lost = true;
-            let others = state.keepers.iter().enumerate().filter(|(other, _)| *other != keeper);
+            let others = state.acceptors.iter().enumerate().filter(|(other, _)| *other != acceptor);
             let answers: Vec<_> = others
                 .filter_map(|(other, acceptor)| Some((other as u16, acceptor.highest_involved()?)))
                 .collect();
-            let fresh = Keeper::with_state(Kept { number: NUMBER, ..Kept::default() });
-            state.keepers[keeper] = if acceptors_forget { fresh } else { Keeper::recovering() };
+            let fresh = Acceptor::with_state(AcceptorState { number: NUMBER, ..AcceptorState::default() });
+            state.acceptors[acceptor] = if acceptors_forget { fresh } else { Acceptor::recovering() };
             for (from, highest) in answers {
-                state.keepers[keeper].add_recovery_answer(from, highest, ACCEPTORS);
+                state.acceptors[acceptor].add_recovery_answer(from, highest, ACCEPTORS);
             }
-            state.keepers[keeper].on_certified(NUMBER - 1);
+            state.acceptors[acceptor].on_certified(NUMBER - 1);
             all.push(state);
         }
     }
@@ -89,29 +91,31 @@
 
 fn deliver(state: &mut State, message: Message) {
     match message {
-        Message::Prepare(keeper, ballot) => {
-            if let Some(Reply::Promise { accepted, .. }) = state.keepers[keeper].prepare(NUMBER, ballot) {
+        Message::Prepare(acceptor, ballot) => {
+            if let Some(Reply::Promise { accepted, .. }) = state.acceptors[acceptor].prepare(NUMBER, ballot) {
                 let accepted = accepted.map(|(ballot, digest)| (ballot, digest[0]));
-                state.messages.insert(Message::Promise(keeper, ballot, accepted));
+                state.messages.insert(Message::Promise(acceptor, ballot, accepted));
             }
         }
-        Message::Promise(keeper, ballot, accepted) => {
-            let index = usize::from(ballot.by);
+        Message::Promise(acceptor, ballot, accepted) => {
+            let index = usize::from(ballot.proposer);
             let (round, promises, chosen) = &mut state.proposers[index];
             if *round != ballot.round || chosen.is_some() {
                 return;
             }
-            promises.push((keeper, accepted));
+            promises.push((acceptor, accepted));
             if promises.len() >= 2 {
                 let highest = promises.iter().filter_map(|promise| promise.1).max();
                 let text = highest.map_or(index as u8, |(_, text)| text);
                 *chosen = Some(text);
-                state.messages.extend((0..ACCEPTORS).map(|keeper| Message::Accept(keeper, ballot, text)));
+                state.messages.extend((0..ACCEPTORS).map(|acceptor| Message::Accept(acceptor, ballot, text)));
             }
         }
-        Message::Accept(keeper, ballot, text) => {
-            if let Some(Reply::Vote { .. }) = state.keepers[keeper].accept(NUMBER, ballot, digest_of(text)) {
-                state.votes.insert((keeper, ballot, text));
+        Message::Accept(acceptor, ballot, text) => {
+            if let Some(Reply::Vote { .. }) =
+                state.acceptors[acceptor].accept(NUMBER, ballot, digest_of(text))
+            {
+                state.votes.insert((acceptor, ballot, text));
             }
         }
     }
@@ -119,9 +123,9 @@
 
 /// Whether two texts can be certified, and how many states were visited.
 fn search(acceptors_forget: bool, max_states: usize) -> (bool, usize) {
-    let keeper = Keeper::with_state(Kept { number: NUMBER, ..Kept::default() });
+    let acceptor = Acceptor::with_state(AcceptorState { number: NUMBER, ..AcceptorState::default() });
     let first = State {
-        keepers: vec![keeper; ACCEPTORS],
+        acceptors: vec![acceptor; ACCEPTORS],
         proposers: vec![(0, Vec::new(), None); 2],
         messages: BTreeSet::new(),
         votes: BTreeSet::new(),
--- a/crates/revisions/src/tests/randomized.rs
+++ b/crates/revisions/src/tests/randomized.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::simulation::{Faults, Simulation};
-use crate::{Member, Regime};
+use crate::{ActivationMode, Member};
 
 fn secs(n: f64) -> Duration {
     Duration::from_secs_f64(n)
@@ -15,19 +15,19 @@
 /// One simulation. Returns the highest count of revisions certified with one number, the longest
 /// contradiction, the bound on it, and the number of revisions that became active.
 fn simulate(seed: u64, faults: Faults) -> (usize, Duration, Duration, usize) {
-    let (members, keepers) =
+    let (members, acceptors) =
         ([3, 5, 8][seed as usize % 3], [3, 5][seed as usize / 3 % 2].min(3 + seed as u16 % 3));
-    simulate_size(seed, members, keepers.min(members), faults)
+    simulate_size(seed, members, acceptors.min(members), faults)
 }
 
 /// The same for a given size. Durations are scaled with the lease, whatever the size.
 fn simulate_size(
-    seed: u64, members: Member, keepers: Member, faults: Faults,
+    seed: u64, members: Member, acceptors: Member, faults: Faults,
 ) -> (usize, Duration, Duration, usize) {
-    let regime = if seed.is_multiple_of(2) { Regime::Wait } else { Regime::Hold };
-    let mut sim = Simulation::new(members, keepers, regime, seed);
+    let mode = if seed.is_multiple_of(2) { ActivationMode::Wait } else { ActivationMode::Hold };
+    let mut sim = Simulation::new(members, acceptors, mode, seed);
     sim.faults = faults;
-    let time_scale = crate::lease_for(usize::from(members)).as_secs_f64() / 3.0;
+    let time_scale = crate::lease_duration_for(usize::from(members)).as_secs_f64() / 3.0;
     sim.run(sim.now + secs(3.0 * time_scale));
     for step in 0..7 {
         let member = (sim.rng.unit_interval() * f64::from(members)) as Member;
@@ -46,8 +46,9 @@
             7 => sim.stall(member, secs(6.0 * time_scale)),
             // Only one acceptor at a time is without its disk; the protocol does not tolerate more.
             8 => {
-                let others_know = (0..keepers).all(|keeper| {
-                    keeper == member || sim.keeper(keeper).is_some_and(|acceptor| !acceptor.is_asking())
+                let others_know = (0..acceptors).all(|acceptor| {
+                    acceptor == member
+                        || sim.acceptor(acceptor).is_some_and(|acceptor| !acceptor.is_recovering())
                 });
                 sim.kill(member, others_know);
                 sim.run(sim.now + secs(0.3));
@@ -74,11 +75,11 @@
 }
 
 /// Simulations of one size with the same checks.
-fn check_seeds(seeds: std::ops::Range<u64>, members: Member, keepers: Member) -> usize {
+fn check_seeds(seeds: std::ops::Range<u64>, members: Member, acceptors: Member) -> usize {
     let (mut worst, mut activated, runs) = (0.0f64, 0, seeds.end - seeds.start);
     for seed in seeds {
         let (max_certified, longest, bound, changes) =
-            simulate_size(seed, members, keepers, Faults::default());
+            simulate_size(seed, members, acceptors, Faults::default());
         assert!(
             max_certified <= 1,
             "{members} members, seed {seed}: {max_certified} certified with one number"
@@ -90,7 +91,7 @@
         worst = worst.max(longest.as_secs_f64() / bound.as_secs_f64());
         activated += changes - 1;
     }
-    println!("{members} members, {keepers} acceptors: {runs} runs, none failed, {activated} revisions activated, longest contradiction {worst:.2} of the bound");
+    println!("{members} members, {acceptors} acceptors: {runs} runs, none failed, {activated} revisions activated, longest contradiction {worst:.2} of the bound");
     activated
 }
 
@@ -148,7 +149,7 @@
 /// In a healthy fleet of a hundred members a change becomes active everywhere within seconds.
 #[test]
 fn a_push_becomes_active_on_all_of_a_hundred_members() {
-    let mut sim = Simulation::new(100, 3, Regime::Wait, 5);
+    let mut sim = Simulation::new(100, 3, ActivationMode::Wait, 5);
     sim.run(sim.now + secs(20.0));
     sim.push(7, 1, b"one");
     let started_at = sim.now;
@@ -183,7 +184,7 @@
         for loss in [0.0, 0.1, 0.3] {
             let (mut times, mut longest) = (Vec::new(), 0.0f64);
             for seed in 0..if members < 300 { 20 } else { 3 } {
-                let mut sim = Simulation::new(members, 3, Regime::Wait, seed);
+                let mut sim = Simulation::new(members, 3, ActivationMode::Wait, seed);
                 sim.run(sim.now + secs(30.0));
                 sim.loss = loss;
                 let (started_at, bound) = (sim.now, sim.bound());
--- a/crates/revisions/src/tests/simulation.rs
+++ b/crates/revisions/src/tests/simulation.rs
@@ -8,9 +8,12 @@
 
 use badgerledge_core::random::Rng;
 
-use crate::word::Word;
-use crate::{digest, Author, Digest, Given, Hand, Head, Keeper, Kept, Member, Number, Regime};
-use crate::{Revisions, Signature, Signed, Stored, Terms};
+use crate::message::Message;
+use crate::{
+    digest, Acceptor, AcceptorState, ActivationMode, Author, Digest, Head, Member, MemberOutput, Number,
+    Signer,
+};
+use crate::{MemberConfig, Revisions, Signature, Signed, StoredState};
 
 /// How long decisions may take to take effect.
 pub const ACTIVATION_DELAY: Duration = Duration::from_millis(20);
@@ -18,9 +21,9 @@
 /// Signs with a digest that anyone could compute; these tests cover honest members only.
 #[derive(Clone)]
 pub struct TestSigner {
-    pub me: Member,
+    pub local_id: Member,
     pub members: Rc<Vec<Member>>,
-    pub keepers: Rc<Vec<Member>>,
+    pub acceptors: Rc<Vec<Member>>,
     /// Authors whose keys were revoked.
     pub revoked: Rc<BTreeSet<Author>>,
 }
@@ -36,36 +39,36 @@
 /// Offset that keeps authors' signer numbers apart from those of members.
 pub const AUTHORS: u32 = 1 << 16;
 
-impl Hand for TestSigner {
+impl Signer for TestSigner {
     fn sign(&self, bytes: &[u8]) -> Signature {
-        test_signature(u32::from(self.me), bytes)
+        test_signature(u32::from(self.local_id), bytes)
     }
-    fn by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
         *signature == test_signature(u32::from(member), bytes)
     }
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        !self.revoked.contains(&author) && self.by_author_ever(author, bytes, signature)
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        !self.revoked.contains(&author) && self.verify_author_any_key(author, bytes, signature)
     }
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
         *signature == test_signature(AUTHORS + u32::from(author), bytes)
     }
     fn members(&self) -> &[Member] {
         &self.members
     }
-    fn keepers(&self) -> &[Member] {
-        &self.keepers
+    fn acceptors(&self) -> &[Member] {
+        &self.acceptors
     }
 }
 
 /// A head of this text, signed by an author.
-pub fn signed(number: Number, before: Digest, author: Author, text: &[u8]) -> Signed {
-    let head = Head::new(number, before, author, text);
+pub fn signed(number: Number, predecessor: Digest, author: Author, text: &[u8]) -> Signed {
+    let head = Head::new(number, predecessor, author, text);
     Signed { head, signature: test_signature(AUTHORS + u32::from(author), &head.signed_bytes()) }
 }
 
 #[derive(Default, Clone)]
 struct Disk {
-    stored: Option<Stored>,
+    stored: Option<StoredState>,
     texts: BTreeMap<Digest, Arc<[u8]>>,
 }
 
@@ -107,7 +110,7 @@
     pub faults: Faults,
     /// A member that can't activate a text.
     pub refuses: Option<(Member, Vec<u8>)>,
-    regime: Regime,
+    mode: ActivationMode,
     signer: TestSigner,
     events: BTreeMap<(Duration, u64), Event>,
     sequence: u64,
@@ -120,18 +123,18 @@
 }
 
 impl Simulation {
-    /// A fleet in which members `0..keepers` are acceptors; all members are started.
-    pub fn new(members: Member, keepers: Member, regime: Regime, seed: u64) -> Self {
+    /// A fleet in which members `0..acceptors` are acceptors; all members are started.
+    pub fn new(members: Member, acceptors: Member, mode: ActivationMode, seed: u64) -> Self {
         let signer = TestSigner {
-            me: 0,
+            local_id: 0,
             members: Rc::new((0..members).collect()),
-            keepers: Rc::new((0..keepers).collect()),
+            acceptors: Rc::new((0..acceptors).collect()),
             revoked: Rc::default(),
         };
-        let initial = Stored { keeper: Some(Kept::default()), ..Stored::default() };
+        let initial = StoredState { acceptor: Some(AcceptorState::default()), ..StoredState::default() };
         let node = |n: Member| Node {
             member: None,
-            disk: Disk { stored: (n < keepers).then(|| initial.clone()), texts: BTreeMap::new() },
+            disk: Disk { stored: (n < acceptors).then(|| initial.clone()), texts: BTreeMap::new() },
             incarnation: 0,
             stalled_until: Duration::ZERO,
             due: Duration::MAX,
@@ -146,7 +149,7 @@
             rng: Rng(seed),
             faults: Faults::default(),
             refuses: None,
-            regime,
+            mode,
             signer,
             events: BTreeMap::new(),
             sequence: 0,
@@ -160,7 +163,7 @@
 
     /// The bound that the members state.
     pub fn bound(&self) -> Duration {
-        crate::bound(crate::lease_for(self.nodes.len()), ACTIVATION_DELAY)
+        crate::bound(crate::lease_duration_for(self.nodes.len()), ACTIVATION_DELAY)
     }
 
     /// Starts a member with what is on its disk.
@@ -168,10 +171,10 @@
         let node = &mut self.nodes[usize::from(member_id)];
         node.incarnation += 1;
         let mut stored = node.disk.stored.clone();
-        let lost_state = self.signer.keepers.contains(&member_id)
-            && stored.as_ref().is_none_or(|stored| stored.keeper.is_none());
+        let lost_state = self.signer.acceptors.contains(&member_id)
+            && stored.as_ref().is_none_or(|stored| stored.acceptor.is_none());
         if lost_state && self.faults.acceptors_forget {
-            stored.get_or_insert_default().keeper = Some(Kept::default());
+            stored.get_or_insert_default().acceptor = Some(AcceptorState::default());
         }
         let unusable_text =
             self.refuses.clone().filter(|(member, _)| *member == member_id).map(|(_, text)| text);
@@ -179,14 +182,14 @@
             true => Err("a key that this build does not know".to_owned()),
             false => Ok(()),
         };
-        let config = Terms {
-            me: member_id,
-            life: node.incarnation,
-            regime: self.regime,
-            late: ACTIVATION_DELAY,
+        let config = MemberConfig {
+            local_id: member_id,
+            incarnation: node.incarnation,
+            mode: self.mode,
+            activation_delay: ACTIVATION_DELAY,
             check: Box::new(check),
         };
-        let signer = TestSigner { me: member_id, ..self.signer.clone() };
+        let signer = TestSigner { local_id: member_id, ..self.signer.clone() };
         let texts = node.disk.texts.values().cloned().collect();
         let seed = (self.rng.unit_interval() * 1e15) as u64;
         node.member =
@@ -207,7 +210,7 @@
 
     /// The signer of a member.
     pub fn signer_of(&self, member_id: Member) -> TestSigner {
-        TestSigner { me: member_id, ..self.signer.clone() }
+        TestSigner { local_id: member_id, ..self.signer.clone() }
     }
 
     /// Stops a member's processing for a time.
@@ -235,7 +238,8 @@
 
     /// Calls a member and carries out what it returns.
     pub fn with(
-        &mut self, member_id: Member, f: impl FnOnce(&mut Revisions<TestSigner>, Duration, &mut Vec<Given>),
+        &mut self, member_id: Member,
+        f: impl FnOnce(&mut Revisions<TestSigner>, Duration, &mut Vec<MemberOutput>),
     ) {
         let (now, mut out) = (self.now, Vec::new());
         let Some(member) = &mut self.nodes[usize::from(member_id)].member else { return };
@@ -245,24 +249,24 @@
         self.schedule(member_id);
     }
 
-    fn carry_out(&mut self, member_id: Member, out: Vec<Given>) {
+    fn carry_out(&mut self, member_id: Member, out: Vec<MemberOutput>) {
         for output in out {
             match output {
-                Given::Send(to, bytes) => self.send(member_id, to, &bytes),
-                Given::Store(bytes) => {
+                MemberOutput::Send(to, bytes) => self.send(member_id, to, &bytes),
+                MemberOutput::Store(bytes) => {
                     self.nodes[usize::from(member_id)].disk.stored =
-                        Some(Stored::read(&bytes).expect("valid stored state"));
+                        Some(StoredState::read(&bytes).expect("valid stored state"));
                 }
-                Given::StoreText(digest, text) => {
+                MemberOutput::StoreText(digest, text) => {
                     self.nodes[usize::from(member_id)].disk.texts.insert(digest, text);
                 }
-                Given::Fetch(signed, from) => {
+                MemberOutput::Fetch(signed, from) => {
                     if !self.cut.contains(&(member_id, from)) && !self.cut.contains(&(from, member_id)) {
                         let at = self.now + self.rng.random_duration(self.delay) * 4;
                         self.schedule_event(at, Event::Text(member_id, from, signed));
                     }
                 }
-                Given::Changed | Given::Unfit(..) => {}
+                MemberOutput::Changed | MemberOutput::Unusable(..) => {}
             }
         }
     }
@@ -285,12 +289,12 @@
         if number > 1 {
             self.certified.entry(number - 1).or_default().insert(digest);
         }
-        let acting = member.acting(self.now);
-        if acting.held.is_some() && !self.faults.ignore_leases {
+        let active_revision = member.active_revision(self.now);
+        if active_revision.held.is_some() && !self.faults.ignore_leases {
             return;
         }
-        self.activated_at.entry(acting.active).or_insert(self.now);
-        let newer_since = self.activated_at.range(acting.active + 1..).map(|(_, at)| *at).min();
+        self.activated_at.entry(active_revision.active).or_insert(self.now);
+        let newer_since = self.activated_at.range(active_revision.active + 1..).map(|(_, at)| *at).min();
         self.longest_contradiction = self
             .longest_contradiction
             .max(newer_since.map_or(Duration::ZERO, |at| self.now.saturating_sub(at)));
@@ -329,13 +333,13 @@
                 if incarnation >= *known {
                     *known = incarnation;
                     self.with(to, |member, now, out| {
-                        member.heard(now, from, Word::read(&bytes).expect("a valid message"), out);
+                        member.receive(now, from, Message::read(&bytes).expect("a valid message"), out);
                     });
                 }
             }
             Event::Text(to, from, signed) => {
                 let source = self.nodes[usize::from(from)].member.as_ref();
-                let text = source.and_then(|source| source.text_of(&signed.head.text).cloned());
+                let text = source.and_then(|source| source.text_by_digest(&signed.head.text).cloned());
                 if let Some(text) = text {
                     self.with(to, |member, now, out| {
                         member.take_text(now, &signed, text, out).expect("the text that the head names")
@@ -344,7 +348,7 @@
             }
             Event::Poll(member_id, incarnation) if incarnation == node.incarnation => {
                 node.due = Duration::MAX;
-                self.with(member_id, Revisions::tend);
+                self.with(member_id, Revisions::poll);
             }
             Event::Poll(..) => {}
         }
@@ -363,19 +367,20 @@
         let revoked = self.signer.revoked.iter().copied().chain([author]).collect();
         self.signer.revoked = Rc::new(revoked);
         for member_id in 0..self.nodes.len() as Member {
-            let signer = TestSigner { me: member_id, ..self.signer.clone() };
-            self.with(member_id, |member, _, _| member.take_hand(signer));
+            let signer = TestSigner { local_id: member_id, ..self.signer.clone() };
+            self.with(member_id, |member, _, _| member.replace_signer(signer));
         }
     }
 
     /// The active revisions of all running members.
     pub fn active(&self) -> Vec<Number> {
-        let acting = |node: &Node| node.member.as_ref().map(|member| member.acting(self.now).active);
-        self.nodes.iter().filter_map(acting).collect()
+        let active_revision =
+            |node: &Node| node.member.as_ref().map(|member| member.active_revision(self.now).active);
+        self.nodes.iter().filter_map(active_revision).collect()
     }
 
     /// The acceptor state of a member.
-    pub fn keeper(&self, member_id: Member) -> Option<Keeper> {
-        self.nodes[usize::from(member_id)].member.as_ref().and_then(|member| member.status(self.now).keeper)
+    pub fn acceptor(&self, member_id: Member) -> Option<Acceptor> {
+        self.nodes[usize::from(member_id)].member.as_ref().and_then(|member| member.status(self.now).acceptor)
     }
 }
--- a/crates/rollout/src/tests/conductors.rs
+++ b/crates/rollout/src/tests/conductors.rs
@@ -6,7 +6,7 @@
 use badgerledge_deployment::{Shared, SHARED_SECTIONS};
 use badgerledge_distribution::change::{admit, Change, History, Rejection};
 use badgerledge_distribution::state::{Entry, State};
-use badgerledge_distribution::{Hand, Signature};
+use badgerledge_distribution::{Signature, Signer};
 use badgerledge_settings::Sheet;
 
 use super::support::{report, rollout_at, spec, spec_of, PLAN};
@@ -329,23 +329,23 @@
 #[test]
 fn the_distribution_tier_takes_one_of_two_changes_from_one_state() {
     struct Anyone;
-    impl Hand for Anyone {
+    impl Signer for Anyone {
         fn sign(&self, _: &[u8]) -> Signature {
             [0; 64]
         }
-        fn by_member(&self, _: u16, _: &[u8], _: &Signature) -> bool {
+        fn verify_member(&self, _: u16, _: &[u8], _: &Signature) -> bool {
             true
         }
-        fn by_author(&self, _: u16, _: &[u8], _: &Signature) -> bool {
+        fn verify_author(&self, _: u16, _: &[u8], _: &Signature) -> bool {
             true
         }
-        fn by_author_ever(&self, _: u16, _: &[u8], _: &Signature) -> bool {
+        fn verify_author_any_key(&self, _: u16, _: &[u8], _: &Signature) -> bool {
             true
         }
         fn members(&self) -> &[u16] {
             &[]
         }
-        fn keepers(&self) -> &[u16] {
+        fn acceptors(&self) -> &[u16] {
             &[]
         }
     }
--- a/crates/scale/src/flat.rs
+++ b/crates/scale/src/flat.rs
@@ -11,8 +11,10 @@
 
 use badgerledge_core::random::Rng;
 use badgerledge_distribution::{Digest, MachineId, Number};
-use badgerledge_revisions::word::Word;
-use badgerledge_revisions::{digest, Given, Head, Kept, Regime, Revisions, Signed, Stored, Terms};
+use badgerledge_revisions::message::Message;
+use badgerledge_revisions::{
+    digest, AcceptorState, ActivationMode, Head, MemberConfig, MemberOutput, Revisions, Signed, StoredState,
+};
 use serde::Serialize;
 
 use crate::observations::{histogram, ActedOn};
@@ -122,9 +124,17 @@
         let mut chance = Rng(scenario.run.seed);
         chance.unit_interval();
         let seats = (0..count).map(|me| {
-            let stored =
-                Stored { keeper: hand.acceptors.contains(&me).then(Kept::default), ..Stored::default() };
-            let terms = Terms { me, life: 1, regime: Regime::Hold, late: LATE, check: Box::new(|_| Ok(())) };
+            let stored = StoredState {
+                acceptor: hand.acceptors.contains(&me).then(AcceptorState::default),
+                ..StoredState::default()
+            };
+            let terms = MemberConfig {
+                local_id: me,
+                incarnation: 1,
+                mode: ActivationMode::Hold,
+                activation_delay: LATE,
+                check: Box::new(|_| Ok(())),
+            };
             let hand = SimulatedHand { me, ..hand.clone() };
             let text: Arc<[u8]> = text_of(0, text_bytes).into();
             let seed = seed_of(&mut chance);
@@ -152,7 +162,7 @@
 
     /// Plays to the end, and gives the span over which bytes were counted.
     fn run(&mut self, scenario: &Scenario) -> Duration {
-        let lease = self.seats.first().map_or(Duration::ZERO, |seat| seat.member.lease());
+        let lease = self.seats.first().map_or(Duration::ZERO, |seat| seat.member.lease_duration());
         // Members have leases before the first change, and the last change has time to come into force.
         let load_from = START.max(lease);
         let load_until = load_from + Duration::from_secs_f64(scenario.run.duration_s);
@@ -180,13 +190,13 @@
         match event {
             Event::Word { from, to, bytes } => {
                 self.seats[usize::from(to)].bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
-                if let Some(word) = Word::read(&bytes) {
-                    self.with(to, |member, now, out| member.heard(now, from, word, out));
+                if let Some(word) = Message::read(&bytes) {
+                    self.with(to, |member, now, out| member.receive(now, from, word, out));
                 }
             }
             Event::Text { from, to, signed } => {
                 let holder = &self.seats[usize::from(from)].member;
-                let Some(text) = holder.text_of(&signed.head.text).cloned() else { return };
+                let Some(text) = holder.text_by_digest(&signed.head.text).cloned() else { return };
                 let bytes = wire_bytes(text.len());
                 self.seats[usize::from(from)].bytes += bytes;
                 self.seats[usize::from(to)].bytes += bytes;
@@ -199,7 +209,7 @@
                 let seat = &mut self.seats[usize::from(me)];
                 if seat.due <= self.now {
                     seat.due = Duration::MAX;
-                    self.with(me, |member, now, out| member.tend(now, out));
+                    self.with(me, |member, now, out| member.poll(now, out));
                 }
             }
             Event::Push(number) => self.push(number),
@@ -230,22 +240,26 @@
     }
 
     fn with(
-        &mut self, me: MachineId, call: impl FnOnce(&mut Revisions<SimulatedHand>, Duration, &mut Vec<Given>),
+        &mut self, me: MachineId,
+        call: impl FnOnce(&mut Revisions<SimulatedHand>, Duration, &mut Vec<MemberOutput>),
     ) {
         self.watch(me);
         let mut out = Vec::new();
         call(&mut self.seats[usize::from(me)].member, self.now, &mut out);
         for given in out {
             match given {
-                Given::Send(to, bytes) => self.send(me, to, bytes),
-                Given::Fetch(signed, from) => {
+                MemberOutput::Send(to, bytes) => self.send(me, to, bytes),
+                MemberOutput::Fetch(signed, from) => {
                     let (own, other) = (self.seats[usize::from(me)].zone, self.seats[usize::from(from)].zone);
                     let wait = self.paths.opening(own, other)
                         + self.paths.transit(own, other, 100)
                         + self.paths.transit(other, own, self.text_bytes);
                     self.queue.push(self.now + wait, Event::Text { from, to: me, signed });
                 }
-                Given::Store(_) | Given::StoreText(..) | Given::Changed | Given::Unfit(..) => {}
+                MemberOutput::Store(_)
+                | MemberOutput::StoreText(..)
+                | MemberOutput::Changed
+                | MemberOutput::Unusable(..) => {}
             }
         }
         self.watch(me);
@@ -269,7 +283,7 @@
 
     fn watch(&mut self, me: MachineId) {
         let seat = &mut self.seats[usize::from(me)];
-        let acting = seat.member.acting(self.now);
+        let acting = seat.member.active_revision(self.now);
         if acting.held.is_some() {
             return;
         }
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -15,7 +15,7 @@
 use badgerledge_distribution::watcher::{
     relay_order, StoreRequest, Stored, Watcher, WatcherConfig, WatcherOutput,
 };
-use badgerledge_distribution::{Author, ControllerId, Hand, MachineId, Number, Signature};
+use badgerledge_distribution::{Author, ControllerId, MachineId, Number, Signature, Signer};
 use badgerledge_keys::{Ring, Verifier};
 use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
 
@@ -41,24 +41,24 @@
 #[derive(Clone)]
 struct SharedVerifier(Rc<Verifier>);
 
-impl Hand for SharedVerifier {
+impl Signer for SharedVerifier {
     fn sign(&self, bytes: &[u8]) -> Signature {
         self.0.sign(bytes)
     }
-    fn by_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_member(member, bytes, signature)
+    fn verify_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_member(member, bytes, signature)
     }
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_author(author, bytes, signature)
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_author(author, bytes, signature)
     }
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_author_ever(author, bytes, signature)
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_author_any_key(author, bytes, signature)
     }
     fn members(&self) -> &[MachineId] {
         self.0.members()
     }
-    fn keepers(&self) -> &[MachineId] {
-        self.0.keepers()
+    fn acceptors(&self) -> &[MachineId] {
+        self.0.acceptors()
     }
 }
 
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -23,7 +23,7 @@
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{lease, ControllerId};
-use badgerledge_revisions::Kept;
+use badgerledge_revisions::AcceptorState;
 use serde::de::DeserializeOwned;
 
 use crate::figures::{Figures, Title};
@@ -189,7 +189,10 @@
     }
 
     fn machine_seat(&self, machine: u16) -> MachineSeat {
-        let founded = badgerledge_revisions::Stored { keeper: Some(Kept::default()), ..Default::default() };
+        let founded = badgerledge_revisions::StoredState {
+            acceptor: Some(AcceptorState::default()),
+            ..Default::default()
+        };
         let acceptor = self.hand.acceptors.contains(&machine);
         let agreement = acceptor.then(|| founded.write());
         MachineSeat {
--- a/crates/scale/src/simulation/hand.rs
+++ b/crates/scale/src/simulation/hand.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use badgerledge_distribution::{Author, Hand, MachineId, Signature};
+use badgerledge_distribution::{Author, MachineId, Signature, Signer};
 
 /// What Ed25519 takes here (`badgerledge-bench signatures`): a signature made, and one checked.
 pub const SIGN_COST: Duration = Duration::from_micros(36);
@@ -63,7 +63,7 @@
     }
 }
 
-impl Hand for SimulatedHand {
+impl Signer for SimulatedHand {
     fn sign(&self, bytes: &[u8]) -> Signature {
         let mut count = self.count.get();
         count.made += 1;
@@ -71,23 +71,23 @@
         seal(u32::from(self.me), bytes)
     }
 
-    fn by_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
         self.checked(u32::from(member), bytes, signature)
     }
 
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
         self.checked(AUTHORS + u32::from(author), bytes, signature)
     }
 
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.by_author(author, bytes, signature)
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.verify_author(author, bytes, signature)
     }
 
     fn members(&self) -> &[MachineId] {
         &self.machines
     }
 
-    fn keepers(&self) -> &[MachineId] {
+    fn acceptors(&self) -> &[MachineId] {
         &self.acceptors
     }
 }
--- a/fuzz/fuzz_targets/batch.rs
+++ b/fuzz/fuzz_targets/batch.rs
@@ -5,25 +5,25 @@
 
 use badgerledge_distribution::change::{Batch, History};
 use badgerledge_distribution::state::State;
-use badgerledge_distribution::{Author, Hand, MachineId, Signature};
+use badgerledge_distribution::{Author, Signer, MachineId, Signature};
 use libfuzzer_sys::fuzz_target;
 
 struct Credulous;
 
-impl Hand for Credulous {
+impl Signer for Credulous {
     fn sign(&self, _bytes: &[u8]) -> Signature {
         [0; 64]
     }
 
-    fn by_member(&self, _machine: MachineId, _bytes: &[u8], _signature: &Signature) -> bool {
+    fn verify_member(&self, _machine: MachineId, _bytes: &[u8], _signature: &Signature) -> bool {
         true
     }
 
-    fn by_author(&self, _author: Author, _bytes: &[u8], _signature: &Signature) -> bool {
+    fn verify_author(&self, _author: Author, _bytes: &[u8], _signature: &Signature) -> bool {
         true
     }
 
-    fn by_author_ever(&self, _author: Author, _bytes: &[u8], _signature: &Signature) -> bool {
+    fn verify_author_any_key(&self, _author: Author, _bytes: &[u8], _signature: &Signature) -> bool {
         true
     }
 
@@ -31,7 +31,7 @@
         &[0]
     }
 
-    fn keepers(&self) -> &[MachineId] {
+    fn acceptors(&self) -> &[MachineId] {
         &[0]
     }
 }
--- a/fuzz/fuzz_targets/revision.rs
+++ b/fuzz/fuzz_targets/revision.rs
@@ -2,19 +2,19 @@
 
 #![no_main]
 
-use badgerledge_revisions::order::{self, Answer, Order};
-use badgerledge_revisions::word::Word;
-use badgerledge_revisions::Stored;
+use badgerledge_revisions::requests::{self, Request, Response};
+use badgerledge_revisions::message::Message;
+use badgerledge_revisions::StoredState;
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
-    if let Some(word) = Word::read(bytes) {
-        assert_eq!(Word::read(&word.write()), Some(word));
+    if let Some(word) = Message::read(bytes) {
+        assert_eq!(Message::read(&word.write()), Some(word));
     }
-    let _ = Stored::read(bytes);
-    let _ = order::line::<Order>(bytes);
-    let _ = order::line::<Answer>(bytes);
+    let _ = StoredState::read(bytes);
+    let _ = requests::parse_line::<Request>(bytes);
+    let _ = requests::parse_line::<Response>(bytes);
     if let Ok(text) = std::str::from_utf8(bytes) {
-        let _ = (order::head_of(text), order::gone_of(text));
+        let _ = (requests::decode_head(text), requests::decode_removal(text));
     }
 });
