--- a/crates/distribution/src/change.rs
+++ b/crates/distribution/src/change.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 use crate::state::{Edit, State};
-use crate::{Author, Hand, Number, Signature};
+use crate::{Author, Number, Signature, Signer};
 
 pub use batch::{Batch, BatchFault, Built, Limits, Summary, LARGEST_BATCH, MOST_CHANGES, SUMMARY};
 pub use history::{History, MOST_KEYS};
--- a/crates/distribution/src/change/batch.rs
+++ b/crates/distribution/src/change/batch.rs
@@ -7,7 +7,7 @@
 
 use super::{admit, admit_certified, author_key, Change, ChangeId, History, Rejection};
 use crate::state::{Edit, State, StateFault};
-use crate::{digest, Digest, Hand, Number};
+use crate::{digest, Digest, Number, Signer};
 
 /// The maximum encoded length of a batch in bytes.
 pub const LARGEST_BATCH: usize = 256 * 1024;
--- a/crates/distribution/src/control/sequencer.rs
+++ b/crates/distribution/src/control/sequencer.rs
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use crate::change::{Built, Change, ChangeId, History, Rejection};
 use crate::control::batches::text_digest;
 use crate::control::ledger::Ledger;
 use crate::control::outcomes::Outcomes;
 use crate::control::state_check::{build_fitting, StateCheck};
-use crate::{Digest, Hand, MachineId, Number};
+use crate::{Digest, MachineId, Number, Signer};
 
 /// Changes that wait at most, and their bytes.
 const MOST_WAITING: usize = 2048;
@@ -74,7 +74,7 @@
 }
 
 /// What a batch is built on and judged by.
-pub(crate) struct BuildContext<'a, H: Hand> {
+pub(crate) struct BuildContext<'a, H: Signer> {
     pub ledger: &'a Ledger,
     pub outcomes: &'a Outcomes,
     pub hand: &'a H,
@@ -172,8 +172,8 @@
 
     /// Builds the next batch, if it is time, and tells what became of changes that need none.
     pub fn build(
-        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Hand>,
-        chance: &mut Chance,
+        &mut self, now: Duration, standing: &Standing, context: BuildContext<'_, impl Signer>,
+        chance: &mut Rng,
     ) -> (Option<Proposal>, Vec<Answer>) {
         let BuildContext { ledger, outcomes, hand, check } = context;
         self.forget_old(now);
@@ -181,7 +181,7 @@
         if !due || ledger.number() != standing.certified {
             return (None, Vec::new());
         }
-        self.patience = chance.span(YIELD);
+        self.patience = chance.random_duration(YIELD);
         let earlier = self.in_flight.take();
         let offered: BTreeSet<ChangeId> =
             earlier.iter().flat_map(|flight| &flight.changes).map(|waiting| waiting.change.id).collect();
--- a/crates/distribution/src/lease.rs
+++ b/crates/distribution/src/lease.rs
@@ -16,7 +16,7 @@
 use serde_big_array::BigArray;
 use thiserror::Error;
 
-use crate::{digest, quorum, ControllerId, Digest, Hand, MachineId, Number, Signature};
+use crate::{digest, quorum, ControllerId, Digest, MachineId, Number, Signature, Signer};
 
 /// The duration of a lease, counted by the watcher from when it drew the nonce.
 pub const LEASE: Duration = Duration::from_secs(6);
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -6,7 +6,7 @@
 //! | 3 | `bd1`, the protocol and its version |
 //! | rest | one message in `postcard`'s encoding |
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -37,7 +37,7 @@
 use crate::message::{ToRelay, ToWatcher};
 use crate::regional::RegionalProof;
 use crate::state::State;
-use crate::Hand;
+use crate::Signer;
 use lease_requests::LeaseRequests;
 use relay_connections::{ConnectionAction, Contradiction, DisconnectReason, RelayConnections, UpdateDemand};
 use revisions::{RevisionFault, Revisions};
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 use thiserror::Error;
 
 use super::stored::{Stored, StoredRevision};
@@ -10,7 +10,7 @@
 use crate::lease::MAX_GRANTS;
 use crate::state::{Edit, Entry, State, StateFault};
 use crate::transfer::{check_groups, PartRequest, Progress, Taken, Transfer, TransferFault};
-use crate::{quorum, Certified, Digest, Hand, MachineId, Number};
+use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 
 /// The number of votes, or of activation approvals, that a certificate may have: more than there are
 /// acceptors in any deployment.
--- a/crates/distribution/src/watcher/updates.rs
+++ b/crates/distribution/src/watcher/updates.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_revisions::word::Go;
+use badgerledge_revisions::message::ActivationGrant;
 
 use super::revisions::{check_snapshot, RevisionFault, Revisions, UpdateOutcome};
 use super::{RelayFault, StoredRevision, Watcher, WatcherOutput};
@@ -11,7 +11,7 @@
 use crate::message::ToRelay;
 use crate::state::Edit;
 use crate::transfer::PartRequest;
-use crate::{quorum, Certified, Digest, Hand, Number};
+use crate::{quorum, Certified, Digest, Number, Signer};
 
 /// The maximum length of a reason why a revision cannot be applied.
 const MAX_REASON_BYTES: usize = 1024;
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{bail, Context, Result};
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::{
     decode, encode, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
@@ -15,7 +15,7 @@
 use badgerledge_distribution::watcher::{
     relay_order, StoreRequest, Stored, Watcher, WatcherConfig, WatcherOutput,
 };
-use badgerledge_distribution::{Author, ControllerId, Hand, MachineId, Number, Signature};
+use badgerledge_distribution::{Author, ControllerId, MachineId, Number, Signature, Signer};
 use badgerledge_keys::{Ring, Verifier};
 use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
 
@@ -41,24 +41,24 @@
 #[derive(Clone)]
 struct SharedVerifier(Rc<Verifier>);
 
-impl Hand for SharedVerifier {
+impl Signer for SharedVerifier {
     fn sign(&self, bytes: &[u8]) -> Signature {
         self.0.sign(bytes)
     }
-    fn by_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_member(member, bytes, signature)
+    fn verify_member(&self, member: MachineId, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_member(member, bytes, signature)
     }
-    fn by_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_author(author, bytes, signature)
+    fn verify_author(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_author(author, bytes, signature)
     }
-    fn by_author_ever(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
-        self.0.by_author_ever(author, bytes, signature)
+    fn verify_author_any_key(&self, author: Author, bytes: &[u8], signature: &Signature) -> bool {
+        self.0.verify_author_any_key(author, bytes, signature)
     }
     fn members(&self) -> &[MachineId] {
         self.0.members()
     }
-    fn keepers(&self) -> &[MachineId] {
-        self.0.keepers()
+    fn acceptors(&self) -> &[MachineId] {
+        self.0.acceptors()
     }
 }
 
@@ -85,7 +85,7 @@
     /// The seat and the relay's place of a line.
     by_line: BTreeMap<Line, (usize, usize)>,
     seen: Observations,
-    chance: Chance,
+    chance: Rng,
     look_at: Duration,
     report_at: Duration,
     counting: bool,
@@ -117,8 +117,8 @@
         let hand = SharedVerifier(Rc::new(Verifier::new(ring)));
         let genesis = genesis(&settings.fleet, &settings.load)?;
         let now = reactor.now();
-        let mut chance = Chance(settings.seed);
-        chance.share();
+        let mut chance = Rng(settings.seed);
+        chance.unit_interval();
         let mut host = Self {
             resident_before: resident_bytes(std::process::id()),
             cpu_before: Duration::ZERO,
@@ -166,7 +166,7 @@
                 acts_on: None,
             });
             self.by_controller.insert(controller, place);
-            let at = now + self.chance.span(spread);
+            let at = now + self.chance.random_duration(spread);
             self.reactor.due(at, START + place as u64);
         }
         self.reactor.due(self.look_at, LOOK);
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -17,13 +17,13 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::decode;
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{lease, ControllerId};
-use badgerledge_revisions::Kept;
+use badgerledge_revisions::AcceptorState;
 use serde::de::DeserializeOwned;
 
 use crate::figures::{Figures, Title};
@@ -91,7 +91,7 @@
     timeline: Vec<crate::timeline::At>,
     genesis: State,
     hand: SimulatedHand,
-    chance: Chance,
+    chance: Rng,
     seen: Observations,
     memory_before: u64,
     show_progress: bool,
@@ -135,13 +135,13 @@
             timeline: timeline(scenario),
             genesis: genesis(fleet, &scenario.load)?,
             hand,
-            chance: Chance(seed),
+            chance: Rng(seed),
             seen: Observations::default(),
             memory_before: resident_bytes(std::process::id()),
             show_progress,
             scenario: scenario.clone(),
         };
-        simulation.chance.share();
+        simulation.chance.unit_interval();
         simulation.seat_all();
         Ok(simulation)
     }
@@ -171,7 +171,7 @@
                 cpu: Duration::ZERO,
                 acts_on: None,
             });
-            let at = self.chance.span(START_SPREAD);
+            let at = self.chance.random_duration(START_SPREAD);
             self.queue.push(at, Event::StartWatcher(controller, true));
         }
         for author in 0..self.scenario.load.at_once as u16 {
@@ -189,7 +189,10 @@
     }
 
     fn machine_seat(&self, machine: u16) -> MachineSeat {
-        let founded = badgerledge_revisions::Stored { keeper: Some(Kept::default()), ..Default::default() };
+        let founded = badgerledge_revisions::StoredState {
+            acceptor: Some(AcceptorState::default()),
+            ..Default::default()
+        };
         let acceptor = self.hand.acceptors.contains(&machine);
         let agreement = acceptor.then(|| founded.write());
         MachineSeat {
@@ -339,6 +342,7 @@
 }
 
 /// A seed for something else.
-pub fn seed_of(chance: &mut Chance) -> u64 {
-    (chance.share() * (1u64 << 32) as f64) as u64 ^ ((chance.share() * (1u64 << 32) as f64) as u64) << 32
+pub fn seed_of(chance: &mut Rng) -> u64 {
+    (chance.unit_interval() * (1u64 << 32) as f64) as u64
+        ^ ((chance.unit_interval() * (1u64 << 32) as f64) as u64) << 32
 }
