--- a/crates/distribution/src/change.rs
+++ b/crates/distribution/src/change.rs
@@ -101,13 +101,13 @@
     }
 
     /// Whether the author signed the change with a key that is not revoked.
-    pub fn is_signed(&self, signer: &impl Hand) -> bool {
-        signer.by_author(self.id.author, &self.signed_bytes(), &self.signature)
+    pub fn is_signed(&self, signer: &impl Signer) -> bool {
+        signer.verify_author(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
     /// Whether the author signed the change, with a current or a revoked key.
-    pub fn was_signed(&self, signer: &impl Hand) -> bool {
-        signer.by_author_ever(self.id.author, &self.signed_bytes(), &self.signature)
+    pub fn was_signed(&self, signer: &impl Signer) -> bool {
+        signer.verify_author_any_key(self.id.author, &self.signed_bytes(), &self.signature)
     }
 
     /// Checks that the edits are within bounds, and of distinct keys that authors may edit.
@@ -191,7 +191,7 @@
 /// # Errors
 /// The reason why it cannot.
 pub fn admit(
-    change: &Change, state: &State, history: &History, highest: Number, signer: &impl Hand,
+    change: &Change, state: &State, history: &History, highest: Number, signer: &impl Signer,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
     if !change.is_signed(signer) {
@@ -204,7 +204,7 @@
 /// The same check for a change in a certified batch. A key that was revoked later does not invalidate the
 /// change, and the acceptors that certified the batch have checked for conflicts.
 fn admit_certified(
-    change: &Change, state: &State, highest: Number, signer: &impl Hand,
+    change: &Change, state: &State, highest: Number, signer: &impl Signer,
 ) -> Result<(), Rejection> {
     change.check_edits()?;
     if !change.was_signed(signer) {
--- a/crates/distribution/src/change/batch.rs
+++ b/crates/distribution/src/change/batch.rs
@@ -99,7 +99,7 @@
     /// where one batch ends and the next begins: an author who changes a key again names the revision of the
     /// first change as its base.
     pub fn build(
-        number: Number, state: &State, history: &History, pending: Vec<Change>, signer: &impl Hand,
+        number: Number, state: &State, history: &History, pending: Vec<Change>, signer: &impl Signer,
         limits: Limits,
     ) -> Built {
         let max_bytes = limits.bytes.min(LARGEST_BATCH);
@@ -166,7 +166,7 @@
     /// # Errors
     /// If it is not the next batch of this state, or one of its changes is rejected.
     pub fn apply(
-        &self, state: &State, history: &History, signer: &impl Hand,
+        &self, state: &State, history: &History, signer: &impl Signer,
     ) -> Result<(State, Vec<Edit>), BatchFault> {
         let expected = history.top().saturating_add(1);
         if self.number != expected {
@@ -182,7 +182,7 @@
     /// # Errors
     /// As [`Batch::apply`].
     pub fn apply_certified(
-        &self, state: &State, signer: &impl Hand,
+        &self, state: &State, signer: &impl Signer,
     ) -> Result<(State, Vec<Edit>), BatchFault> {
         self.apply_with(state, |change, state, highest| admit_certified(change, state, highest, signer))
     }
--- a/crates/distribution/src/lease.rs
+++ b/crates/distribution/src/lease.rs
@@ -36,10 +36,10 @@
 /// Drawn for each request. Unpredictable, so that no grant over it can be obtained in advance.
 pub type Nonce = [u8; 16];
 
-/// The longest time for which two watchers may act on contradicting revisions. `action_delay` is the longest
+/// The longest time for which two watchers may act on contradicting revisions. `activation_delay` is the longest
 /// time from a decision until its messages are sent.
-pub fn bound(action_delay: Duration) -> Duration {
-    badgerledge_revisions::bound(LEASE, action_delay)
+pub fn bound(activation_delay: Duration) -> Duration {
+    badgerledge_revisions::bound(LEASE, activation_delay)
 }
 
 /// The leaf of the nonce of a watcher. It covers the number of the watcher, so that a grant for one watcher
@@ -125,15 +125,16 @@
     }
 
     /// Signs a grant as this acceptor.
-    pub fn sign(signer: &impl Hand, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
+    pub fn sign(signer: &impl Signer, acceptor: MachineId, root: Digest, allowed: Number) -> Self {
         let signature = signer.sign(&Self::signed_bytes(acceptor, &root, allowed));
         Self { acceptor, root, allowed, signature }
     }
 
     /// Whether an acceptor of the ring signed the grant.
-    pub fn holds(&self, signer: &impl Hand) -> bool {
+    pub fn holds(&self, signer: &impl Signer) -> bool {
         let bytes = Self::signed_bytes(self.acceptor, &self.root, self.allowed);
-        signer.keepers().contains(&self.acceptor) && signer.by_member(self.acceptor, &bytes, &self.signature)
+        signer.acceptors().contains(&self.acceptor)
+            && signer.verify_member(self.acceptor, &bytes, &self.signature)
     }
 }
 
@@ -177,7 +178,7 @@
     /// # Errors
     /// If no tree has the path, or too few acceptors granted.
     pub fn check(
-        &self, controller: ControllerId, active: Number, signer: &impl Hand,
+        &self, controller: ControllerId, active: Number, signer: &impl Signer,
     ) -> Result<(), LeaseFault> {
         let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
@@ -193,7 +194,7 @@
                 valid.push(grant);
             }
         }
-        let needed = quorum(signer.keepers().len());
+        let needed = quorum(signer.acceptors().len());
         let not_ahead = valid.iter().filter(|grant| grant.allowed <= active).count();
         if not_ahead >= needed {
             return Ok(());
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -72,7 +72,7 @@
     /// The entries of a bucket, in the order of their keys.
     Bucket { bucket: u16, entries: Vec<Entry> },
     /// A quorum of acceptors allows the activation of a certified revision.
-    Activate { number: Number, goes: Vec<Go> },
+    Activate { number: Number, goes: Vec<ActivationGrant> },
     /// A lease: the grants of acceptors over a tree of nonces, with the path from the nonce of the watcher.
     Lease(LeaseProof),
     /// The outcome of a change that was pushed on this connection.
--- a/crates/distribution/src/tests/lease.rs
+++ b/crates/distribution/src/tests/lease.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_bound_is_a_lease_on_the_slowest_clock_plus_the_action_delay() {
+fn the_bound_is_a_lease_on_the_slowest_clock_plus_the_activation_delay() {
     assert_eq!(LEASE, Duration::from_secs(6));
     assert_eq!(bound(Duration::from_millis(250)), Duration::from_millis(6060 + 250));
 }
--- a/crates/distribution/src/tests/message.rs
+++ b/crates/distribution/src/tests/message.rs
@@ -104,7 +104,7 @@
     let from_relay = [
         ("delta of 10 titles, certificate of 4 votes", delta((0..10).map(title).collect()), 1300),
         ("delta of 1 title, certificate of 4 votes", delta(vec![title(1)]), 750),
-        ("activation approvals of 4 acceptors", ToWatcher::Activate { number: 12, goes: goes.unwrap() }, 450),
+        ("activation grants of 4 acceptors", ToWatcher::Activate { number: 12, goes: goes.unwrap() }, 450),
         ("lease among 308 watchers, 4 grants", ToWatcher::Lease(lease_proof(308, 4)), 750),
     ];
     let from_watcher = [
--- a/crates/distribution/src/tests/watcher/harness.rs
+++ b/crates/distribution/src/tests/watcher/harness.rs
@@ -12,7 +12,7 @@
 
 pub const CONTROLLER: u32 = 7;
 /// The longest time from a decision until its messages are sent.
-pub const ACTION_DELAY: Duration = Duration::from_millis(250);
+pub const ACTIVATION_DELAY: Duration = Duration::from_millis(250);
 
 pub fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -39,7 +39,7 @@
         None => Ok(()),
     };
     let (check, nonce) = (Box::new(check), Box::new(nonce));
-    WatcherConfig { controller: CONTROLLER, relays, late: ACTION_DELAY, regional: false, check, nonce }
+    WatcherConfig { controller: CONTROLLER, relays, late: ACTIVATION_DELAY, regional: false, check, nonce }
 }
 
 /// A watcher with its clock and its disk.
@@ -207,7 +207,7 @@
     }
 }
 
-/// The activation approvals of a quorum for a version.
+/// The activation grants of a quorum for a version.
 pub fn activate(version: &Version) -> ToWatcher {
     ToWatcher::Activate { number: version.number(), goes: version.goes(a_quorum()) }
 }
--- a/crates/distribution/src/tests/watcher/lease_simulation.rs
+++ b/crates/distribution/src/tests/watcher/lease_simulation.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::super::certified::{edited, hand, Version, ACCEPTORS};
 use super::super::edits::put;
@@ -112,7 +112,7 @@
 /// A simulation of watchers, relays and acceptors.
 struct Simulation {
     now: Duration,
-    rng: Chance,
+    rng: Rng,
     disabled_rule: DisabledRule,
     watchers: Vec<SimulatedWatcher>,
     versions: Vec<Version>,
@@ -144,8 +144,8 @@
 
 impl Simulation {
     fn new(seed: u64, disabled_rule: DisabledRule) -> Self {
-        let mut rng = Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        (0..8).for_each(|_| assert!(rng.share() < 1.0));
+        let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        (0..8).for_each(|_| assert!(rng.unit_interval() < 1.0));
         let simulated = |clock_rate: f64| SimulatedWatcher {
             watcher: None,
             lease_model: LeaseModel::default(),
@@ -157,7 +157,7 @@
             is_open: [false; RELAY_COUNT],
         };
         // Within 0.5 % of true time: two clocks differ by at most 1 %.
-        let watchers = (0..WATCHER_COUNT).map(|_| simulated(0.995 + rng.share() * 0.0099)).collect();
+        let watchers = (0..WATCHER_COUNT).map(|_| simulated(0.995 + rng.unit_interval() * 0.0099)).collect();
         let mut simulation = Self {
             now: seconds(1000.0),
             rng,
@@ -180,11 +180,11 @@
     }
 
     fn with_probability(&mut self, probability: f64) -> bool {
-        self.rng.share() < probability
+        self.rng.unit_interval() < probability
     }
 
     fn random_index(&mut self, count: usize) -> usize {
-        ((self.rng.share() * count as f64) as usize).min(count - 1)
+        ((self.rng.unit_interval() * count as f64) as usize).min(count - 1)
     }
 
     /// The time on the clock of a watcher.
@@ -227,7 +227,7 @@
             match output {
                 WatcherOutput::Connect(relay) => {
                     self.close_connection(index, relay);
-                    let delay = self.rng.span(seconds(0.2));
+                    let delay = self.rng.random_duration(seconds(0.2));
                     self.schedule(delay, index, relay, Event::Opened);
                 }
                 WatcherOutput::Close(relay) => self.close_connection(index, relay),
@@ -239,7 +239,7 @@
                         });
                         lease_model.drawn_at.insert(nonce, now);
                     }
-                    let delay = self.rng.span(seconds(0.2));
+                    let delay = self.rng.random_duration(seconds(0.2));
                     self.schedule(delay, index, relay, Event::Request(message));
                 }
                 WatcherOutput::Store(StoreRequest::Replace(bytes)) => self.watchers[index].disk = bytes,
@@ -259,7 +259,7 @@
     fn send_after_random_delay(&mut self, index: usize, relay: usize, message: ToWatcher) {
         // Most messages arrive soon, a few much later.
         let max_delay_s = if self.with_probability(0.25) { 9.0 } else { 0.4 };
-        let delay = self.rng.span(seconds(max_delay_s));
+        let delay = self.rng.random_duration(seconds(max_delay_s));
         self.schedule(delay, index, relay, Event::Message(Box::new(message)));
     }
 
@@ -364,7 +364,7 @@
                     let state = watcher.prepared_state().unwrap_or(watcher.active_state());
                     (acting.prepared.unwrap_or(acting.active), state.root())
                 });
-                if let Some((held, root)) = known.filter(|_| self.rng.share() < 0.7) {
+                if let Some((held, root)) = known.filter(|_| self.rng.unit_interval() < 0.7) {
                     self.update(index, relay, held, root);
                 }
             }
@@ -375,7 +375,7 @@
                 self.allowed[acceptor] = self.versions.len() as Number;
             }
         }
-        self.send_approvals();
+        self.send_activation_grants();
         for relay in 0..RELAY_COUNT {
             if self.with_probability(0.2) {
                 self.run_grant_round(relay);
@@ -389,8 +389,8 @@
         (0..WATCHER_COUNT).flat_map(|index| (0..RELAY_COUNT).map(move |relay| (index, relay))).collect()
     }
 
-    /// Sends the activation approvals of a quorum to a random watcher.
-    fn send_approvals(&mut self) {
+    /// Sends the activation grants of a quorum to a random watcher.
+    fn send_activation_grants(&mut self) {
         let mut by_height = self.allowed.clone();
         by_height.sort_unstable_by(|a, b| b.cmp(a));
         let number = by_height[quorum(by_height.len()) - 1];
@@ -489,7 +489,7 @@
             self.schedule(Duration::ZERO, index, relay, Event::Closed);
         }
         if self.with_probability(0.004) {
-            self.watchers[index].paused_until = self.now + self.rng.span(seconds(8.0));
+            self.watchers[index].paused_until = self.now + self.rng.random_duration(seconds(8.0));
         }
         if self.with_probability(0.002) {
             if self.with_probability(0.3) {
--- a/crates/distribution/src/tests/watcher/revisions.rs
+++ b/crates/distribution/src/tests/watcher/revisions.rs
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn a_certificate_with_activation_approvals_activates() {
+fn a_certificate_with_activation_grants_activates() {
     let mut harness = Harness::with_serving_relay(2, 1);
     let (mut one, edits) = first_revision();
-    one.certificate.goes = one.goes(a_quorum());
+    one.certificate.activation_grants = one.goes(a_quorum());
     harness.receive(0, delta(&one, 0, &file_state(), &edits));
     assert_eq!(harness.numbers(), (1, None));
 }
 
 #[test]
-fn activation_approvals_without_a_quorum_are_refused() {
+fn activation_grants_without_a_quorum_are_refused() {
     let (one, edits) = first_revision();
     let other = version_of(1, one.state.clone(), 1);
     let mut forged = one.goes(a_quorum());
@@ -133,10 +133,10 @@
     assert_eq!((harness.numbers(), harness.hold_reason()), ((1, None), None));
 }
 
-/// Correct acceptors never certify two revisions with one number; approvals count only for the revision that
+/// Correct acceptors never certify two revisions with one number; activation grants count only for the revision that
 /// they name.
 #[test]
-fn activation_approvals_for_another_revision_with_that_number_do_not_count() {
+fn activation_grants_for_another_revision_with_that_number_do_not_count() {
     let mut harness = Harness::with_serving_relay(2, 1);
     let (one, edits) = first_revision();
     harness.receive(0, activate(&version_of(1, one.state.clone(), 1)));
@@ -330,7 +330,7 @@
         |message| forge_delta(message, |version, _| version.certificate.votes.clear()),
         |message| forge_delta(message, |version, _| version.certificate.votes.truncate(2)),
         |message| forge_delta(message, |version, _| version.certificate.votes[0].signature[0] ^= 1),
-        |message| forge_delta(message, |version, _| version.certificate.votes[0].keeper = 9),
+        |message| forge_delta(message, |version, _| version.certificate.votes[0].acceptor = 9),
         |message| {
             forge_delta(message, |version, _| version.certificate.votes[1] = version.certificate.votes[0])
         },
--- a/crates/distribution/src/tests/watcher/scripted_relays.rs
+++ b/crates/distribution/src/tests/watcher/scripted_relays.rs
@@ -32,8 +32,8 @@
     Stale(Number),
     /// It sends no revisions.
     Withholding,
-    /// It sends no activation approvals.
-    NoApprovals,
+    /// It sends no activation grants.
+    NoActivationGrants,
     /// It closes each connection after this many parts of snapshots.
     CutAfter(usize),
     /// Its deltas are on a base that does not exist.
@@ -44,8 +44,8 @@
     ForgedVote,
     /// Its deltas and buckets have an added entry.
     AddedEntry,
-    /// Its activation approvals are from too few acceptors.
-    TooFewApprovals,
+    /// Its activation grants are from too few acceptors.
+    TooFewActivationGrants,
     /// Its grants are signed by machines that are not acceptors.
     NonAcceptors,
     /// Its grants are over another tree of nonces.
@@ -142,7 +142,7 @@
         outputs
     }
 
-    /// The messages that it sends unsolicited: later revisions, activation approvals, and requested parts.
+    /// The messages that it sends unsolicited: later revisions, activation grants, and requested parts.
     pub fn send_news(&mut self, control_plane: &ControlPlane) -> Vec<RelayOutput> {
         let messages = if self.session.welcomed { self.pending_updates(control_plane) } else { Vec::new() };
         self.apply_behaviour(messages)
@@ -154,7 +154,7 @@
         let allowed = control_plane.allowed;
         if self.session.held >= allowed && self.session.activated < allowed {
             self.session.activated = allowed;
-            messages.extend(control_plane.version(allowed).map(|version| self.approvals(version)));
+            messages.extend(control_plane.version(allowed).map(|version| self.activation_grants(version)));
         }
         match self.behaviour {
             Behaviour::Withholding => Vec::new(),
@@ -162,8 +162,8 @@
         }
     }
 
-    fn approvals(&self, version: &Version) -> ToWatcher {
-        let acceptors = if self.behaviour == Behaviour::TooFewApprovals { 0..2 } else { a_quorum() };
+    fn activation_grants(&self, version: &Version) -> ToWatcher {
+        let acceptors = if self.behaviour == Behaviour::TooFewActivationGrants { 0..2 } else { a_quorum() };
         ToWatcher::Activate { number: version.number(), goes: version.goes(acceptors) }
     }
 
@@ -227,7 +227,7 @@
                 (ToWatcher::Bucket { entries, .. }, Behaviour::AddedEntry) => {
                     entries.push(super::super::edits::entry("added", b"1"));
                 }
-                (ToWatcher::Activate { .. }, Behaviour::NoApprovals) => continue,
+                (ToWatcher::Activate { .. }, Behaviour::NoActivationGrants) => continue,
                 (ToWatcher::Welcome { .. }, _) => {}
                 (_, Behaviour::Doubled) => outputs.push(RelayOutput::Message(Box::new(message.clone()))),
                 _ => {}
--- a/crates/distribution/src/tests/watcher/simulation.rs
+++ b/crates/distribution/src/tests/watcher/simulation.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 use super::super::certified::{hand, version};
 use super::super::edits::{put, titles};
@@ -40,7 +40,7 @@
     /// Events by time and sequence number, with the connection.
     events: BTreeMap<(Duration, u64), (u32, Event)>,
     sequence: u64,
-    rng: Chance,
+    rng: Rng,
     /// When the watcher first had a lease.
     first_leased_at: Option<Duration>,
     /// The longest period of withheld decisions since the first lease.
@@ -65,7 +65,7 @@
             control_plane: ControlPlane { versions: Vec::new(), allowed: 0 },
             events: BTreeMap::new(),
             sequence: 0,
-            rng: Chance(7),
+            rng: Rng(7),
             first_leased_at: None,
             longest_hold: Duration::ZERO,
             hold_since: None,
@@ -111,7 +111,7 @@
         for output in outputs {
             let latency = match behaviour {
                 Behaviour::Slow(added) => DELAY + added,
-                Behaviour::Shuffled => DELAY + self.rng.span(DELAY * 10),
+                Behaviour::Shuffled => DELAY + self.rng.random_duration(DELAY * 10),
                 _ => DELAY,
             };
             match output {
@@ -292,7 +292,7 @@
 #[test]
 fn a_relay_that_withholds_updates_is_replaced() {
     for behaviour in
-        [Behaviour::Stale(0), Behaviour::Stale(1), Behaviour::Withholding, Behaviour::NoApprovals]
+        [Behaviour::Stale(0), Behaviour::Stale(1), Behaviour::Withholding, Behaviour::NoActivationGrants]
     {
         let (simulation, longest) = run_three_changes(behaviour);
         assert!(longest <= DELAYED_DETECTION, "{behaviour:?} {longest:?}");
@@ -310,7 +310,7 @@
         Behaviour::Contradicting,
         Behaviour::ForgedVote,
         Behaviour::AddedEntry,
-        Behaviour::TooFewApprovals,
+        Behaviour::TooFewActivationGrants,
         Behaviour::NonAcceptors,
         Behaviour::OtherTree,
     ];
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -5,7 +5,7 @@
 //! |---|---|
 //! | `interface` | the types shared with the driver |
 //! | `revisions` | the stored revisions, and the verification of updates against certificates |
-//! | `updates` | handling of deltas, snapshots and activation approvals from relays |
+//! | `updates` | handling of deltas, snapshots and activation grants from relays |
 //! | `lease_requests` | open lease requests, and the lease that was granted |
 //! | `relay_connections` | selection of the serving relay, failover, failback and backoff |
 //! | `stored` | the state that survives a restart of the process |
@@ -78,7 +78,7 @@
     now: Duration,
 }
 
-impl<H: Hand> Watcher<H> {
+impl<H: Signer> Watcher<H> {
     /// Starts from the stored revisions, or else from `file_state`, the state of the program's own file.
     /// Stored revisions that this program cannot apply are ignored.
     pub fn new(
@@ -166,7 +166,9 @@
             ToWatcher::Bucket { bucket, entries } => {
                 self.handle_part(now, relay, out, |revisions| revisions.receive_bucket(bucket, entries))?;
             }
-            ToWatcher::Activate { number, goes } => self.handle_approvals(now, relay, number, &goes, out)?,
+            ToWatcher::Activate { number, goes } => {
+                self.handle_activation_grants(now, relay, number, &goes, out)?
+            }
             ToWatcher::Lease(proof) => self.handle_lease(now, relay, &proof, out)?,
             ToWatcher::RegionalLease(proof) if self.config.regional => {
                 self.handle_regional_lease(now, relay, &proof, out)?
--- a/crates/distribution/src/watcher/relay_connections.rs
+++ b/crates/distribution/src/watcher/relay_connections.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use thiserror::Error;
 
 use crate::lease::{LEASE, REQUESTS_IN_A_LEASE};
@@ -197,7 +197,7 @@
 /// The connections to all relays, by index in the order of preference.
 pub(super) struct RelayConnections {
     connections: Vec<RelayConnection>,
-    rng: Chance,
+    rng: Rng,
     /// The serving relay.
     serving: Option<usize>,
     /// The relay that is being tried.
@@ -218,8 +218,8 @@
 
 impl RelayConnections {
     pub fn new(relays: usize, seed: u64, now: Duration) -> Self {
-        let mut rng = Chance(seed);
-        let failback_jitter = rng.span(FAILBACK_JITTER);
+        let mut rng = Rng(seed);
+        let failback_jitter = rng.random_duration(FAILBACK_JITTER);
         Self {
             connections: vec![RelayConnection::new(now); relays],
             rng,
@@ -383,7 +383,7 @@
 
     /// Records that a relay is disconnected; the caller closes the connection.
     pub fn disconnect(&mut self, now: Duration, relay: usize, reason: DisconnectReason) {
-        let fraction = self.rng.share();
+        let fraction = self.rng.unit_interval();
         let Some(connection) = self.connections.get_mut(relay) else { return };
         connection.enter(now, Phase::Closed);
         connection.is_standby = matches!(reason, DisconnectReason::NoBetter | DisconnectReason::NotNeeded);
@@ -414,7 +414,7 @@
             }
         }
         if reason != DisconnectReason::NotNeeded {
-            let backoff = randomized_backoff(ATTEMPT_BACKOFF, self.failed_attempts, self.rng.share());
+            let backoff = randomized_backoff(ATTEMPT_BACKOFF, self.failed_attempts, self.rng.unit_interval());
             self.next_attempt = self.next_attempt.max(now + backoff);
             self.failed_attempts = self.failed_attempts.saturating_add(1);
         }
@@ -514,7 +514,7 @@
     fn start_serving(&mut self, now: Duration, relay: usize) {
         (self.serving, self.trying, self.failback_candidate) = (Some(relay), None, None);
         self.good_since = now;
-        self.failback_jitter = self.rng.span(FAILBACK_JITTER);
+        self.failback_jitter = self.rng.random_duration(FAILBACK_JITTER);
     }
 
     /// Evaluates the serving relay: after long good service a more preferred relay is tried, after bad
@@ -541,7 +541,7 @@
         }
         if self.failback_candidate.is_some_and(|next| next >= serving) {
             (self.good_since, self.failback_candidate) = (now, None);
-            self.failback_jitter = self.rng.span(FAILBACK_JITTER);
+            self.failback_jitter = self.rng.random_duration(FAILBACK_JITTER);
         }
     }
 
@@ -597,7 +597,7 @@
         let interval = LEASE / REQUESTS_IN_A_LEASE;
         for (relay, connection) in self.connections.iter_mut().enumerate() {
             if connection.is_open() && now >= connection.next_lease_request {
-                connection.next_lease_request = now + interval.mul_f64(1.0 - self.rng.share() / 10.0);
+                connection.next_lease_request = now + interval.mul_f64(1.0 - self.rng.unit_interval() / 10.0);
                 actions.push(ConnectionAction::RequestLease(relay));
             }
         }
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -12,7 +12,7 @@
 use crate::transfer::{check_groups, PartRequest, Progress, Taken, Transfer, TransferFault};
 use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 
-/// The number of votes, or of activation approvals, that a certificate may have: more than there are
+/// The number of votes, or of activation grants, that a certificate may have: more than there are
 /// acceptors in any deployment.
 const MAX_VOTES: usize = MAX_GRANTS;
 
@@ -147,7 +147,7 @@
     /// Verifies a certified revision that is sent as edits of the state of another one.
     pub fn apply_delta(
         &mut self, certificate: Certified, summary: Summary, base: (Number, Digest), edits: &[Edit],
-        signer: &impl Hand,
+        signer: &impl Signer,
     ) -> Result<UpdateOutcome, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
@@ -195,7 +195,7 @@
     /// Verifies the offer of a certified snapshot and makes it the target of the transfer. Parts that were
     /// fetched for earlier snapshots are kept.
     pub fn begin_snapshot(
-        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], signer: &impl Hand,
+        &mut self, certificate: Certified, summary: Summary, groups: &[Digest], signer: &impl Signer,
     ) -> Result<UpdateOutcome, RevisionFault> {
         let number = certificate.number();
         if number <= self.held() {
@@ -275,14 +275,15 @@
     /// Records that acceptors allow the activation of a revision.
     ///
     /// # Errors
-    /// If no quorum of them does, or their approvals name another revision with the number of the held one.
+    /// If no quorum of them does, or their activation grants name another revision with the number of the held one.
     pub fn allow_activation(
-        &mut self, number: Number, approvals: &[Go], signer: &impl Hand,
+        &mut self, number: Number, activation_grants: &[ActivationGrant], signer: &impl Signer,
     ) -> Result<(), RevisionFault> {
         if number <= self.allowed.number.max(self.active()) {
             return Ok(());
         }
-        let digest = allowed_digest(number, approvals, signer).ok_or(RevisionFault::NotAllowed(number))?;
+        let digest =
+            allowed_digest(number, activation_grants, signer).ok_or(RevisionFault::NotAllowed(number))?;
         if self.received.as_ref().is_some_and(|received| {
             received.revision.number() == number && received.revision.certificate.digest() != digest
         }) {
@@ -311,7 +312,7 @@
 /// # Errors
 /// If it is not.
 pub(super) fn check_snapshot(
-    certificate: &Certified, summary: &Summary, groups: &[Digest], signer: &impl Hand,
+    certificate: &Certified, summary: &Summary, groups: &[Digest], signer: &impl Signer,
 ) -> Result<(), RevisionFault> {
     check_certificate(certificate, summary, signer)?;
     let fault = |fault| RevisionFault::Transfer(certificate.number(), fault);
@@ -320,13 +321,14 @@
 
 /// Checks the summary and the votes of a certificate.
 fn check_certificate(
-    certificate: &Certified, summary: &Summary, signer: &impl Hand,
+    certificate: &Certified, summary: &Summary, signer: &impl Signer,
 ) -> Result<(), RevisionFault> {
     let number = certificate.number();
     if certificate.signed.head.check_text(&summary.text()).is_err() {
         return Err(RevisionFault::Summary(number));
     }
-    let is_within_bounds = certificate.votes.len() <= MAX_VOTES && certificate.goes.len() <= MAX_VOTES;
+    let is_within_bounds =
+        certificate.votes.len() <= MAX_VOTES && certificate.activation_grants.len() <= MAX_VOTES;
     match is_within_bounds && certificate.holds(signer) {
         true => Ok(()),
         false => Err(RevisionFault::Certificate(number)),
@@ -334,14 +336,18 @@
 }
 
 /// The digest of the revision with this number whose activation a quorum of acceptors allows.
-fn allowed_digest(number: Number, approvals: &[Go], signer: &impl Hand) -> Option<Digest> {
+fn allowed_digest(
+    number: Number, activation_grants: &[ActivationGrant], signer: &impl Signer,
+) -> Option<Digest> {
     let mut acceptors: BTreeMap<Digest, BTreeSet<MachineId>> = BTreeMap::new();
-    for approval in approvals.iter().take(MAX_VOTES).filter(|approval| approval.number == number) {
-        let approved_by = acceptors.entry(approval.digest).or_default();
-        if !approved_by.contains(&approval.keeper) && approval.holds(signer) {
-            approved_by.insert(approval.keeper);
+    for activation_grant in
+        activation_grants.iter().take(MAX_VOTES).filter(|activation_grant| activation_grant.number == number)
+    {
+        let granted_by = acceptors.entry(activation_grant.digest).or_default();
+        if !granted_by.contains(&activation_grant.acceptor) && activation_grant.holds(signer) {
+            granted_by.insert(activation_grant.acceptor);
         }
     }
-    let needed = quorum(signer.keepers().len());
-    acceptors.into_iter().find(|(_, approved_by)| approved_by.len() >= needed).map(|(digest, _)| digest)
+    let needed = quorum(signer.acceptors().len());
+    acceptors.into_iter().find(|(_, granted_by)| granted_by.len() >= needed).map(|(digest, _)| digest)
 }
--- a/crates/distribution/src/watcher/updates.rs
+++ b/crates/distribution/src/watcher/updates.rs
@@ -1,4 +1,4 @@
-//! How a watcher handles deltas, snapshots and activation approvals from relays.
+//! How a watcher handles deltas, snapshots and activation grants from relays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,13 +62,13 @@
     }
 }
 
-impl<H: Hand> Watcher<H> {
+impl<H: Signer> Watcher<H> {
     /// Handles a delta.
     pub(super) fn handle_delta(
         &mut self, now: Duration, relay: usize, (certificate, summary): (Certified, Summary),
         base: (Number, Digest), edits: &[Edit], out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
-        let (number, approvals) = (certificate.number(), certificate.goes.clone());
+        let (number, activation_grants) = (certificate.number(), certificate.activation_grants.clone());
         let outcome = self.revisions.apply_delta(certificate, summary, base, edits, &self.signer)?;
         if outcome == UpdateOutcome::NoBase {
             self.connections.on_update_failed(relay)?;
@@ -76,7 +76,7 @@
             return Ok(());
         }
         self.handle_outcome(now, relay, outcome, out);
-        self.handle_certified_approvals(now, relay, number, &approvals, out);
+        self.handle_certified_activation_grants(now, relay, number, &activation_grants, out);
         Ok(())
     }
 
@@ -103,14 +103,20 @@
             } else if self.snapshot_source.number() == Some(number) {
                 self.connections.on_update_failed(relay)?;
             }
-            let approvals = offer.certificate.goes.clone();
+            let activation_grants = offer.certificate.activation_grants.clone();
             self.snapshot_source.switch_to(relay, offer);
             self.connections.on_update_progress(now, relay);
-            self.handle_certified_approvals(now, relay, number, &approvals, out);
+            self.handle_certified_activation_grants(now, relay, number, &activation_grants, out);
             return Ok(());
         }
         self.handle_outcome(now, relay, outcome, out);
-        self.handle_certified_approvals(now, relay, number, &offer.certificate.goes, out);
+        self.handle_certified_activation_grants(
+            now,
+            relay,
+            number,
+            &offer.certificate.activation_grants,
+            out,
+        );
         Ok(())
     }
 
@@ -173,24 +179,24 @@
         self.activate(now, out);
     }
 
-    /// Handles the activation approvals that a certificate carries. They are used only if they are a quorum.
-    fn handle_certified_approvals(
-        &mut self, now: Duration, relay: usize, number: Number, approvals: &[Go],
+    /// Handles the activation grants that a certificate carries. They are used only if they are a quorum.
+    fn handle_certified_activation_grants(
+        &mut self, now: Duration, relay: usize, number: Number, activation_grants: &[ActivationGrant],
         out: &mut Vec<WatcherOutput>,
     ) {
-        if approvals.len() >= quorum(self.signer.keepers().len()) {
-            // Invalid approvals are no reason to refuse the relay: the certificate is valid without them.
-            let _ = self.handle_approvals(now, relay, number, approvals, out);
+        if activation_grants.len() >= quorum(self.signer.acceptors().len()) {
+            // Invalid activation grants are no reason to refuse the relay: the certificate is valid without them.
+            let _ = self.handle_activation_grants(now, relay, number, activation_grants, out);
         }
     }
 
-    /// Handles activation approvals.
-    pub(super) fn handle_approvals(
-        &mut self, now: Duration, relay: usize, number: Number, approvals: &[Go],
+    /// Handles activation grants.
+    pub(super) fn handle_activation_grants(
+        &mut self, now: Duration, relay: usize, number: Number, activation_grants: &[ActivationGrant],
         out: &mut Vec<WatcherOutput>,
     ) -> Result<(), RelayFault> {
         let allowed_before = self.revisions.allowed();
-        self.revisions.allow_activation(number, approvals, &self.signer)?;
+        self.revisions.allow_activation(number, activation_grants, &self.signer)?;
         if self.revisions.allowed() > allowed_before {
             self.connections.on_update_progress(now, relay);
             self.activate(now, out);
