--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -121,7 +121,7 @@
         let config = WatcherConfig {
             controller: place.number,
             relays: order.len(),
-            late: Duration::from_millis(2 * place.tick_ms),
+            activation_delay: Duration::from_millis(2 * place.tick_ms),
             regional: told.apart,
             check: check_with(checks.clone()),
             nonce: nonces::from_system(randomness_failed.clone()),
@@ -158,7 +158,7 @@
 
     pub fn next_due(&self) -> Duration {
         if self.failed.is_empty() && self.waiting.is_empty() {
-            self.watcher.next_due().min(self.look_at)
+            self.watcher.next_poll_at().min(self.look_at)
         } else {
             self.now
         }
@@ -174,7 +174,7 @@
         self.now = now;
         let mut out = Vec::new();
         for place in std::mem::take(&mut self.failed) {
-            self.watcher.closed(now, place, &mut out);
+            self.watcher.on_closed(now, place, &mut out);
         }
         self.carry_out(reactor, out);
         for place in std::mem::take(&mut self.waiting) {
@@ -182,12 +182,12 @@
         }
         if now >= self.look_at {
             self.look_at = now + LOOK_EVERY;
-            self.ring.look().into_iter().for_each(|verifier| self.watcher.take_hand(verifier));
+            self.ring.look().into_iter().for_each(|verifier| self.watcher.replace_signer(verifier));
             self.show();
         }
-        if now >= self.watcher.next_due() {
+        if now >= self.watcher.next_poll_at() {
             let mut out = Vec::new();
-            self.watcher.tend(now, &mut out);
+            self.watcher.poll(now, &mut out);
             self.carry_out(reactor, out);
         }
     }
@@ -200,7 +200,7 @@
     pub fn opened(&mut self, reactor: &mut Reactor, line: Line) {
         let Some(place) = self.lines.place_of(line) else { return };
         let mut out = Vec::new();
-        self.watcher.opened(self.now, place, &mut out);
+        self.watcher.on_connected(self.now, place, &mut out);
         self.carry_out(reactor, out);
     }
 
@@ -212,7 +212,7 @@
         // Unless one of these messages had the line closed.
         if let Some(place) = self.lines.ended(line) {
             let mut out = Vec::new();
-            self.watcher.closed(self.now, place, &mut out);
+            self.watcher.on_closed(self.now, place, &mut out);
             self.carry_out(reactor, out);
         }
     }
@@ -227,13 +227,13 @@
         for _ in 0..MOST_AT_ONCE {
             let mut out = Vec::new();
             match self.lines.next_message(reactor, place) {
-                Ok(Some(message)) => self.watcher.heard(self.now, place, message, &mut out),
+                Ok(Some(message)) => self.watcher.on_message(self.now, place, message, &mut out),
                 Ok(None) => return,
                 Err(fault) => {
                     let machine = self.lines.relay(place).map(|relay| relay.machine);
                     tracing::warn!(machine, "a relay's stream is left: {fault}");
                     self.lines.close(reactor, place);
-                    self.watcher.closed(self.now, place, &mut out);
+                    self.watcher.on_closed(self.now, place, &mut out);
                 }
             }
             self.carry_out(reactor, out);
@@ -286,7 +286,7 @@
         if self.not_carried_out {
             return Some(Held::NotCarriedOut);
         }
-        self.watcher.acting(now).held.map(Held::Watcher)
+        self.watcher.acting(now).hold_reason.map(Held::Watcher)
     }
 
     /// Whether new joins are held back at this time, and when viewers may come back.
--- a/crates/controller/src/distributing/relay_lines.rs
+++ b/crates/controller/src/distributing/relay_lines.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_deployment::RelayPlace;
 use badgerledge_distribution::message::{
-    decode, encode, FrameFault, ToRelay, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, FrameFault, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use badgerledge_reactor::{Bounds, Line, Reactor};
 use metrics::counter;
@@ -16,7 +16,7 @@
 /// Beside the body of a frame: more than its length and mark.
 const FRAME_HEADER: usize = 64;
 const BOUNDS: Bounds =
-    Bounds { input: LONGEST_FROM_RELAY + FRAME_HEADER, output: LONGEST_FROM_WATCHER + FRAME_HEADER };
+    Bounds { input: MAX_RELAY_BODY_BYTES + FRAME_HEADER, output: MAX_WATCHER_BODY_BYTES + FRAME_HEADER };
 /// A relay in another region answers in some tenths of a second.
 const CONNECT_WITHIN: Duration = Duration::from_secs(2);
 
@@ -89,7 +89,9 @@
     /// Where what came is no frame of the protocol.
     pub fn next_message(&self, reactor: &mut Reactor, place: usize) -> Result<Option<ToWatcher>, FrameFault> {
         let Some(line) = self.line(place) else { return Ok(None) };
-        let Some((message, used)) = decode(reactor.input(line), LONGEST_FROM_RELAY)? else { return Ok(None) };
+        let Some((message, used)) = decode(reactor.input(line), MAX_RELAY_BODY_BYTES)? else {
+            return Ok(None);
+        };
         reactor.consume(line, used);
         counter!(watch::DISTRIBUTION_RECEIVED_BYTES).increment(used as u64);
         Ok(Some(message))
--- a/crates/controller/src/distributing/store.rs
+++ b/crates/controller/src/distributing/store.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use badgerledge_distribution::state::LARGEST_STATE;
+use badgerledge_distribution::state::MAX_STATE_BYTES;
 use badgerledge_distribution::watcher::{StoreRequest, Stored};
 
 use crate::files;
@@ -13,7 +13,7 @@
 /// The file in the state folder.
 const STORED: &str = "distribution-state";
 /// Bytes of the file at most: two states, and as much of changes behind them.
-const LONGEST: u64 = 4 * LARGEST_STATE as u64;
+const LONGEST: u64 = 4 * MAX_STATE_BYTES as u64;
 
 /// The file of a watcher's state.
 pub struct WatcherStore {
--- a/crates/controller/src/distributing/store_tests.rs
+++ b/crates/controller/src/distributing/store_tests.rs
@@ -5,7 +5,7 @@
 use super::store::WatcherStore;
 
 fn sure() -> StoreRequest {
-    StoreRequest::Replace(Stored { sure: true, ..Stored::default() }.write())
+    StoreRequest::Replace(Stored { confirmed: true, ..Stored::default() }.write())
 }
 
 #[test]
@@ -14,7 +14,7 @@
     let mut store = WatcherStore::new(folder.path());
     assert_eq!(store.read(), None);
     store.carry_out(&sure()).unwrap();
-    assert_eq!(store.read(), Some(Stored { sure: true, ..Stored::default() }));
+    assert_eq!(store.read(), Some(Stored { confirmed: true, ..Stored::default() }));
     std::fs::write(folder.path().join("distribution-state"), b"bdw1 torn").unwrap();
     assert_eq!(store.read(), None);
 }
--- a/crates/distribution/src/change.rs
+++ b/crates/distribution/src/change.rs
@@ -13,13 +13,15 @@
 use crate::state::{Edit, State};
 use crate::{Author, Number, Signature, Signer};
 
-pub use batch::{Batch, BatchFault, Built, Limits, Summary, LARGEST_BATCH, MOST_CHANGES, SUMMARY};
-pub use history::{History, MOST_KEYS};
+pub use batch::{
+    Batch, BatchFault, BuiltBatch, Limits, Summary, MAX_BATCH_BYTES, MAX_CHANGES, SUMMARY_BYTES,
+};
+pub use history::{History, MAX_KEYS};
 
 /// The maximum number of edits in a change.
-pub const MOST_EDITS: usize = 1024;
+pub const MAX_EDITS: usize = 1024;
 /// The maximum length of the signed bytes of a change.
-pub const LARGEST_CHANGE: usize = 128 * 1024;
+pub const MAX_CHANGE_BYTES: usize = 128 * 1024;
 /// Keys with this prefix are reserved for the protocol: authors cannot edit them.
 pub const RESERVED: char = '\0';
 
@@ -115,12 +117,12 @@
         if self.edits.is_empty() {
             return Err(Rejection::Empty);
         }
-        if self.edits.len() > MOST_EDITS {
-            return Err(Rejection::TooLarge(self.edits.len(), MOST_EDITS));
+        if self.edits.len() > MAX_EDITS {
+            return Err(Rejection::TooLarge(self.edits.len(), MAX_EDITS));
         }
         let length = self.signed_bytes().len();
-        if length > LARGEST_CHANGE {
-            return Err(Rejection::TooLarge(length, LARGEST_CHANGE));
+        if length > MAX_CHANGE_BYTES {
+            return Err(Rejection::TooLarge(length, MAX_CHANGE_BYTES));
         }
         let mut keys = BTreeSet::new();
         for edit in &self.edits {
--- a/crates/distribution/src/change/batch.rs
+++ b/crates/distribution/src/change/batch.rs
@@ -10,11 +10,11 @@
 use crate::{digest, Digest, Number, Signer};
 
 /// The maximum encoded length of a batch in bytes.
-pub const LARGEST_BATCH: usize = 256 * 1024;
+pub const MAX_BATCH_BYTES: usize = 256 * 1024;
 /// The maximum number of changes in a batch.
-pub const MOST_CHANGES: usize = 1024;
+pub const MAX_CHANGES: usize = 1024;
 /// The length of the text of a summary in bytes.
-pub const SUMMARY: usize = 68;
+pub const SUMMARY_BYTES: usize = 68;
 /// The maximum encoded length of a batch without its changes: its number, a root, and the number of changes.
 const BATCH_HEADER_BYTES: usize = 5 + size_of::<Digest>() + 5;
 
@@ -39,8 +39,8 @@
     pub length: u32,
 }
 
-/// Bounds for building a batch. Whatever these are, nobody accepts a batch over [`LARGEST_BATCH`] or
-/// [`MOST_CHANGES`].
+/// Bounds for building a batch. Whatever these are, nobody accepts a batch over [`MAX_BATCH_BYTES`] or
+/// [`MAX_CHANGES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub bytes: usize,
@@ -49,18 +49,18 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { bytes: LARGEST_BATCH, changes: MOST_CHANGES }
+        Self { bytes: MAX_BATCH_BYTES, changes: MAX_CHANGES }
     }
 }
 
 /// Why a batch is rejected. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BatchFault {
-    #[error("a batch of {0} bytes; at most {LARGEST_BATCH} are allowed")]
+    #[error("a batch of {0} bytes; at most {MAX_BATCH_BYTES} are allowed")]
     TooLong(usize),
     #[error("the batch cannot be decoded")]
-    Form,
-    #[error("a batch of {0} changes; at most {MOST_CHANGES} are allowed")]
+    Malformed,
+    #[error("a batch of {0} changes; at most {MAX_CHANGES} are allowed")]
     TooMany(usize),
     #[error("a batch without changes")]
     Empty,
@@ -76,7 +76,7 @@
 
 /// The result of building a batch from pending changes.
 #[derive(Clone, Debug)]
-pub struct Built {
+pub struct BuiltBatch {
     /// The batch; empty if all changes were rejected, and then not to be proposed.
     pub batch: Batch,
     /// The batch, encoded.
@@ -88,7 +88,7 @@
     pub edits: Vec<Edit>,
     pub rejected: Vec<(ChangeId, Rejection)>,
     /// Changes beyond the limits, for the next batch, in their order.
-    pub left: Vec<Change>,
+    pub remaining: Vec<Change>,
 }
 
 impl Batch {
@@ -101,18 +101,18 @@
     pub fn build(
         number: Number, state: &State, history: &History, pending: Vec<Change>, signer: &impl Signer,
         limits: Limits,
-    ) -> Built {
-        let max_bytes = limits.bytes.min(LARGEST_BATCH);
-        let max_changes = limits.changes.min(MOST_CHANGES);
+    ) -> BuiltBatch {
+        let max_bytes = limits.bytes.min(MAX_BATCH_BYTES);
+        let max_changes = limits.changes.min(MAX_CHANGES);
         let mut builder = BatchBuilder::new(number, state);
-        let (mut changes, mut rejected, mut left) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut changes, mut rejected, mut remaining) = (Vec::new(), Vec::new(), Vec::new());
         let mut length = BATCH_HEADER_BYTES;
         let mut pending = pending.into_iter();
         while let Some(change) = pending.next() {
             let length_with_change = length + encoded_length(&change);
             if changes.len() >= max_changes || (length_with_change > max_bytes && !changes.is_empty()) {
-                left.push(change);
-                left.extend(pending);
+                remaining.push(change);
+                remaining.extend(pending);
                 break;
             }
             if length_with_change > max_bytes {
@@ -132,7 +132,7 @@
         let bytes = batch.encode();
         let (state, edits) = builder.finish();
         let summary = Summary::of(state.root(), &bytes);
-        Built { batch, bytes, summary, state, edits, rejected, left }
+        BuiltBatch { batch, bytes, summary, state, edits, rejected, remaining }
     }
 
     /// Encodes the batch.
@@ -146,14 +146,14 @@
     /// # Errors
     /// If the bytes are not a batch, or the batch is out of bounds.
     pub fn decode(bytes: &[u8]) -> Result<Self, BatchFault> {
-        if bytes.len() > LARGEST_BATCH {
+        if bytes.len() > MAX_BATCH_BYTES {
             return Err(BatchFault::TooLong(bytes.len()));
         }
-        let (batch, rest): (Self, _) = postcard::take_from_bytes(bytes).map_err(|_| BatchFault::Form)?;
+        let (batch, rest): (Self, _) = postcard::take_from_bytes(bytes).map_err(|_| BatchFault::Malformed)?;
         if !rest.is_empty() {
-            return Err(BatchFault::Form);
+            return Err(BatchFault::Malformed);
         }
-        if batch.changes.len() > MOST_CHANGES {
+        if batch.changes.len() > MAX_CHANGES {
             return Err(BatchFault::TooMany(batch.changes.len()));
         }
         Ok(batch)
@@ -168,7 +168,7 @@
     pub fn apply(
         &self, state: &State, history: &History, signer: &impl Signer,
     ) -> Result<(State, Vec<Edit>), BatchFault> {
-        let expected = history.top().saturating_add(1);
+        let expected = history.last_revision().saturating_add(1);
         if self.number != expected {
             return Err(BatchFault::Number { found: self.number, expected });
         }
@@ -199,7 +199,7 @@
         if self.changes.is_empty() {
             return Err(BatchFault::Empty);
         }
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             return Err(BatchFault::TooMany(self.changes.len()));
         }
         let mut builder = BatchBuilder::new(self.number, state);
@@ -262,8 +262,8 @@
     }
 
     /// The text for the head of a revision: root, digest of the batch, length of the batch (big-endian).
-    pub fn text(&self) -> [u8; SUMMARY] {
-        let mut text = [0; SUMMARY];
+    pub fn text(&self) -> [u8; SUMMARY_BYTES] {
+        let mut text = [0; SUMMARY_BYTES];
         text[..32].copy_from_slice(&self.root);
         text[32..64].copy_from_slice(&self.batch);
         text[64..].copy_from_slice(&self.length.to_be_bytes());
@@ -272,7 +272,7 @@
 
     /// Decodes bytes that [`Summary::text`] encoded; `None` if the length is wrong.
     pub fn read(text: &[u8]) -> Option<Self> {
-        let text: &[u8; SUMMARY] = text.try_into().ok()?;
+        let text: &[u8; SUMMARY_BYTES] = text.try_into().ok()?;
         let (root, rest) = text.split_first_chunk()?;
         let (batch, length) = rest.split_first_chunk()?;
         Some(Self { root: *root, batch: *batch, length: u32::from_be_bytes(length.try_into().ok()?) })
--- a/crates/distribution/src/change/history.rs
+++ b/crates/distribution/src/change/history.rs
@@ -8,7 +8,7 @@
 
 /// The maximum number of keys over all revisions of a history; a key counts once for each revision that
 /// changed it.
-pub const MOST_KEYS: usize = 128 * 1024;
+pub const MAX_KEYS: usize = 128 * 1024;
 
 /// The last revision that changed each key, within a window of revisions.
 ///
@@ -38,13 +38,13 @@
     }
 
     /// The last recorded revision; the floor before the first.
-    pub fn top(&self) -> Number {
+    pub fn last_revision(&self) -> Number {
         self.floor.saturating_add(self.revisions.len() as Number)
     }
 
     /// Records the edits of a revision. If it is not the next one, all earlier revisions are removed.
     pub fn record(&mut self, number: Number, edits: &[Edit]) {
-        if self.top().checked_add(1) != Some(number) {
+        if self.last_revision().checked_add(1) != Some(number) {
             *self = Self::new(number.saturating_sub(1), self.max_revisions);
         }
         if number == 0 {
@@ -56,7 +56,7 @@
         }
         self.keys += keys.len();
         self.revisions.push_back(keys);
-        while self.revisions.len() > self.max_revisions || self.keys > MOST_KEYS {
+        while self.revisions.len() > self.max_revisions || self.keys > MAX_KEYS {
             self.remove_oldest();
         }
     }
--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -47,7 +47,7 @@
 pub use stored::{Checkpoint, Stored, StoredFault, StoredItem};
 
 use crate::change::{Change, Rejection};
-use crate::lease::{bound, Grant, LEASE};
+use crate::lease::{contradiction_bound, Grant, LEASE};
 use crate::message::{ControlStatus, PeerMessage, ToRelay, ToWatcher};
 use crate::relay::{Hello, Relay};
 use crate::state::State;
@@ -137,7 +137,7 @@
             PeerMessage::GetState { held, root } => self.serve_state(now, from, held, &root, out),
             PeerMessage::GetParts { groups, buckets } => self.serve_parts(now, from, &groups, &buckets, out),
             PeerMessage::State(part) => self.take_state(now, from, *part, out),
-            PeerMessage::AskGrant { root } => {
+            PeerMessage::RequestGrant { root } => {
                 if self.peers.may_ask(now, from) {
                     let grant = self.grant(root).map(PeerMessage::Grant);
                     out.extend(grant.map(|message| ControlOutput::ToPeer(from, message)));
@@ -151,7 +151,7 @@
             }
             // That a change was taken, a machine sees when it applies the batch.
             PeerMessage::Outcome { outcome: Ok(_), .. } => {}
-            PeerMessage::AskRegionalGrant { root } => self.serve_regional_grant(now, from, root, out),
+            PeerMessage::RequestRegionalGrant { root } => self.serve_regional_grant(now, from, root, out),
             PeerMessage::RegionalGrant(grant) => self.take_regional_grant(from, grant, out),
         }
         self.settle(now, out);
@@ -176,16 +176,16 @@
             }
             ToRelay::Prepared { number } => relay.prepared(now, connection, number, ledger, out),
             ToRelay::Unfit { number, reason: _ } => relay.unfit(now, connection, number, ledger, out),
-            ToRelay::AskLease { nonce, active } => {
+            ToRelay::RequestLease { nonce, active } => {
                 relay.ask_lease(now, connection, (nonce, active), ledger, out)
             }
-            ToRelay::AskRegionalLease { nonce, active } => {
+            ToRelay::RequestRegionalLease { nonce, active } => {
                 relay.ask_lease(now, connection, (nonce, active), ledger, out);
                 relay.takes_regional(connection);
             }
-            ToRelay::GetApart => {
+            ToRelay::GetPartitionStatus => {
                 let apart = Box::new(self.apart_status(now));
-                out.push(ControlOutput::to_watcher(connection, ToWatcher::Apart(apart)));
+                out.push(ControlOutput::to_watcher(connection, ToWatcher::PartitionStatus(apart)));
             }
             ToRelay::GetGroups { groups } => relay.get_parts(now, connection, (&groups, &[]), ledger, out),
             ToRelay::GetBuckets { buckets } => relay.get_parts(now, connection, (&[], &buckets), ledger, out),
@@ -242,7 +242,7 @@
             active,
             certified: agreement.certified,
             root: self.ledger.state().root(),
-            bound_ms: bound(self.config.late).as_millis() as u64,
+            bound_ms: contradiction_bound(self.config.late).as_millis() as u64,
             lease_ms: LEASE.as_millis() as u64,
             watchers: watchers.watchers,
             prepared: watchers.prepared,
@@ -295,7 +295,7 @@
     }
 
     fn take_grant(&mut self, from: MachineId, grant: Grant, out: &mut Vec<ControlOutput>) {
-        if grant.acceptor == from && self.relay.awaits(&grant) && grant.holds(self.hand()) {
+        if grant.acceptor == from && self.relay.awaits(&grant) && grant.is_valid(self.hand()) {
             let enough = quorum(self.hand().acceptors().len());
             self.relay.granted(grant, enough, out);
         }
@@ -307,7 +307,7 @@
             let asked: Vec<MachineId> = acceptors.filter(|acceptor| !granted.contains(acceptor)).collect();
             for acceptor in asked {
                 if acceptor != self.config.me {
-                    out.push(ControlOutput::ToPeer(acceptor, PeerMessage::AskGrant { root }));
+                    out.push(ControlOutput::ToPeer(acceptor, PeerMessage::RequestGrant { root }));
                 } else if let Some(grant) = self.grant(root) {
                     self.take_grant(acceptor, grant, out);
                 }
--- a/crates/distribution/src/control/batches.rs
+++ b/crates/distribution/src/control/batches.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::change::{Batch, Summary, LARGEST_BATCH};
+use crate::change::{Batch, Summary, MAX_BATCH_BYTES};
 use crate::control::ledger::{Ledger, Revision};
 use crate::control::state_check::StateCheck;
 use crate::control::StoredItem;
 use crate::state::{Edit, State};
 use crate::{digest, Digest, Number, Signer};
 
-/// Batches that are kept at most, each of [`LARGEST_BATCH`] at most.
+/// Batches that are kept at most, each of [`MAX_BATCH_BYTES`] at most.
 const KEPT: usize = 48;
 /// Certified revisions behind the latest whose batches are kept for others.
 const KEPT_BEHIND: Number = 16;
@@ -74,7 +74,7 @@
         if self.held.contains_key(&text) {
             return Some(text);
         }
-        let whole = bytes.len() <= LARGEST_BATCH && Summary::of(summary.root, &bytes) == summary;
+        let whole = bytes.len() <= MAX_BATCH_BYTES && Summary::of(summary.root, &bytes) == summary;
         let batch = Batch::decode(&bytes).ok().filter(|batch| whole && batch.number > latest)?;
         self.held.insert(text, Held { summary, bytes, batch, stored: false });
         Some(text)
--- a/crates/distribution/src/control/catch_up.rs
+++ b/crates/distribution/src/control/catch_up.rs
@@ -34,12 +34,12 @@
 impl Receiving {
     fn take_group(&mut self, group: u8, buckets: Vec<(u16, Digest)>) -> bool {
         self.awaited = self.awaited.saturating_sub(1);
-        self.transfer.take_group(group, buckets).is_ok()
+        self.transfer.receive_group(group, buckets).is_ok()
     }
 
     fn take_bucket(&mut self, bucket: u16, entries: Vec<Entry>) -> bool {
         self.awaited = self.awaited.saturating_sub(1);
-        self.transfer.take_bucket(bucket, entries).is_ok()
+        self.transfer.receive_bucket(bucket, entries).is_ok()
     }
 }
 
--- a/crates/distribution/src/control/peers.rs
+++ b/crates/distribution/src/control/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::tokens::Tokens;
+use crate::token_bucket::TokenBucket;
 use crate::MachineId;
 
 /// A machine is taken to be there this long after it was heard. An acceptor answers each machine's requests for a lease
@@ -17,7 +17,7 @@
 struct Peer {
     heard_at: Duration,
     /// Requests that cost a signature or much to send.
-    requests: Tokens,
+    requests: TokenBucket,
 }
 
 /// Which control machines are heard.
@@ -29,7 +29,7 @@
 impl Peers {
     pub fn heard(&mut self, now: Duration, from: MachineId) {
         let fresh =
-            || Peer { heard_at: now, requests: Tokens::new(REQUESTS_PER_SECOND, REQUESTS_AT_ONCE, now) };
+            || Peer { heard_at: now, requests: TokenBucket::new(REQUESTS_PER_SECOND, REQUESTS_AT_ONCE, now) };
         self.peers.entry(from).or_insert_with(fresh).heard_at = now;
     }
 
@@ -39,7 +39,7 @@
 
     /// Whether a peer may ask for something that costs much.
     pub fn may_ask(&mut self, now: Duration, peer: MachineId) -> bool {
-        self.peers.get_mut(&peer).is_some_and(|peer| peer.requests.try_one(now))
+        self.peers.get_mut(&peer).is_some_and(|peer| peer.requests.try_spend_one(now))
     }
 
     pub fn is_heard(&self, now: Duration, peer: MachineId) -> bool {
--- a/crates/distribution/src/control/regional.rs
+++ b/crates/distribution/src/control/regional.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::control::{ControlMachine, ControlOutput};
-use crate::message::{ApartStatus, PeerMessage};
+use crate::message::{PartitionStatus, PeerMessage};
 use crate::regional::RegionalGrant;
 use crate::state::{Edit, State};
 use crate::{Digest, MachineId, Signer};
@@ -23,10 +23,10 @@
     }
 
     /// What an operator is shown of regions apart.
-    pub fn apart_status(&self, now: Duration) -> ApartStatus {
+    pub fn apart_status(&self, now: Duration) -> PartitionStatus {
         let waits = self.revisions.exclusive_waits(now).into_iter();
-        ApartStatus {
-            apart_ms: self.config.apart.as_millis() as u64,
+        PartitionStatus {
+            max_partition_ms: self.config.apart.as_millis() as u64,
             vouches: self.revisions.may_vouch(now).is_some(),
             waits_ms: waits.map(|(machine, left)| (machine, left.as_millis() as u64)).collect(),
             regional_leases: self.relay.regional_leases(),
@@ -71,7 +71,7 @@
             let others: Vec<MachineId> =
                 members.filter(|peer| *peer != me && !vouched.contains(peer)).collect();
             for peer in others.into_iter().filter(|peer| self.peers.is_heard(now, *peer)) {
-                out.push(ControlOutput::ToPeer(peer, PeerMessage::AskRegionalGrant { root }));
+                out.push(ControlOutput::ToPeer(peer, PeerMessage::RequestRegionalGrant { root }));
             }
         }
     }
--- a/crates/distribution/src/control/sequencer.rs
+++ b/crates/distribution/src/control/sequencer.rs
@@ -9,7 +9,7 @@
 
 use badgerledge_core::random::Rng;
 
-use crate::change::{Built, Change, ChangeId, History, Rejection};
+use crate::change::{BuiltBatch, Change, ChangeId, History, Rejection};
 use crate::control::batches::text_digest;
 use crate::control::ledger::Ledger;
 use crate::control::outcomes::Outcomes;
@@ -43,7 +43,7 @@
 
 /// A batch to be proposed.
 pub(crate) struct Proposal {
-    pub built: Built,
+    pub built: BuiltBatch,
     pub number: Number,
 }
 
@@ -238,7 +238,7 @@
     }
 
     /// Takes what is in a batch, or was rejected, out of what waits.
-    fn take_out(&mut self, built: &Built) -> Vec<Waiting> {
+    fn take_out(&mut self, built: &BuiltBatch) -> Vec<Waiting> {
         let taken = built.batch.changes.iter().map(|change| change.id);
         let settled = taken.chain(built.rejected.iter().map(|(id, _)| *id));
         let out: Vec<Waiting> = settled.filter_map(|id| self.waiting.remove(&id)).collect();
--- a/crates/distribution/src/control/state_check.rs
+++ b/crates/distribution/src/control/state_check.rs
@@ -3,7 +3,7 @@
 //! Each change of a batch may fit by itself and not together with another one. A state that no controller can act on
 //! would have all of them hold back, so the sequencer builds no batch that leads to one, and acceptors don't vote for it.
 
-use crate::change::{Batch, Built, Change, History, Limits, Rejection};
+use crate::change::{Batch, BuiltBatch, Change, History, Limits, Rejection};
 use crate::state::State;
 use crate::{Number, Signer};
 
@@ -19,7 +19,7 @@
 pub(crate) fn build_fitting(
     number: Number, state: &State, history: &History, mut changes: Vec<Change>, hand: &impl Signer,
     check: &mut StateCheck,
-) -> Built {
+) -> BuiltBatch {
     loop {
         let built = Batch::build(number, state, history, changes, hand, Limits::default());
         let taken = built.batch.changes.len();
@@ -31,7 +31,7 @@
             let rejected = built.batch.changes.iter().map(|change| change.id);
             let rejected = rejected.map(|id| (id, Rejection::State(reason.clone()))).collect();
             let nothing = Batch::build(number, state, history, Vec::new(), hand, Limits::default());
-            return Built { rejected, ..nothing };
+            return BuiltBatch { rejected, ..nothing };
         }
         changes = built.batch.changes;
         changes.truncate(taken / 2);
--- a/crates/distribution/src/lease.rs
+++ b/crates/distribution/src/lease.rs
@@ -21,7 +21,7 @@
 /// The duration of a lease, counted by the watcher from when it drew the nonce.
 pub const LEASE: Duration = Duration::from_secs(6);
 /// The number of requests that a watcher sends within a lease: two of three requests may be lost.
-pub const REQUESTS_IN_A_LEASE: u32 = 3;
+pub const REQUESTS_PER_LEASE: u32 = 3;
 /// The depth of the largest tree of nonces: 65,536 watchers of one relay.
 pub const MAX_DEPTH: usize = 16;
 /// The maximum number of grants in a proof: more than there are acceptors in any deployment.
@@ -38,7 +38,7 @@
 
 /// The longest time for which two watchers may act on contradicting revisions. `activation_delay` is the longest
 /// time from a decision until its messages are sent.
-pub fn bound(activation_delay: Duration) -> Duration {
+pub fn contradiction_bound(activation_delay: Duration) -> Duration {
     badgerledge_revisions::bound(LEASE, activation_delay)
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// The root that a path leads to from a leaf; `None` if no tree has such a path.
-pub fn root_from(leaf: Digest, index: u32, path: &[Digest]) -> Option<Digest> {
+pub fn root_of_path(leaf: Digest, index: u32, path: &[Digest]) -> Option<Digest> {
     if path.len() > MAX_DEPTH || u64::from(index) >= 1 << path.len() {
         return None;
     }
@@ -131,7 +131,7 @@
     }
 
     /// Whether an acceptor of the ring signed the grant.
-    pub fn holds(&self, signer: &impl Signer) -> bool {
+    pub fn is_valid(&self, signer: &impl Signer) -> bool {
         let bytes = Self::signed_bytes(self.acceptor, &self.root, self.allowed);
         signer.acceptors().contains(&self.acceptor)
             && signer.verify_member(self.acceptor, &bytes, &self.signature)
@@ -180,7 +180,7 @@
     pub fn check(
         &self, controller: ControllerId, active: Number, signer: &impl Signer,
     ) -> Result<(), LeaseFault> {
-        let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
+        let root = root_of_path(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
         if self.grants.len() > MAX_GRANTS {
             return Err(LeaseFault::TooMany(self.grants.len()));
@@ -188,7 +188,7 @@
         let mut valid: Vec<&Grant> = Vec::new();
         let mut invalid = 0;
         for grant in &self.grants {
-            if grant.root != root || !grant.holds(signer) {
+            if grant.root != root || !grant.is_valid(signer) {
                 invalid += 1;
             } else if !valid.iter().any(|other| other.acceptor == grant.acceptor) {
                 valid.push(grant);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod regional;
 pub mod relay;
 pub mod state;
-mod tokens;
+mod token_bucket;
 pub mod transfer;
 pub mod watcher;
 
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -16,7 +16,7 @@
     pub bytes: usize,
 }
 
-/// What is merged from such a log fits in one frame of [`crate::message::LONGEST_FROM_RELAY`], with its certificate.
+/// What is merged from such a log fits in one frame of [`crate::message::MAX_RELAY_BODY_BYTES`], with its certificate.
 impl Default for Limits {
     fn default() -> Self {
         Self { revisions: 4096, bytes: 768 * 1024 }
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -22,9 +22,9 @@
 /// The length of a frame before its body: the length field and the magic.
 const HEADER_BYTES: usize = 4 + MAGIC.len();
 /// The maximum length of a frame body from a watcher, in bytes.
-pub const LONGEST_FROM_WATCHER: usize = 256 * 1024;
+pub const MAX_WATCHER_BODY_BYTES: usize = 256 * 1024;
 /// The maximum length of a frame body from a relay or a control machine, in bytes.
-pub const LONGEST_FROM_RELAY: usize = 1024 * 1024;
+pub const MAX_RELAY_BODY_BYTES: usize = 1024 * 1024;
 
 /// Messages from a watcher, or from an operator's tool, to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     /// The program of the watcher cannot apply the state of a certified revision.
     Unfit { number: Number, reason: String },
     /// Requests a lease. The nonce is unpredictable and used once.
-    AskLease { nonce: Nonce, active: Number },
+    RequestLease { nonce: Nonce, active: Number },
     /// Requests the bucket digests of some groups of the state that was offered last.
     GetGroups { groups: Vec<u8> },
     /// Requests some buckets of the state that was offered last.
@@ -48,11 +48,11 @@
     Push(Change),
     /// Requests the status of the control machine.
     GetStatus,
-    /// Like [`ToRelay::AskLease`], but a [`ToWatcher::RegionalLease`] is accepted if no quorum of acceptors
+    /// Like [`ToRelay::RequestLease`], but a [`ToWatcher::RegionalLease`] is accepted if no quorum of acceptors
     /// answers.
-    AskRegionalLease { nonce: Nonce, active: Number },
+    RequestRegionalLease { nonce: Nonce, active: Number },
     /// Requests the status of partitioned regions.
-    GetApart,
+    GetPartitionStatus,
 }
 
 /// Messages from a relay to a watcher, or to an operator's tool.
@@ -72,7 +72,7 @@
     /// The entries of a bucket, in the order of their keys.
     Bucket { bucket: u16, entries: Vec<Entry> },
     /// A quorum of acceptors allows the activation of a certified revision.
-    Activate { number: Number, goes: Vec<ActivationGrant> },
+    Activate { number: Number, activation_grants: Vec<ActivationGrant> },
     /// A lease: the grants of acceptors over a tree of nonces, with the path from the nonce of the watcher.
     Lease(LeaseProof),
     /// The outcome of a change that was pushed on this connection.
@@ -82,7 +82,7 @@
     /// A lease without a quorum of acceptors: the grants of control machines over a tree of nonces.
     RegionalLease(RegionalProof),
     /// The status of partitioned regions.
-    Apart(Box<ApartStatus>),
+    PartitionStatus(Box<PartitionStatus>),
 }
 
 /// Messages between control machines. The transport authenticates the sender and the content.
@@ -102,7 +102,7 @@
     /// Requests groups and buckets of an offered state.
     GetParts { groups: Vec<u8>, buckets: Vec<u16> },
     /// Requests a lease grant from an acceptor over the root of a tree of nonces.
-    AskGrant { root: Digest },
+    RequestGrant { root: Digest },
     /// A lease grant of an acceptor.
     Grant(Grant),
     /// Forwards a change to the control machine that currently builds batches.
@@ -111,16 +111,16 @@
     Outcome { change: ChangeId, outcome: Result<Number, Rejection> },
     /// Requests a regional grant for the active revision of a control machine, over the root of a tree of
     /// nonces.
-    AskRegionalGrant { root: Digest },
+    RequestRegionalGrant { root: Digest },
     /// A regional grant of a control machine.
     RegionalGrant(RegionalGrant),
 }
 
 /// Status of partitioned regions at a control machine, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ApartStatus {
+pub struct PartitionStatus {
     /// How long a partitioned region keeps granting regional leases; 0 if it does not.
-    pub apart_ms: u64,
+    pub max_partition_ms: u64,
     /// Whether this machine could sign a regional grant for its active revision now.
     pub vouches: bool,
     /// The machines that an exclusive revision waits for at this acceptor, and for how long at most.
@@ -159,7 +159,7 @@
     #[error("a frame of {0} bytes; at most {1} are allowed")]
     TooLong(usize, usize),
     #[error("not a frame of this version of the protocol (bd1)")]
-    Mark,
+    Version,
     #[error("the body of a frame cannot be decoded")]
     Body,
     #[error("{0} trailing bytes after the message of a frame")]
@@ -191,7 +191,7 @@
     }
     let received = rest.len().min(MAGIC.len());
     if length < MAGIC.len() || rest[..received] != MAGIC[..received] {
-        return Err(FrameFault::Mark);
+        return Err(FrameFault::Version);
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
     let (message, trailing) =
--- a/crates/distribution/src/regional.rs
+++ b/crates/distribution/src/regional.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
 
-use crate::lease::{leaf, root_from, LeaseFault, Nonce, MAX_GRANTS};
+use crate::lease::{leaf, root_of_path, LeaseFault, Nonce, MAX_GRANTS};
 use crate::{ControllerId, Digest, MachineId, Number, Signature, Signer};
 
 /// Machines that must vouch: one that lies can't keep a watcher on an old revision alone.
@@ -62,7 +62,7 @@
     pub fn check(
         &self, controller: ControllerId, acting: Number, hand: &impl Signer,
     ) -> Result<(), LeaseFault> {
-        let root = root_from(leaf(controller, &self.nonce), self.index, &self.path)
+        let root = root_of_path(leaf(controller, &self.nonce), self.index, &self.path)
             .ok_or(LeaseFault::Path(self.path.len(), self.index))?;
         if self.grants.len() > MAX_GRANTS {
             return Err(LeaseFault::TooMany(self.grants.len()));
--- a/crates/distribution/src/relay.rs
+++ b/crates/distribution/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::lease::{Grant, LeaseProof, Nonce};
 use crate::message::ToWatcher;
 use crate::regional::RegionalGrant;
-use crate::tokens::Tokens;
+use crate::token_bucket::TokenBucket;
 use crate::{ControllerId, Digest, MachineId, Number};
 use admission::{Admission, Admitted};
 use lease_rounds::LeaseRounds;
@@ -46,7 +46,7 @@
 /// A connection, before and after its hello.
 struct Connection {
     heard_at: Duration,
-    messages: Tokens,
+    messages: TokenBucket,
     kind: Kind,
 }
 
@@ -93,7 +93,7 @@
     by_controller: BTreeMap<ControllerId, ConnectionId>,
     admission: Admission,
     rounds: LeaseRounds,
-    bytes: Tokens,
+    bytes: TokenBucket,
     /// The latest revision, and since when it is handed down.
     handed_down: (Number, Duration),
     allowed: Option<Allowed>,
@@ -115,7 +115,7 @@
             by_controller: BTreeMap::new(),
             admission: Admission::new(now),
             rounds: LeaseRounds::default(),
-            bytes: Tokens::new(BYTES_PER_SECOND, BYTES_AT_ONCE, now),
+            bytes: TokenBucket::new(BYTES_PER_SECOND, BYTES_AT_ONCE, now),
             handed_down: (number, now),
             allowed: None,
             turn: 0,
@@ -130,7 +130,7 @@
         if self.connections.len() >= self.most_connections {
             return self.turn_away(now, id, CloseReason::Full(self.most_connections), out);
         }
-        let messages = Tokens::new(MESSAGES_PER_SECOND, MESSAGES_AT_ONCE, now);
+        let messages = TokenBucket::new(MESSAGES_PER_SECOND, MESSAGES_AT_ONCE, now);
         self.connections.insert(id, Connection { heard_at: now, messages, kind: Kind::Open });
         self.next_tick = self.next_tick.min(now + TICK);
     }
@@ -164,7 +164,7 @@
     pub(crate) fn heard(&mut self, now: Duration, id: ConnectionId, out: &mut Vec<ControlOutput>) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         connection.heard_at = now;
-        let taken = connection.messages.try_one(now);
+        let taken = connection.messages.try_spend_one(now);
         if !taken {
             self.close(id, CloseReason::Flood, out);
         }
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -6,7 +6,7 @@
 use badgerledge_core::random::Rng;
 
 use crate::control::ConnectionId;
-use crate::tokens::Tokens;
+use crate::token_bucket::TokenBucket;
 
 /// Watchers that are let in a second, and at once.
 const PER_SECOND: f64 = 100.0;
@@ -27,23 +27,23 @@
 
 /// Lets watchers in by tokens.
 pub(crate) struct Admission {
-    tokens: Tokens,
+    tokens: TokenBucket,
     waiting: VecDeque<ConnectionId>,
     /// Those sent away lately, whose return is spread.
-    sent_away: Tokens,
+    sent_away: TokenBucket,
 }
 
 impl Admission {
     pub fn new(now: Duration) -> Self {
         Self {
-            tokens: Tokens::new(PER_SECOND, AT_ONCE, now),
+            tokens: TokenBucket::new(PER_SECOND, AT_ONCE, now),
             waiting: VecDeque::new(),
-            sent_away: Tokens::new(PER_SECOND, 1.0, now),
+            sent_away: TokenBucket::new(PER_SECOND, 1.0, now),
         }
     }
 
     pub fn ask(&mut self, now: Duration, id: ConnectionId) -> Admitted {
-        if self.waiting.is_empty() && self.tokens.try_one(now) {
+        if self.waiting.is_empty() && self.tokens.try_spend_one(now) {
             return Admitted::Now;
         }
         if self.waiting.len() >= MOST_WAITING {
@@ -55,7 +55,7 @@
 
     /// The next one that waits, if it may come in now.
     pub fn next(&mut self, now: Duration) -> Option<ConnectionId> {
-        if self.waiting.is_empty() || !self.tokens.try_one(now) {
+        if self.waiting.is_empty() || !self.tokens.try_spend_one(now) {
             return None;
         }
         self.waiting.pop_front()
--- a/crates/distribution/src/relay/session.rs
+++ b/crates/distribution/src/relay/session.rs
@@ -11,7 +11,7 @@
 use crate::control::CloseReason;
 use crate::message::ToWatcher;
 use crate::state::{BUCKETS, GROUPS};
-use crate::tokens::Tokens;
+use crate::token_bucket::TokenBucket;
 use crate::{ControllerId, Digest, Number};
 
 /// Bytes of snapshots and large deltas a second for one watcher, below its budget of 10 kB, and at once: what a controller that
@@ -50,7 +50,7 @@
     root: Digest,
     outstanding: Option<Outstanding>,
     parts: VecDeque<Part>,
-    bytes: Tokens,
+    bytes: TokenBucket,
     unfit: Option<Number>,
     /// The last word to act that was sent, and when.
     activated: (Number, Duration),
@@ -66,7 +66,7 @@
             root,
             outstanding: None,
             parts: VecDeque::new(),
-            bytes: Tokens::new(BYTES_PER_SECOND, BYTES_AT_ONCE, now),
+            bytes: TokenBucket::new(BYTES_PER_SECOND, BYTES_AT_ONCE, now),
             unfit: None,
             activated: (0, Duration::ZERO),
         }
@@ -146,7 +146,9 @@
     }
 
     /// Sends the latest revision, if none is outstanding, and parts of what is, as far as the bytes go.
-    pub fn update(&mut self, now: Duration, ledger: &Ledger, of_all: &mut Tokens, out: &mut Vec<ToWatcher>) {
+    pub fn update(
+        &mut self, now: Duration, ledger: &Ledger, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>,
+    ) {
         let behind = ledger.number() > self.held && self.unfit < Some(ledger.number());
         if self.outstanding.is_none() && behind {
             self.offer(now, ledger, of_all, out);
@@ -154,14 +156,14 @@
         self.send_parts(now, of_all, out);
     }
 
-    fn offer(&mut self, now: Duration, ledger: &Ledger, of_all: &mut Tokens, out: &mut Vec<ToWatcher>) {
+    fn offer(&mut self, now: Duration, ledger: &Ledger, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>) {
         let allowed = ledger.allowed_before(self.active, self.held);
         let latest = allowed.unwrap_or(ledger.latest());
         let delta = ledger.delta(self.held, &self.root).filter(|_| allowed.is_none());
         let offer = delta.is_none().then(|| latest.clone());
         let Some(message) = delta.or_else(|| latest.snapshot()) else { return };
         let bytes = size(&message);
-        if bytes > SMALL_DELTA && !(self.bytes.any(now) && of_all.any(now)) {
+        if bytes > SMALL_DELTA && !(self.bytes.has_tokens(now) && of_all.has_tokens(now)) {
             return;
         }
         self.spend(now, bytes, of_all);
@@ -170,14 +172,14 @@
         out.push(message);
     }
 
-    fn spend(&mut self, now: Duration, bytes: usize, of_all: &mut Tokens) {
+    fn spend(&mut self, now: Duration, bytes: usize, of_all: &mut TokenBucket) {
         self.bytes.spend(now, bytes as f64);
         of_all.spend(now, bytes as f64);
     }
 
-    fn send_parts(&mut self, now: Duration, of_all: &mut Tokens, out: &mut Vec<ToWatcher>) {
+    fn send_parts(&mut self, now: Duration, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>) {
         let Some(offer) = self.outstanding.as_ref().and_then(|held| held.offer.clone()) else { return };
-        while self.bytes.any(now) && of_all.any(now) {
+        while self.bytes.has_tokens(now) && of_all.has_tokens(now) {
             let message = match self.parts.pop_front() {
                 None => return,
                 Some(Part::Group(group)) => offer.group(group),
@@ -195,7 +197,7 @@
             return None;
         }
         self.activated = (number, now);
-        Some(ToWatcher::Activate { number, goes: goes.to_vec() })
+        Some(ToWatcher::Activate { number, activation_grants: goes.to_vec() })
     }
 }
 
--- a/crates/distribution/src/state.rs
+++ b/crates/distribution/src/state.rs
@@ -1,6 +1,6 @@
 //! The configuration as a map of keys to values with a Merkle root.
 //!
-//! Keys are spread over [`BUCKETS`] buckets by the first bits of their SHA-256 digest; [`GROUP`] consecutive
+//! Keys are spread over [`BUCKETS`] buckets by the first bits of their SHA-256 digest; [`BUCKETS_PER_GROUP`] consecutive
 //! buckets make a group. The digest of a bucket covers its entries in the order of their keys, that of a
 //! group its non-empty buckets, and the root all groups. An edit costs the digests of its bucket, its group
 //! and the root, not of the whole state.
@@ -28,20 +28,20 @@
 /// The number of buckets.
 pub const BUCKETS: u16 = 4096;
 /// The number of buckets in a group.
-pub const GROUP: u16 = 64;
+pub const BUCKETS_PER_GROUP: u16 = 64;
 /// The number of groups.
-pub const GROUPS: u8 = (BUCKETS / GROUP) as u8;
+pub const GROUPS: u8 = (BUCKETS / BUCKETS_PER_GROUP) as u8;
 /// The maximum length of a key in bytes; the minimum is one byte.
-pub const LONGEST_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// The maximum length of a value in bytes.
-pub const LONGEST_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// The maximum encoded length of a bucket in bytes, so that a bucket fits in one frame of
-/// [`crate::message::LONGEST_FROM_RELAY`].
-pub const LARGEST_BUCKET: usize = 512 * 1024;
+/// [`crate::message::MAX_RELAY_BODY_BYTES`].
+pub const MAX_BUCKET_BYTES: usize = 512 * 1024;
 /// The maximum encoded length of all entries of a state in bytes.
-pub const LARGEST_STATE: usize = 64 * 1024 * 1024;
+pub const MAX_STATE_BYTES: usize = 64 * 1024 * 1024;
 /// The maximum number of entries of a state.
-pub const MOST_ENTRIES: usize = 1024 * 1024;
+pub const MAX_ENTRIES: usize = 1024 * 1024;
 
 /// Identifies a stored state of this version. The root and the encoded buckets, in their order, follow.
 const MAGIC: &[u8; 4] = b"bds1";
@@ -83,9 +83,9 @@
 /// Why entries, edits or bytes are rejected. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StateFault {
-    #[error("a key of {0} bytes; 1 to {LONGEST_KEY} are allowed")]
+    #[error("a key of {0} bytes; 1 to {MAX_KEY_BYTES} are allowed")]
     KeyLength(usize),
-    #[error("key {key}: a value of {length} bytes; at most {LONGEST_VALUE} are allowed")]
+    #[error("key {key}: a value of {length} bytes; at most {MAX_VALUE_BYTES} are allowed")]
     ValueLength { key: String, length: usize },
     #[error("key {0}: duplicate, or out of order")]
     Order(String),
@@ -93,16 +93,16 @@
     WrongBucket { key: String, bucket: u16 },
     #[error("there is no bucket {0}; there are {BUCKETS}")]
     NoBucket(u16),
-    #[error("bucket {bucket} would have {length} bytes; at most {LARGEST_BUCKET} are allowed")]
+    #[error("bucket {bucket} would have {length} bytes; at most {MAX_BUCKET_BYTES} are allowed")]
     BucketTooLarge { bucket: u16, length: usize },
-    #[error("the state would have {0} bytes; at most {LARGEST_STATE} are allowed")]
+    #[error("the state would have {0} bytes; at most {MAX_STATE_BYTES} are allowed")]
     TooLarge(usize),
-    #[error("the state would have {0} entries; at most {MOST_ENTRIES} are allowed")]
+    #[error("the state would have {0} entries; at most {MAX_ENTRIES} are allowed")]
     TooMany(usize),
     #[error("not a stored state of this version (bds1)")]
-    Mark,
+    Version,
     #[error("stored state: truncated or malformed entry at byte {0}")]
-    Form(usize),
+    Malformed(usize),
     #[error("stored state: torn or corrupt, the root of its entries is not the stored root")]
     Root,
 }
@@ -266,15 +266,15 @@
     /// # Errors
     /// If the bytes are of another format or version, truncated, changed, or out of bounds.
     pub fn read(bytes: &[u8]) -> Result<Self, StateFault> {
-        let rest = bytes.strip_prefix(MAGIC).ok_or(StateFault::Mark)?;
-        let (root, mut rest) = rest.split_first_chunk::<32>().ok_or(StateFault::Form(bytes.len()))?;
-        if rest.len() > LARGEST_STATE {
+        let rest = bytes.strip_prefix(MAGIC).ok_or(StateFault::Version)?;
+        let (root, mut rest) = rest.split_first_chunk::<32>().ok_or(StateFault::Malformed(bytes.len()))?;
+        if rest.len() > MAX_STATE_BYTES {
             return Err(StateFault::TooLarge(rest.len()));
         }
         let mut builder = BucketBuilder::default();
         while !rest.is_empty() {
             let offset = bytes.len() - rest.len();
-            let (key, value, following) = packed::split_entry(rest).ok_or(StateFault::Form(offset))?;
+            let (key, value, following) = packed::split_entry(rest).ok_or(StateFault::Malformed(offset))?;
             builder.push(bucket_of(key), key, value)?;
             rest = following;
         }
@@ -319,17 +319,17 @@
     fn size_after_replacing(&self, changed: &[(u16, Vec<u8>)]) -> Result<(usize, usize), StateFault> {
         let (mut entries, mut bytes) = (self.entries, self.bytes);
         for (bucket, packed) in changed {
-            if packed.len() > LARGEST_BUCKET {
+            if packed.len() > MAX_BUCKET_BYTES {
                 return Err(StateFault::BucketTooLarge { bucket: *bucket, length: packed.len() });
             }
             let current = self.packed(*bucket);
             entries = entries - packed::count(current) + packed::count(packed);
             bytes = bytes - current.len() + packed.len();
         }
-        if entries > MOST_ENTRIES {
+        if entries > MAX_ENTRIES {
             return Err(StateFault::TooMany(entries));
         }
-        if bytes > LARGEST_STATE {
+        if bytes > MAX_STATE_BYTES {
             return Err(StateFault::TooLarge(bytes));
         }
         Ok((entries, bytes))
@@ -416,7 +416,7 @@
 
 /// The group that a bucket belongs to.
 fn group_of(bucket: u16) -> u8 {
-    (bucket / GROUP) as u8
+    (bucket / BUCKETS_PER_GROUP) as u8
 }
 
 /// The digest of an encoded bucket.
--- a/crates/distribution/src/state/packed.rs
+++ b/crates/distribution/src/state/packed.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{StateFault, LONGEST_KEY, LONGEST_VALUE};
+use super::{StateFault, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 /// The length of an entry without its key and value.
 const ENTRY_HEADER_BYTES: usize = 8;
@@ -26,10 +26,10 @@
 /// # Errors
 /// If the key or the value is out of bounds.
 pub fn check(key: &str, value: &[u8]) -> Result<(), StateFault> {
-    if !(1..=LONGEST_KEY).contains(&key.len()) {
+    if !(1..=MAX_KEY_BYTES).contains(&key.len()) {
         return Err(StateFault::KeyLength(key.len()));
     }
-    if value.len() > LONGEST_VALUE {
+    if value.len() > MAX_VALUE_BYTES {
         return Err(StateFault::ValueLength { key: key.to_owned(), length: value.len() });
     }
     Ok(())
--- a/crates/distribution/src/tests/change.rs
+++ b/crates/distribution/src/tests/change.rs
@@ -7,10 +7,10 @@
 use super::hand::DigestHand;
 use super::sample::change;
 use crate::change::{
-    admit, author_key, last_sequence, Batch, BatchFault, Built, Change, ChangeId, History, Limits, Rejection,
-    Summary, LARGEST_BATCH, LARGEST_CHANGE, MOST_CHANGES, MOST_EDITS, MOST_KEYS, SUMMARY,
+    admit, author_key, last_sequence, Batch, BatchFault, BuiltBatch, Change, ChangeId, History, Limits,
+    Rejection, Summary, MAX_BATCH_BYTES, MAX_CHANGES, MAX_CHANGE_BYTES, MAX_EDITS, MAX_KEYS, SUMMARY_BYTES,
 };
-use crate::state::{Edit, State, LONGEST_KEY, LONGEST_VALUE};
+use crate::state::{Edit, State, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 use crate::Number;
 
 /// The state and the history of a control machine.
@@ -26,14 +26,14 @@
     }
 
     fn admit(&self, change: &Change) -> Result<(), Rejection> {
-        admit(change, &self.state, &self.history, self.history.top(), &signer())
+        admit(change, &self.state, &self.history, self.history.last_revision(), &signer())
     }
 
-    fn build_within(&self, pending: Vec<Change>, limits: Limits) -> Built {
-        Batch::build(self.history.top() + 1, &self.state, &self.history, pending, &signer(), limits)
+    fn build_within(&self, pending: Vec<Change>, limits: Limits) -> BuiltBatch {
+        Batch::build(self.history.last_revision() + 1, &self.state, &self.history, pending, &signer(), limits)
     }
 
-    fn build(&self, pending: Vec<Change>) -> Built {
+    fn build(&self, pending: Vec<Change>) -> BuiltBatch {
         self.build_within(pending, Limits::default())
     }
 
@@ -41,7 +41,7 @@
         batch.apply(&self.state, &self.history, &signer())
     }
 
-    fn advance(&mut self, built: &Built) {
+    fn advance(&mut self, built: &BuiltBatch) {
         self.history.record(built.batch.number, &built.edits);
         self.state = built.state.clone();
     }
@@ -50,7 +50,7 @@
     fn with_revisions(keys: &[&str]) -> Self {
         let mut machine = Self::new();
         for (index, key) in keys.iter().enumerate() {
-            let base = machine.history.top();
+            let base = machine.history.last_revision();
             let built = machine.build(vec![change(1, index as u64 + 1, base, vec![put(key, "1")])]);
             assert!(built.rejected.is_empty());
             machine.advance(&built);
@@ -106,16 +106,16 @@
     let machine = Machine::new();
     let rejection_of = |edits| machine.admit(&change(1, 1, 0, edits)).unwrap_err();
     assert_eq!(rejection_of(vec![]), Rejection::Empty);
-    let too_many: Vec<Edit> = (0..=MOST_EDITS).map(|number| removal(&format!("{number}"))).collect();
+    let too_many: Vec<Edit> = (0..=MAX_EDITS).map(|number| removal(&format!("{number}"))).collect();
     assert_eq!(machine.admit(&change(1, 1, 0, too_many[1..].to_vec())), Ok(()));
-    assert_eq!(rejection_of(too_many), Rejection::TooLarge(MOST_EDITS + 1, MOST_EDITS));
-    let long = "v".repeat(LONGEST_VALUE);
+    assert_eq!(rejection_of(too_many), Rejection::TooLarge(MAX_EDITS + 1, MAX_EDITS));
+    let long = "v".repeat(MAX_VALUE_BYTES);
     let too_large = change(1, 1, 0, vec![put("a", &long), put("b", &long)]);
     assert_eq!(
         machine.admit(&too_large),
-        Err(Rejection::TooLarge(too_large.signed_bytes().len(), LARGEST_CHANGE))
+        Err(Rejection::TooLarge(too_large.signed_bytes().len(), MAX_CHANGE_BYTES))
     );
-    let long_key = "k".repeat(LONGEST_KEY + 1);
+    let long_key = "k".repeat(MAX_KEY_BYTES + 1);
     let too_long = format!("{long}v");
     let cases =
         [put("", "1"), put(&long_key, "1"), put("a", &too_long), put("\0author/1", "1"), put("\0", "1")];
@@ -180,16 +180,16 @@
     for number in 1..=5 {
         history.record(number, &[put("all", "1"), put(&format!("key {number}"), "1")]);
     }
-    assert_eq!((history.floor(), history.top()), (2, 5));
+    assert_eq!((history.floor(), history.last_revision()), (2, 5));
     assert_eq!((history.changed_in("all"), history.changed_in("key 2")), (Some(5), None));
     assert_eq!(history.changed_in("key 3"), Some(3));
     history.record(7, &[put("key 7", "1")]);
-    assert_eq!((history.floor(), history.top(), history.changed_in("all")), (6, 7, None));
+    assert_eq!((history.floor(), history.last_revision(), history.changed_in("all")), (6, 7, None));
 
     let mut history = History::new(0, 1000);
-    let half: Vec<Edit> = (0..MOST_KEYS / 2).map(|number| removal(&format!("{number}"))).collect();
+    let half: Vec<Edit> = (0..MAX_KEYS / 2).map(|number| removal(&format!("{number}"))).collect();
     (1..=4).for_each(|number| history.record(number, &half));
-    assert_eq!((history.floor(), history.top(), history.changed_in("0")), (2, 4, Some(4)));
+    assert_eq!((history.floor(), history.last_revision(), history.changed_in("0")), (2, 4, Some(4)));
 }
 
 /// Changes of different keys go into one batch. The later of two changes of one key is rejected, even if both
@@ -226,31 +226,31 @@
     let machine = Machine::new();
     let pending: Vec<Change> = (1..=10).map(|n| change(n, 1, 0, vec![put(&format!("{n}"), "1")])).collect();
     let built = machine.build_within(pending.clone(), Limits { changes: 4, ..Limits::default() });
-    assert_eq!((&built.batch.changes[..], &built.left[..]), pending.split_at(4));
+    assert_eq!((&built.batch.changes[..], &built.remaining[..]), pending.split_at(4));
     let bytes = 400;
     let built = machine.build_within(pending.clone(), Limits { bytes, ..Limits::default() });
-    assert!(built.bytes.len() <= bytes && !built.batch.changes.is_empty() && built.left.len() >= 5);
-    assert_eq!([built.batch.changes, built.left].concat(), pending);
+    assert!(built.bytes.len() <= bytes && !built.batch.changes.is_empty() && built.remaining.len() >= 5);
+    assert_eq!([built.batch.changes, built.remaining].concat(), pending);
 
     // A change that never fits does not hold up the changes after it.
     let too_large = change(11, 1, 0, vec![put("large", &"v".repeat(bytes))]);
     let built =
         machine.build_within(vec![too_large, pending[0].clone()], Limits { bytes, ..Limits::default() });
     assert!(matches!(built.rejected[..], [(_, Rejection::TooLarge(..))]));
-    assert_eq!((built.batch.changes, built.left), (vec![pending[0].clone()], vec![]));
+    assert_eq!((built.batch.changes, built.remaining), (vec![pending[0].clone()], vec![]));
 
     // Limits above the protocol bounds have no effect: other machines accept what is built.
-    let value = "v".repeat(LONGEST_VALUE);
+    let value = "v".repeat(MAX_VALUE_BYTES);
     let full: Vec<Change> = (1..=5).map(|n| change(n, 1, 0, vec![put(&format!("{n}"), &value)])).collect();
     let built = machine.build_within(full, Limits { bytes: usize::MAX, changes: usize::MAX });
-    assert!(built.bytes.len() <= LARGEST_BATCH);
-    assert_eq!((built.batch.changes.len(), built.left.len()), (3, 2));
+    assert!(built.bytes.len() <= MAX_BATCH_BYTES);
+    assert_eq!((built.batch.changes.len(), built.remaining.len()), (3, 2));
 }
 
 #[test]
 fn a_change_that_leads_to_an_invalid_state_is_rejected_alone() {
     let machine = Machine::new();
-    let value = "v".repeat(LONGEST_VALUE);
+    let value = "v".repeat(MAX_VALUE_BYTES);
     let keys_of_bucket = (0..).map(|n: u32| format!("{n}")).filter(|key| crate::state::bucket_of(key) == 7);
     let mut full = machine.clone();
     let edits: Vec<Edit> = keys_of_bucket.take(8).map(|key| put(&key, &value)).collect();
@@ -300,8 +300,8 @@
     repeated.changes.push(repeated.changes[0].clone());
     let fault = rejected(id(1, 2), Rejection::Sequence(2, 2));
     assert_eq!(repeated.apply_certified(&before.state, &signer()), Err(fault));
-    let too_many = fault_of_altered(|batch| batch.changes = vec![batch.changes[0].clone(); MOST_CHANGES + 1]);
-    assert_eq!(too_many, BatchFault::TooMany(MOST_CHANGES + 1));
+    let too_many = fault_of_altered(|batch| batch.changes = vec![batch.changes[0].clone(); MAX_CHANGES + 1]);
+    assert_eq!(too_many, BatchFault::TooMany(MAX_CHANGES + 1));
     let zero = Batch { number: 0, ..built.batch.clone() };
     assert_eq!(
         zero.apply_certified(&before.state, &signer()),
@@ -331,13 +331,13 @@
     let bytes = batch.encode();
     assert_eq!(Batch::decode(&bytes), Ok(batch.clone()));
     for length in 0..bytes.len() {
-        assert_eq!(Batch::decode(&bytes[..length]), Err(BatchFault::Form));
+        assert_eq!(Batch::decode(&bytes[..length]), Err(BatchFault::Malformed));
     }
-    assert_eq!(Batch::decode(&[&bytes[..], b"x"].concat()), Err(BatchFault::Form));
-    assert_eq!(Batch::decode(&vec![0; LARGEST_BATCH + 1]), Err(BatchFault::TooLong(LARGEST_BATCH + 1)));
+    assert_eq!(Batch::decode(&[&bytes[..], b"x"].concat()), Err(BatchFault::Malformed));
+    assert_eq!(Batch::decode(&vec![0; MAX_BATCH_BYTES + 1]), Err(BatchFault::TooLong(MAX_BATCH_BYTES + 1)));
     let empty_change = Change { edits: vec![], ..batch.changes[0].clone() };
-    let too_many = Batch { changes: vec![empty_change; MOST_CHANGES + 1], ..batch };
-    assert_eq!(Batch::decode(&too_many.encode()), Err(BatchFault::TooMany(MOST_CHANGES + 1)));
+    let too_many = Batch { changes: vec![empty_change; MAX_CHANGES + 1], ..batch };
+    assert_eq!(Batch::decode(&too_many.encode()), Err(BatchFault::TooMany(MAX_CHANGES + 1)));
 }
 
 #[test]
@@ -348,7 +348,7 @@
     assert_eq!(Summary::read(&text), Some(summary));
     assert_eq!(Summary::read(&text[1..]), None);
     assert_eq!(Summary::read(&[&text[..], b"x"].concat()), None);
-    assert_eq!(text.len(), SUMMARY);
+    assert_eq!(text.len(), SUMMARY_BYTES);
 }
 
 /// Over several revisions: applying a built batch leads to the built state, and its edits lead from the
@@ -359,7 +359,7 @@
         let mut machine = Machine::new();
         let mut next = [0; 3];
         for pending in &revisions {
-            let top = machine.history.top();
+            let top = machine.history.last_revision();
             let make_change = |(author, base_age, edits): &(u8, u8, Vec<AnyEdit>)| {
                 let author = author % 3;
                 next[usize::from(author)] += u64::from(base_age % 4 != 3);
@@ -368,7 +368,10 @@
             };
             let pending: Vec<Change> = pending.iter().map(make_change).collect();
             let built = machine.build(pending.clone());
-            assert_eq!(built.batch.changes.len() + built.rejected.len() + built.left.len(), pending.len());
+            assert_eq!(
+                built.batch.changes.len() + built.rejected.len() + built.remaining.len(),
+                pending.len()
+            );
             if built.batch.changes.is_empty() {
                 assert!(built.state == machine.state && built.edits.is_empty());
                 continue;
--- a/crates/distribution/src/tests/control/apart.rs
+++ b/crates/distribution/src/tests/control/apart.rs
@@ -6,7 +6,7 @@
 use super::super::edits::put;
 use super::super::net::{region_of, Broken, Net, Node};
 use super::IN_FORCE_WITHIN;
-use crate::lease::{bound, LEASE};
+use crate::lease::{contradiction_bound, LEASE};
 use crate::{ControllerId, MachineId, Number};
 
 const MACHINES: MachineId = 6;
@@ -309,7 +309,7 @@
         net.push(0, 1, vec![put("exclusive 1", "new")]);
         seconds_until(&mut net, WAITS + IN_FORCE_WITHIN, |net| all_act(net, false, 2));
         net.run_for(3.0 * LEASE.as_secs_f64());
-        let contradicting = net.seen.longest > bound(super::super::net::LATE);
+        let contradicting = net.seen.longest > contradiction_bound(super::super::net::LATE);
         assert_eq!(contradicting, liars > 1, "{:?}", acting(&net, true));
         assert_eq!(all_hold(&net, true), liars == 1, "{:?}", acting(&net, true));
     }
--- a/crates/distribution/src/tests/lease.rs
+++ b/crates/distribution/src/tests/lease.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use super::certified::{good_proof, hand, proof};
-use crate::lease::{bound, leaf, root_from, Grant, LeaseFault, NonceTree, LEASE, MAX_DEPTH, MAX_GRANTS};
+use crate::lease::{
+    contradiction_bound, leaf, root_of_path, Grant, LeaseFault, NonceTree, LEASE, MAX_DEPTH, MAX_GRANTS,
+};
 use crate::{Digest, MachineId, Number};
 
 fn leaves(count: u32) -> Vec<Digest> {
@@ -18,7 +20,7 @@
         for (index, own_leaf) in leaves.iter().enumerate() {
             let path = tree.path(index);
             let leads_to_root = |leaf: Digest, index: usize, path: &[Digest]| {
-                root_from(leaf, index as u32, path) == Some(tree.root())
+                root_of_path(leaf, index as u32, path) == Some(tree.root())
             };
             assert!(leads_to_root(*own_leaf, index, &path));
             assert!(!leads_to_root(leaf(count, &[7; 16]), index, &path));
@@ -54,12 +56,12 @@
 #[test]
 fn a_path_that_no_tree_has_leads_to_no_root() {
     let own_leaf = leaf(1, &[7; 16]);
-    assert!(root_from(own_leaf, 0, &[]).is_some());
-    assert_eq!(root_from(own_leaf, 1, &[]), None);
-    assert_eq!(root_from(own_leaf, 4, &[[0; 32]; 2]), None);
-    assert!(root_from(own_leaf, 0, &[[0; 32]; MAX_DEPTH]).is_some());
-    assert_eq!(root_from(own_leaf, 0, &[[0; 32]; MAX_DEPTH + 1]), None);
-    assert_eq!(root_from(own_leaf, u32::MAX, &[[0; 32]; 64]), None);
+    assert!(root_of_path(own_leaf, 0, &[]).is_some());
+    assert_eq!(root_of_path(own_leaf, 1, &[]), None);
+    assert_eq!(root_of_path(own_leaf, 4, &[[0; 32]; 2]), None);
+    assert!(root_of_path(own_leaf, 0, &[[0; 32]; MAX_DEPTH]).is_some());
+    assert_eq!(root_of_path(own_leaf, 0, &[[0; 32]; MAX_DEPTH + 1]), None);
+    assert_eq!(root_of_path(own_leaf, u32::MAX, &[[0; 32]; 64]), None);
 }
 
 #[test]
@@ -130,5 +132,5 @@
 #[test]
 fn the_bound_is_a_lease_on_the_slowest_clock_plus_the_activation_delay() {
     assert_eq!(LEASE, Duration::from_secs(6));
-    assert_eq!(bound(Duration::from_millis(250)), Duration::from_millis(6060 + 250));
+    assert_eq!(contradiction_bound(Duration::from_millis(250)), Duration::from_millis(6060 + 250));
 }
--- a/crates/distribution/src/tests/log.rs
+++ b/crates/distribution/src/tests/log.rs
@@ -5,7 +5,7 @@
 use super::edits::{plain, put, removal, AnyEdit};
 use super::sample::{certificate, summary};
 use crate::log::{DeltaLog, Limits};
-use crate::message::{encode, ToWatcher, LONGEST_FROM_RELAY};
+use crate::message::{encode, ToWatcher, MAX_RELAY_BODY_BYTES};
 use crate::state::{Edit, State};
 
 const ROOMY: Limits = Limits { revisions: 100, bytes: 1 << 20 };
@@ -64,7 +64,7 @@
         base_root: [0; 32],
         edits,
     };
-    assert!(encode(&delta).len() < LONGEST_FROM_RELAY);
+    assert!(encode(&delta).len() < MAX_RELAY_BODY_BYTES);
 }
 
 /// A delta on another base than the one that it is of gives another root, by which whoever takes it sees that.
--- a/crates/distribution/src/tests/message.rs
+++ b/crates/distribution/src/tests/message.rs
@@ -10,7 +10,7 @@
 use super::edits::title_value;
 use super::sample::{delta, lease_proof, peer_message, to_relay, to_watcher};
 use crate::message::{
-    decode, encode, FrameFault, PeerMessage, ToRelay, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, FrameFault, PeerMessage, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use crate::state::Edit;
 
@@ -44,9 +44,9 @@
 
 #[test]
 fn messages_are_decoded_unchanged() {
-    check_messages::<ToRelay>(to_relay(), LONGEST_FROM_WATCHER);
-    check_messages::<ToWatcher>(to_watcher(), LONGEST_FROM_RELAY);
-    check_messages::<PeerMessage>(peer_message(), LONGEST_FROM_RELAY);
+    check_messages::<ToRelay>(to_relay(), MAX_WATCHER_BODY_BYTES);
+    check_messages::<ToWatcher>(to_watcher(), MAX_RELAY_BODY_BYTES);
+    check_messages::<PeerMessage>(peer_message(), MAX_RELAY_BODY_BYTES);
 }
 
 /// A frame that is too long or of another version is refused before its body has arrived.
@@ -58,7 +58,7 @@
     let longest_frame = frame(&vec![0xff; max_body]);
     assert_eq!(decode::<ToRelay>(&longest_frame, max_body), Err(FrameFault::Body));
     for other in [&b"\0\0\0\x09bd2"[..], b"\0\0\0\x09b\0", b"\0\0\0\x09x", b"\0\0\0\x02bd", b"\0\0\0\0"] {
-        assert_eq!(decode::<ToRelay>(other, max_body), Err(FrameFault::Mark));
+        assert_eq!(decode::<ToRelay>(other, max_body), Err(FrameFault::Version));
     }
     assert_eq!(decode::<ToRelay>(b"\0\0\0\x09bd1", max_body), Ok(None));
     assert_eq!(decode::<ToRelay>(&frame(b""), max_body), Err(FrameFault::Body));
@@ -68,7 +68,7 @@
 #[test]
 fn announced_lengths_are_not_trusted() {
     let get_groups_of_many = [4, 0xff, 0xff, 0xff, 0xff, 0x0f];
-    assert_eq!(decode::<ToRelay>(&frame(&get_groups_of_many), LONGEST_FROM_WATCHER), Err(FrameFault::Body));
+    assert_eq!(decode::<ToRelay>(&frame(&get_groups_of_many), MAX_WATCHER_BODY_BYTES), Err(FrameFault::Body));
 }
 
 #[test]
@@ -78,10 +78,10 @@
         let mut bytes = encode(&messages[sample % messages.len()]);
         let body = bytes.len() - HEADER_BYTES;
         bytes[HEADER_BYTES + offset % body] = byte;
-        match decode::<ToWatcher>(&bytes, LONGEST_FROM_RELAY) {
+        match decode::<ToWatcher>(&bytes, MAX_RELAY_BODY_BYTES) {
             Ok(Some((message, used))) => {
                 used == bytes.len()
-                    && decode(&encode(&message), LONGEST_FROM_RELAY).is_ok_and(|again| {
+                    && decode(&encode(&message), MAX_RELAY_BODY_BYTES).is_ok_and(|again| {
                         again.is_some_and(|(again, _): (ToWatcher, usize)| again == message)
                     })
             }
@@ -98,17 +98,21 @@
 fn messages_are_small() {
     let title = |number| Edit { key: format!("title {number:08}"), value: Some(title_value(number)) };
     let goes = to_watcher().into_iter().find_map(|message| match message {
-        ToWatcher::Activate { goes, .. } => Some([goes[0]; 4].to_vec()),
+        ToWatcher::Activate { activation_grants: goes, .. } => Some([goes[0]; 4].to_vec()),
         _ => None,
     });
     let from_relay = [
         ("delta of 10 titles, certificate of 4 votes", delta((0..10).map(title).collect()), 1300),
         ("delta of 1 title, certificate of 4 votes", delta(vec![title(1)]), 750),
-        ("activation grants of 4 acceptors", ToWatcher::Activate { number: 12, goes: goes.unwrap() }, 450),
+        (
+            "activation grants of 4 acceptors",
+            ToWatcher::Activate { number: 12, activation_grants: goes.unwrap() },
+            450,
+        ),
         ("lease among 308 watchers, 4 grants", ToWatcher::Lease(lease_proof(308, 4)), 750),
     ];
     let from_watcher = [
-        ("lease request", ToRelay::AskLease { nonce: [5; 16], active: 1_000_000 }, 30),
+        ("lease request", ToRelay::RequestLease { nonce: [5; 16], active: 1_000_000 }, 30),
         ("prepared", ToRelay::Prepared { number: 1_000_000 }, 12),
     ];
     let from_relay = from_relay.map(|(name, message, max_length)| (name, encode(&message).len(), max_length));
@@ -135,7 +139,7 @@
     assert_eq!(from_relay, [0, 1, 2, 3, 4, 5, 6, 7, 8, 8, 9, 10, 11]);
     let from_peers: Vec<u8> = peer_message().iter().map(|message| variant_number(&encode(message))).collect();
     assert_eq!(from_peers, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]);
-    let mut unknown = encode(&ToRelay::GetApart);
+    let mut unknown = encode(&ToRelay::GetPartitionStatus);
     unknown[HEADER_BYTES] = 10;
-    assert_eq!(decode::<ToRelay>(&unknown, LONGEST_FROM_WATCHER), Err(FrameFault::Body));
+    assert_eq!(decode::<ToRelay>(&unknown, MAX_WATCHER_BODY_BYTES), Err(FrameFault::Body));
 }
--- a/crates/distribution/src/tests/net.rs
+++ b/crates/distribution/src/tests/net.rs
@@ -261,7 +261,7 @@
         let config = WatcherConfig {
             controller: me,
             relays: seat.relays.len(),
-            late: LATE,
+            activation_delay: LATE,
             regional: !self.apart.is_zero(),
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
@@ -269,7 +269,7 @@
         let stored = watcher::Stored::read(&seat.disk).ok();
         let now = self.now.mul_f64(seat.pace);
         seat.watcher = Some(Watcher::new(hand, config, own, stored, seed, now));
-        self.with_watcher(me, |watcher, now, out| watcher.tend(now, out));
+        self.with_watcher(me, |watcher, now, out| watcher.poll(now, out));
     }
 
     /// Kills a watcher, with or without its disk.
@@ -343,7 +343,7 @@
             message => message,
         };
         self.seen.sent_to_peer(&message);
-        if let PeerMessage::AskRegionalGrant { root } = message {
+        if let PeerMessage::RequestRegionalGrant { root } = message {
             self.vouch_falsely(to, from, root);
         }
         let frame = message::encode(&message);
@@ -404,7 +404,9 @@
         }
         self.look_at_watcher(me);
         let seat = &mut self.watchers[me as usize];
-        let Some(due) = seat.watcher.as_ref().map(|watcher| watcher.next_due().div_f64(pace)) else { return };
+        let Some(due) = seat.watcher.as_ref().map(|watcher| watcher.next_poll_at().div_f64(pace)) else {
+            return;
+        };
         if due < seat.due {
             seat.due = due.max(self.now + Duration::from_millis(1));
             let (at, life) = (seat.due, seat.life);
@@ -521,7 +523,7 @@
                 if life < self.machines[usize::from(from)].life {
                     return;
                 }
-                let message = decoded(&frame, message::LONGEST_FROM_RELAY);
+                let message = decoded(&frame, message::MAX_RELAY_BODY_BYTES);
                 self.with_machine(to, |machine, now, out| machine.peer_message(now, from, message, out));
             }
             Event::TendMachine(me, life) => {
@@ -533,7 +535,7 @@
             Event::TendWatcher(me, life) => {
                 if self.watchers[me as usize].life == life {
                     self.watchers[me as usize].due = Duration::MAX;
-                    self.with_watcher(me, Watcher::tend);
+                    self.with_watcher(me, Watcher::poll);
                 }
             }
             Event::Stream(connection) => self.pump(connection),
--- a/crates/distribution/src/tests/net/checks.rs
+++ b/crates/distribution/src/tests/net/checks.rs
@@ -8,7 +8,7 @@
 use super::{Net, Node};
 use crate::change::{Batch, ChangeId, Rejection, Summary};
 use crate::control::{ConnectionId, ControlMachine};
-use crate::lease::bound;
+use crate::lease::contradiction_bound;
 use crate::message::{PeerMessage, ToWatcher};
 use crate::{digest, ControllerId, Digest, MachineId, Number};
 
@@ -75,7 +75,7 @@
     pub fn sent_to_peer(&mut self, message: &PeerMessage) {
         let word = match message {
             PeerMessage::Agreement(bytes) => Message::read(bytes),
-            PeerMessage::AskRegionalGrant { .. } | PeerMessage::RegionalGrant(_) => {
+            PeerMessage::RequestRegionalGrant { .. } | PeerMessage::RegionalGrant(_) => {
                 self.apart_messages += 1;
                 None
             }
@@ -174,8 +174,8 @@
         for (number, roots) in self.roots.iter().filter(|(_, roots)| roots.len() > 1) {
             faults.push(format!("{} states of revision {number}", roots.len()));
         }
-        if self.longest > bound(LATE) {
-            faults.push(format!("contradicting for {:?} of {:?}", self.longest, bound(LATE)));
+        if self.longest > contradiction_bound(LATE) {
+            faults.push(format!("contradicting for {:?} of {:?}", self.longest, contradiction_bound(LATE)));
         }
         let applied = self.applied();
         for (id, numbers) in applied.iter().filter(|(_, numbers)| numbers.len() > 1) {
@@ -227,7 +227,7 @@
             return;
         }
         let acting = watcher.acting(self.now.mul_f64(seat.pace));
-        if acting.held.is_some() && !self.broken.no_lease {
+        if acting.hold_reason.is_some() && !self.broken.no_lease {
             return;
         }
         self.seen.acted.entry(acting.active).or_insert(self.now);
@@ -245,7 +245,7 @@
     pub fn active(&self) -> Vec<Option<Number>> {
         let acting = |seat: &super::WatcherSeat| {
             let acting = seat.watcher.as_ref()?.acting(self.now.mul_f64(seat.pace));
-            acting.held.is_none().then_some(acting.active)
+            acting.hold_reason.is_none().then_some(acting.active)
         };
         self.watchers.iter().map(acting).collect()
     }
--- a/crates/distribution/src/tests/net/streams.rs
+++ b/crates/distribution/src/tests/net/streams.rs
@@ -127,7 +127,7 @@
             let relays: Vec<usize> = self.watchers[me as usize].connections.keys().copied().collect();
             for relay in relays {
                 self.watchers[me as usize].connections.remove(&relay);
-                self.with_watcher(me, |watcher, now, out| watcher.closed(now, relay, out));
+                self.with_watcher(me, |watcher, now, out| watcher.on_closed(now, relay, out));
             }
         }
     }
@@ -214,7 +214,7 @@
             (Way::Down, _) => {
                 if let Item::Frame(frame) = item {
                     if let ToWatcher::PushOutcome { outcome, .. } =
-                        decoded(&frame, message::LONGEST_FROM_RELAY)
+                        decoded(&frame, message::MAX_RELAY_BODY_BYTES)
                     {
                         self.told(id, outcome);
                     }
@@ -232,14 +232,14 @@
                 self.with_machine(machine, |machine, now, out| machine.watcher_opened(now, id, out));
                 if let Node::Watcher(me) = client {
                     if self.watchers[me as usize].connections.get(&relay) == Some(&id) {
-                        self.with_watcher(me, |watcher, now, out| watcher.opened(now, relay, out));
+                        self.with_watcher(me, |watcher, now, out| watcher.on_connected(now, relay, out));
                     }
                 }
             }
             // Nobody listens there.
             Item::Open => self.close_stream(id, Node::Machine(machine)),
             Item::Frame(frame) => {
-                let message = decoded(&frame, message::LONGEST_FROM_WATCHER);
+                let message = decoded(&frame, message::MAX_WATCHER_BODY_BYTES);
                 self.with_machine(machine, |machine, now, out| {
                     machine.watcher_message(now, id, message, out)
                 });
@@ -254,12 +254,12 @@
         }
         match item {
             Item::Frame(frame) => {
-                let message = decoded(&frame, message::LONGEST_FROM_RELAY);
-                self.with_watcher(me, |watcher, now, out| watcher.heard(now, relay, message, out));
+                let message = decoded(&frame, message::MAX_RELAY_BODY_BYTES);
+                self.with_watcher(me, |watcher, now, out| watcher.on_message(now, relay, message, out));
             }
             Item::Close => {
                 self.watchers[me as usize].connections.remove(&relay);
-                self.with_watcher(me, |watcher, now, out| watcher.closed(now, relay, out));
+                self.with_watcher(me, |watcher, now, out| watcher.on_closed(now, relay, out));
             }
             Item::Open => {}
         }
--- a/crates/distribution/src/tests/relay.rs
+++ b/crates/distribution/src/tests/relay.rs
@@ -230,7 +230,7 @@
     let hello = ToRelay::Hello { controller: 1, active: 0, held: 0, root };
     let wrong = [
         ToRelay::Prepared { number: 1 },
-        ToRelay::AskLease { nonce: [1; 16], active: 0 },
+        ToRelay::RequestLease { nonce: [1; 16], active: 0 },
         ToRelay::GetGroups { groups: vec![0] },
         ToRelay::Unfit { number: 1, reason: String::new() },
     ];
@@ -267,7 +267,7 @@
     for second in 0..32u8 {
         // Both ask for leases; the second one never says to have the revision.
         for connection in [1, 2] {
-            rig.say(connection, ToRelay::AskLease { nonce: [second; 16], active: 0 });
+            rig.say(connection, ToRelay::RequestLease { nonce: [second; 16], active: 0 });
         }
         rig.run(1.0);
     }
@@ -314,7 +314,7 @@
     let mut rig = Rig::small();
     (1..=9).for_each(|connection| rig.watcher(connection));
     rig.run(0.3);
-    (1..=9u8).for_each(|n| rig.say(n.into(), ToRelay::AskLease { nonce: [n; 16], active: 0 }));
+    (1..=9u8).for_each(|n| rig.say(n.into(), ToRelay::RequestLease { nonce: [n; 16], active: 0 }));
     rig.run(0.3);
     let hand = DigestHand::new(0, 1);
     let mut roots = std::collections::BTreeSet::new();
@@ -339,7 +339,7 @@
     rig.push(vec![put("title 1", "a")]);
     assert_eq!(rig.status().active, 1);
     rig.take(1);
-    rig.say(1, ToRelay::AskLease { nonce: [1; 16], active: 0 });
+    rig.say(1, ToRelay::RequestLease { nonce: [1; 16], active: 0 });
     rig.run(2.0);
     let sent = rig.take(1);
     let behind = sent.iter().any(|message| match message {
@@ -400,7 +400,7 @@
         let mut rig = Rig { machine, now, sent, closed, pushes: 0 };
         rig.watcher(1);
         rig.run(0.3);
-        rig.say(1, ToRelay::AskLease { nonce: [1; 16], active: 0 });
+        rig.say(1, ToRelay::RequestLease { nonce: [1; 16], active: 0 });
         rig.run(0.3);
         let root = NonceTree::new(vec![leaf(1, &[1; 16])]).root();
         let proof_of = |sent: Vec<ToWatcher>| {
--- a/crates/distribution/src/tests/sample.rs
+++ b/crates/distribution/src/tests/sample.rs
@@ -7,7 +7,7 @@
 use super::hand::{sign_as_author, DigestHand};
 use crate::change::{Change, ChangeId, Rejection, Summary};
 use crate::lease::{leaf, Grant, LeaseProof, NonceTree};
-use crate::message::{ApartStatus, PeerMessage, ToRelay, ToWatcher};
+use crate::message::{PartitionStatus, PeerMessage, ToRelay, ToWatcher};
 use crate::regional::{RegionalGrant, RegionalProof};
 use crate::state::Edit;
 use crate::{Certified, MachineId, Number, Signed, Signer};
@@ -64,13 +64,13 @@
         ToRelay::Hello { controller: 7399, active: 11, held: 12, root: [1; 32] },
         ToRelay::Prepared { number: 12 },
         ToRelay::Unfit { number: 12, reason: "no such section".to_owned() },
-        ToRelay::AskLease { nonce: [5; 16], active: 12 },
+        ToRelay::RequestLease { nonce: [5; 16], active: 12 },
         ToRelay::GetGroups { groups: vec![0, 63] },
         ToRelay::GetBuckets { buckets: vec![0, 4095] },
         ToRelay::Push(change(1, 2, 11, vec![put("a", "1"), removal("b")])),
         ToRelay::GetStatus,
-        ToRelay::AskRegionalLease { nonce: [5; 16], active: 12 },
-        ToRelay::GetApart,
+        ToRelay::RequestRegionalLease { nonce: [5; 16], active: 12 },
+        ToRelay::GetPartitionStatus,
     ]
 }
 
@@ -86,13 +86,16 @@
         ToWatcher::Snapshot { certificate: certificate(4), summary: summary(), groups: vec![[6; 32]; 64] },
         ToWatcher::Group { group: 1, buckets: vec![(64, [7; 32]), (127, [8; 32])] },
         ToWatcher::Bucket { bucket: 64, entries: vec![entry("a", b"1")] },
-        ToWatcher::Activate { number: 12, goes: vec![go] },
+        ToWatcher::Activate { number: 12, activation_grants: vec![go] },
         ToWatcher::Lease(lease_proof(308, 4)),
         ToWatcher::PushOutcome { change: id, outcome: Ok(12) },
         ToWatcher::PushOutcome { change: id, outcome: Err(rejection) },
         ToWatcher::Status(Box::default()),
         ToWatcher::RegionalLease(regional_proof(&[0, 1])),
-        ToWatcher::Apart(Box::new(ApartStatus { waits_ms: vec![(3, 1000)], ..ApartStatus::default() })),
+        ToWatcher::PartitionStatus(Box::new(PartitionStatus {
+            waits_ms: vec![(3, 1000)],
+            ..PartitionStatus::default()
+        })),
     ]
 }
 
@@ -107,11 +110,11 @@
         PeerMessage::GetState { held: 11, root: [4; 32] },
         PeerMessage::State(Box::new(ToWatcher::Status(Box::default()))),
         PeerMessage::GetParts { groups: vec![1], buckets: vec![64] },
-        PeerMessage::AskGrant { root: [1; 32] },
+        PeerMessage::RequestGrant { root: [1; 32] },
         PeerMessage::Grant(grant),
         PeerMessage::Forward { change: change(1, 2, 11, vec![removal("b")]) },
         PeerMessage::Outcome { change: id, outcome: Err(Rejection::Unknown) },
-        PeerMessage::AskRegionalGrant { root: [1; 32] },
+        PeerMessage::RequestRegionalGrant { root: [1; 32] },
         PeerMessage::RegionalGrant(regional_proof(&[0]).grants[0]),
     ]
 }
--- a/crates/distribution/src/tests/state.rs
+++ b/crates/distribution/src/tests/state.rs
@@ -6,8 +6,8 @@
 
 use super::edits::{entry, plain, put, removal, titles, AnyEdit};
 use crate::state::{
-    bucket_digest, bucket_of, group_digest, root_of_groups, Edit, Entry, State, StateFault, BUCKETS, GROUP,
-    GROUPS, LARGEST_BUCKET, LONGEST_KEY, LONGEST_VALUE, MOST_ENTRIES,
+    bucket_digest, bucket_of, group_digest, root_of_groups, Edit, Entry, State, StateFault, BUCKETS,
+    BUCKETS_PER_GROUP, GROUPS, MAX_BUCKET_BYTES, MAX_ENTRIES, MAX_KEY_BYTES, MAX_VALUE_BYTES,
 };
 
 /// Returns the reason why edits are rejected, and checks that nothing has changed then.
@@ -49,10 +49,10 @@
 #[test]
 fn keys_and_values_out_of_bounds_are_refused() {
     let state = titles(3);
-    let long_key = "k".repeat(LONGEST_KEY + 1);
+    let long_key = "k".repeat(MAX_KEY_BYTES + 1);
     assert_eq!(rejection_of(&state, &[put("good", "1"), put("", "1")]), StateFault::KeyLength(0));
-    assert_eq!(rejection_of(&state, &[removal(&long_key)]), StateFault::KeyLength(LONGEST_KEY + 1));
-    let long_value = "v".repeat(LONGEST_VALUE + 1);
+    assert_eq!(rejection_of(&state, &[removal(&long_key)]), StateFault::KeyLength(MAX_KEY_BYTES + 1));
+    let long_value = "v".repeat(MAX_VALUE_BYTES + 1);
     let length = long_value.len();
     let fault = StateFault::ValueLength { key: "k".to_owned(), length };
     assert_eq!(rejection_of(&state, &[put("good", "1"), put("k", &long_value)]), fault);
@@ -66,16 +66,16 @@
 
 #[test]
 fn a_bucket_and_a_state_that_grow_too_large_are_refused() {
-    let value = "v".repeat(LONGEST_VALUE);
+    let value = "v".repeat(MAX_VALUE_BYTES);
     let edits: Vec<Edit> = keys_of_bucket(7).take(8).map(|key| put(&key, &value)).collect();
     let mut state = State::new();
     state.apply(&edits[..7]).unwrap();
-    let length = edits.iter().map(|edit| 8 + edit.key.len() + LONGEST_VALUE).sum();
-    assert!(length > LARGEST_BUCKET);
+    let length = edits.iter().map(|edit| 8 + edit.key.len() + MAX_VALUE_BYTES).sum();
+    assert!(length > MAX_BUCKET_BYTES);
     assert_eq!(rejection_of(&state, &edits[7..]), StateFault::BucketTooLarge { bucket: 7, length });
 
-    let many = (0..=MOST_ENTRIES).map(|number| entry(&format!("{number}"), b""));
-    assert_eq!(State::from_entries(many), Err(StateFault::TooMany(MOST_ENTRIES + 1)));
+    let many = (0..=MAX_ENTRIES).map(|number| entry(&format!("{number}"), b""));
+    assert_eq!(State::from_entries(many), Err(StateFault::TooMany(MAX_ENTRIES + 1)));
 
     let large = (0..1025).map(|number| entry(&format!("{number}"), value.as_bytes()));
     assert!(matches!(State::from_entries(large), Err(StateFault::TooLarge(_))));
@@ -96,8 +96,8 @@
         (9, vec![entry("", b"")], StateFault::KeyLength(0)),
         (
             9,
-            vec![entry(&low.key, &[0; LONGEST_VALUE + 1])],
-            StateFault::ValueLength { key: low.key.clone(), length: LONGEST_VALUE + 1 },
+            vec![entry(&low.key, &[0; MAX_VALUE_BYTES + 1])],
+            StateFault::ValueLength { key: low.key.clone(), length: MAX_VALUE_BYTES + 1 },
         ),
         (BUCKETS, vec![], StateFault::NoBucket(BUCKETS)),
     ];
@@ -117,10 +117,10 @@
     let state = titles(20);
     let bytes = state.write();
     assert_eq!(State::read(&bytes).unwrap(), state);
-    assert_eq!(State::read(b""), Err(StateFault::Mark));
-    assert_eq!(State::read(b"bds1"), Err(StateFault::Form(4)));
+    assert_eq!(State::read(b""), Err(StateFault::Version));
+    assert_eq!(State::read(b"bds1"), Err(StateFault::Malformed(4)));
     let later = [b"bds2", &bytes[4..]].concat();
-    assert_eq!(State::read(&later), Err(StateFault::Mark));
+    assert_eq!(State::read(&later), Err(StateFault::Version));
     for length in 0..bytes.len() {
         assert!(State::read(&bytes[..length]).is_err(), "truncated after {length} bytes");
     }
@@ -209,8 +209,8 @@
             let buckets = offered.group(group);
             assert_eq!(group_digest(&buckets), offered_groups[usize::from(group)]);
             let digest_of: BTreeMap<u16, _> = buckets.into_iter().collect();
-            let first = u16::from(group) * GROUP;
-            for bucket in first..first + GROUP {
+            let first = u16::from(group) * BUCKETS_PER_GROUP;
+            for bucket in first..first + BUCKETS_PER_GROUP {
                 let expected_digest = digest_of.get(&bucket).copied().unwrap_or_else(|| bucket_digest(&[]));
                 if own.bucket_digest(bucket) != expected_digest {
                     let entries = offered.bucket(bucket);
--- a/crates/distribution/src/tests/transfer.rs
+++ b/crates/distribution/src/tests/transfer.rs
@@ -3,8 +3,10 @@
 use quickcheck::QuickCheck;
 
 use super::edits::{entry, plain, put, titles, AnyEdit};
-use crate::state::{Entry, State, GROUP};
-use crate::transfer::{PartRequest, Progress, Taken, Transfer, TransferFault, BUCKET_WINDOW, GROUP_WINDOW};
+use crate::state::{Entry, State, BUCKETS_PER_GROUP};
+use crate::transfer::{
+    PartOutcome, PartRequest, Progress, Transfer, TransferFault, BUCKET_WINDOW, GROUP_WINDOW,
+};
 
 fn begin(own: &State, target: &State) -> Transfer {
     Transfer::begin(own.clone(), target.root(), &target.group_digests()).unwrap()
@@ -20,14 +22,14 @@
                 assert!(groups.len() <= GROUP_WINDOW);
                 parts += groups.len();
                 for group in groups {
-                    transfer.take_group(group, source.group(group)).unwrap();
+                    transfer.receive_group(group, source.group(group)).unwrap();
                 }
             }
             PartRequest::Buckets(buckets) => {
                 assert!(buckets.len() <= BUCKET_WINDOW);
                 parts += buckets.len();
                 for bucket in buckets {
-                    transfer.take_bucket(bucket, source.bucket(bucket)).unwrap();
+                    transfer.receive_bucket(bucket, source.bucket(bucket)).unwrap();
                 }
             }
         }
@@ -48,7 +50,7 @@
         for request in requests {
             match request {
                 PartRequest::Groups(groups) => groups.iter().for_each(|group| {
-                    transfer.take_group(*group, source.group(*group)).unwrap();
+                    transfer.receive_group(*group, source.group(*group)).unwrap();
                 }),
                 PartRequest::Buckets(buckets) => return buckets,
             }
@@ -78,8 +80,12 @@
     let mut transfer = begin(&own, &target);
     assert_eq!(complete(&mut transfer, &target), 4);
     assert_eq!(transfer.finished(), Some(&target));
-    let Progress { buckets_taken, bytes_taken, .. } = transfer.progress();
-    assert!(buckets_taken == 2 && bytes_taken < 2 * 20_000 * 80 / 4096 * 3, "{:?}", transfer.progress());
+    let Progress { buckets_received, bytes_received, .. } = transfer.progress();
+    assert!(
+        buckets_received == 2 && bytes_received < 2 * 20_000 * 80 / 4096 * 3,
+        "{:?}",
+        transfer.progress()
+    );
     assert_eq!(begin(&own, &own).finished(), Some(&own));
 }
 
@@ -90,13 +96,13 @@
     let first = transfer.next_requests();
     assert_eq!(first, [PartRequest::Groups((0..GROUP_WINDOW as u8).collect())]);
     assert_eq!(transfer.next_requests(), []);
-    transfer.take_group(0, target.group(0)).unwrap();
+    transfer.receive_group(0, target.group(0)).unwrap();
     let next = transfer.next_requests();
     assert!(matches!(&next[..], [PartRequest::Buckets(buckets)] if buckets.len() == BUCKET_WINDOW));
     assert_eq!(transfer.next_requests(), []);
     // More is requested once half of it arrived.
     for group in 1..GROUP_WINDOW as u8 / 2 {
-        transfer.take_group(group, target.group(group)).unwrap();
+        transfer.receive_group(group, target.group(group)).unwrap();
         let next = transfer.next_requests();
         let expected = if group == GROUP_WINDOW as u8 / 2 - 1 { GROUP_WINDOW / 2 } else { 0 };
         let requested = next.iter().map(|request| match request {
@@ -123,8 +129,8 @@
             }
         }
         match outstanding.pop_front().unwrap() {
-            Ok(bucket) => transfer.take_bucket(bucket, target.bucket(bucket)).unwrap(),
-            Err(group) => transfer.take_group(group, target.group(group)).unwrap(),
+            Ok(bucket) => transfer.receive_bucket(bucket, target.bucket(bucket)).unwrap(),
+            Err(group) => transfer.receive_group(group, target.group(group)).unwrap(),
         };
     }
     assert!(requests <= 4096 / (BUCKET_WINDOW / 2) + 64 / (GROUP_WINDOW / 2) + 2, "{requests}");
@@ -150,30 +156,33 @@
 fn unrequested_duplicate_or_altered_parts_are_refused() {
     let target = titles(20_000);
     let mut transfer = begin(&State::new(), &target);
-    assert_eq!(transfer.take_group(0, target.group(0)), Err(TransferFault::UnaskedGroup(0)));
-    assert_eq!(transfer.take_bucket(0, target.bucket(0)), Err(TransferFault::UnaskedBucket(0)));
+    assert_eq!(transfer.receive_group(0, target.group(0)), Err(TransferFault::UnrequestedGroup(0)));
+    assert_eq!(transfer.receive_bucket(0, target.bucket(0)), Err(TransferFault::UnrequestedBucket(0)));
     transfer.next_requests();
     let mut incomplete = target.group(0);
     incomplete.pop();
-    assert_eq!(transfer.take_group(0, incomplete), Err(TransferFault::GroupDigest(0)));
-    let outside = vec![(GROUP, [0; 32])];
-    assert_eq!(transfer.take_group(0, outside), Err(TransferFault::GroupBucket { group: 0, bucket: GROUP }));
+    assert_eq!(transfer.receive_group(0, incomplete), Err(TransferFault::GroupDigest(0)));
+    let outside = vec![(BUCKETS_PER_GROUP, [0; 32])];
+    assert_eq!(
+        transfer.receive_group(0, outside),
+        Err(TransferFault::GroupBucket { group: 0, bucket: BUCKETS_PER_GROUP })
+    );
     let twice = vec![target.group(0)[0]; 2];
     let bucket = twice[0].0;
-    assert_eq!(transfer.take_group(0, twice), Err(TransferFault::GroupBucket { group: 0, bucket }));
-    assert_eq!(transfer.take_group(200, vec![]), Err(TransferFault::UnaskedGroup(200)));
-    transfer.take_group(0, target.group(0)).unwrap();
-    assert_eq!(transfer.take_group(0, target.group(0)), Err(TransferFault::UnaskedGroup(0)));
+    assert_eq!(transfer.receive_group(0, twice), Err(TransferFault::GroupBucket { group: 0, bucket }));
+    assert_eq!(transfer.receive_group(200, vec![]), Err(TransferFault::UnrequestedGroup(200)));
+    transfer.receive_group(0, target.group(0)).unwrap();
+    assert_eq!(transfer.receive_group(0, target.group(0)), Err(TransferFault::UnrequestedGroup(0)));
 
     let bucket = first_buckets(&mut transfer, &target)[0];
     let mut altered = target.bucket(bucket);
     altered[0].value.push(0);
-    assert_eq!(transfer.take_bucket(bucket, altered), Err(TransferFault::BucketDigest(bucket)));
-    assert_eq!(transfer.take_bucket(bucket, vec![]), Err(TransferFault::BucketDigest(bucket)));
-    transfer.take_bucket(bucket, target.bucket(bucket)).unwrap();
-    let again = transfer.take_bucket(bucket, target.bucket(bucket));
-    assert_eq!(again, Err(TransferFault::UnaskedBucket(bucket)));
-    assert_eq!(transfer.take_bucket(5000, vec![]), Err(TransferFault::UnaskedBucket(5000)));
+    assert_eq!(transfer.receive_bucket(bucket, altered), Err(TransferFault::BucketDigest(bucket)));
+    assert_eq!(transfer.receive_bucket(bucket, vec![]), Err(TransferFault::BucketDigest(bucket)));
+    transfer.receive_bucket(bucket, target.bucket(bucket)).unwrap();
+    let again = transfer.receive_bucket(bucket, target.bucket(bucket));
+    assert_eq!(again, Err(TransferFault::UnrequestedBucket(bucket)));
+    assert_eq!(transfer.receive_bucket(5000, vec![]), Err(TransferFault::UnrequestedBucket(5000)));
 }
 
 /// A bucket with the certified digest whose keys belong to another bucket. Only acceptors could have
@@ -183,15 +192,15 @@
     let foreign: Vec<Entry> = vec![entry("a", b"1")];
     let bucket = (crate::state::bucket_of("a") + 1) % 4096;
     let listed = vec![(bucket, crate::state::bucket_digest(&foreign))];
-    let group = (bucket / GROUP) as u8;
+    let group = (bucket / BUCKETS_PER_GROUP) as u8;
     let mut groups = State::new().group_digests();
     groups[usize::from(group)] = crate::state::group_digest(&listed);
     let root = crate::state::root_of_groups(&groups).unwrap();
     let mut transfer = Transfer::begin(State::new(), root, &groups).unwrap();
     transfer.next_requests();
-    transfer.take_group(group, listed).unwrap();
+    transfer.receive_group(group, listed).unwrap();
     transfer.next_requests();
-    let taken = transfer.take_bucket(bucket, foreign);
+    let taken = transfer.receive_bucket(bucket, foreign);
     assert!(matches!(taken, Err(TransferFault::BucketState { .. })), "{taken:?}");
     assert_eq!(transfer.finished(), None);
 }
@@ -221,7 +230,7 @@
     new.apply(&[put("title 00000007", "other"), put("new", "1")]).unwrap();
     let mut transfer = begin(&State::new(), &old);
     for _ in 0..10_000 {
-        if transfer.progress().buckets_taken < 2000 {
+        if transfer.progress().buckets_received < 2000 {
             answer(&mut transfer, &old);
         }
     }
@@ -229,11 +238,11 @@
     transfer.retarget(new.root(), &new.group_digests()).unwrap();
     // An answer to an earlier request may arrive once, and is refused the second time.
     let outdated = outstanding[0];
-    assert_eq!(transfer.take_bucket(outdated, old.bucket(outdated)), Ok(Taken::Outdated));
-    let twice = transfer.take_bucket(outdated, old.bucket(outdated));
-    assert_eq!(twice, Err(TransferFault::UnaskedBucket(outdated)));
+    assert_eq!(transfer.receive_bucket(outdated, old.bucket(outdated)), Ok(PartOutcome::Outdated));
+    let twice = transfer.receive_bucket(outdated, old.bucket(outdated));
+    assert_eq!(twice, Err(TransferFault::UnrequestedBucket(outdated)));
     complete(&mut transfer, &new);
     assert_eq!(transfer.finished(), Some(&new));
     let all: usize = (0..64).map(|group| new.group(group).len()).sum();
-    assert!(transfer.progress().buckets_taken <= all + 2, "{:?} of {all}", transfer.progress());
+    assert!(transfer.progress().buckets_received <= all + 2, "{:?} of {all}", transfer.progress());
 }
--- a/crates/distribution/src/tests/watcher/harness.rs
+++ b/crates/distribution/src/tests/watcher/harness.rs
@@ -39,7 +39,14 @@
         None => Ok(()),
     };
     let (check, nonce) = (Box::new(check), Box::new(nonce));
-    WatcherConfig { controller: CONTROLLER, relays, late: ACTIVATION_DELAY, regional: false, check, nonce }
+    WatcherConfig {
+        controller: CONTROLLER,
+        relays,
+        activation_delay: ACTIVATION_DELAY,
+        regional: false,
+        check,
+        nonce,
+    }
 }
 
 /// A watcher with its clock and its disk.
@@ -83,7 +90,7 @@
             match output {
                 WatcherOutput::Store(StoreRequest::Replace(bytes)) => self.disk = bytes.clone(),
                 WatcherOutput::Store(StoreRequest::Append(bytes)) => self.disk.extend_from_slice(bytes),
-                WatcherOutput::Send(relay, ToRelay::AskLease { nonce, .. }) => {
+                WatcherOutput::Send(relay, ToRelay::RequestLease { nonce, .. }) => {
                     self.nonces.push((*relay, *nonce));
                 }
                 _ => {}
@@ -94,17 +101,17 @@
 
     /// Delivers a message from a relay.
     pub fn receive(&mut self, relay: usize, message: ToWatcher) -> Vec<WatcherOutput> {
-        self.call(&mut |watcher, now, out| watcher.heard(now, relay, message.clone(), out))
+        self.call(&mut |watcher, now, out| watcher.on_message(now, relay, message.clone(), out))
     }
 
     /// Reports that the connection to a relay is open.
     pub fn open(&mut self, relay: usize) -> Vec<WatcherOutput> {
-        self.call(&mut |watcher, now, out| watcher.opened(now, relay, out))
+        self.call(&mut |watcher, now, out| watcher.on_connected(now, relay, out))
     }
 
     /// Reports that the connection to a relay closed.
     pub fn close(&mut self, relay: usize) -> Vec<WatcherOutput> {
-        self.call(&mut |watcher, now, out| watcher.closed(now, relay, out))
+        self.call(&mut |watcher, now, out| watcher.on_closed(now, relay, out))
     }
 
     /// Advances the clock by this duration, and calls the watcher whenever work is due.
@@ -112,15 +119,15 @@
         let until = self.now + duration;
         let mut outputs = Vec::new();
         for _ in 0..10_000 {
-            let due = self.watcher.next_due();
+            let due = self.watcher.next_poll_at();
             if due > until {
                 break;
             }
             assert!(due >= self.now || outputs.is_empty(), "due in the past, at {due:?}, now {:?}", self.now);
             self.now = self.now.max(due);
-            outputs.extend(self.call(&mut |watcher, now, out| watcher.tend(now, out)));
+            outputs.extend(self.call(&mut |watcher, now, out| watcher.poll(now, out)));
         }
-        assert!(self.watcher.next_due() > until, "the watcher is due again and again");
+        assert!(self.watcher.next_poll_at() > until, "the watcher is due again and again");
         self.now = until;
         outputs
     }
@@ -177,7 +184,7 @@
 
     /// Why the watcher withholds decisions that depend on exclusive keys.
     pub fn hold_reason(&self) -> Option<HoldReason> {
-        self.watcher.acting(self.now).held
+        self.watcher.acting(self.now).hold_reason
     }
 
     /// The active and the prepared revision.
@@ -209,7 +216,7 @@
 
 /// The activation grants of a quorum for a version.
 pub fn activate(version: &Version) -> ToWatcher {
-    ToWatcher::Activate { number: version.number(), goes: version.goes(a_quorum()) }
+    ToWatcher::Activate { number: version.number(), activation_grants: version.goes(a_quorum()) }
 }
 
 /// Whether the connection to a relay is closed.
--- a/crates/distribution/src/tests/watcher/lease_simulation.rs
+++ b/crates/distribution/src/tests/watcher/lease_simulation.rs
@@ -15,7 +15,7 @@
 use super::super::edits::put;
 use super::super::hand::DigestHand;
 use super::harness::{activate, delta, file_state, seconds, snapshot};
-use crate::lease::{bound, leaf, root_from, Grant, LeaseProof, Nonce, NonceTree, LEASE};
+use crate::lease::{contradiction_bound, leaf, root_of_path, Grant, LeaseProof, Nonce, NonceTree, LEASE};
 use crate::message::{ToRelay, ToWatcher};
 use crate::state::State;
 use crate::watcher::{HoldReason, StoreRequest, Stored, Watcher, WatcherConfig, WatcherOutput};
@@ -60,11 +60,11 @@
     ) {
         // The watcher discards nonces older than a lease when it draws another one.
         let Some(drawn_at) = self.drawn_at.remove(&proof.nonce) else { return };
-        let root = root_from(leaf(controller, &proof.nonce), proof.index, &proof.path);
+        let root = root_of_path(leaf(controller, &proof.nonce), proof.index, &proof.path);
         let counts = |grant: &&Grant| {
             let has_root = Some(grant.root) == root || disabled_rule == DisabledRule::NoPath;
             let allows_active = grant.allowed <= active || disabled_rule == DisabledRule::HigherAllowed;
-            has_root && allows_active && grant.holds(&hand(100))
+            has_root && allows_active && grant.is_valid(&hand(100))
         };
         let mut acceptors: Vec<MachineId> =
             proof.grants.iter().filter(counts).map(|grant| grant.acceptor).collect();
@@ -202,8 +202,14 @@
             predictable_nonce(controller, draw)
         });
         let check = Box::new(|_: &State, _: Number| Ok(()));
-        let config =
-            WatcherConfig { controller, relays: RELAY_COUNT, late: TICK, regional: false, check, nonce };
+        let config = WatcherConfig {
+            controller,
+            relays: RELAY_COUNT,
+            activation_delay: TICK,
+            regional: false,
+            check,
+            nonce,
+        };
         let stored = Stored::read(&simulated.disk).ok();
         simulated.watcher =
             Some(Watcher::new(hand(100), config, file_state(), stored, simulated.starts, now));
@@ -232,7 +238,7 @@
                 }
                 WatcherOutput::Close(relay) => self.close_connection(index, relay),
                 WatcherOutput::Send(relay, message) => {
-                    if let ToRelay::AskLease { nonce, .. } = message {
+                    if let ToRelay::RequestLease { nonce, .. } = message {
                         let lease_model = &mut self.watchers[index].lease_model;
                         lease_model.drawn_at.retain(|_, drawn_at| {
                             *drawn_at + LEASE > now || self.disabled_rule != DisabledRule::None
@@ -274,18 +280,18 @@
         match event {
             Event::Opened => {
                 self.watchers[index].is_open[relay] = true;
-                self.call(index, |watcher, now, out| watcher.opened(now, relay, out));
+                self.call(index, |watcher, now, out| watcher.on_connected(now, relay, out));
             }
             Event::Closed => {
                 self.close_connection(index, relay);
-                self.call(index, |watcher, now, out| watcher.closed(now, relay, out));
+                self.call(index, |watcher, now, out| watcher.on_closed(now, relay, out));
             }
             Event::Message(_) if !self.watchers[index].is_open[relay] => {}
             Event::Message(message) => {
                 if let ToWatcher::Lease(proof) = &*message {
                     self.update_model(index, proof);
                 }
-                self.call(index, |watcher, now, out| watcher.heard(now, relay, *message, out));
+                self.call(index, |watcher, now, out| watcher.on_message(now, relay, *message, out));
             }
             Event::Request(message) => self.handle_request(index, relay, connection, message),
         }
@@ -306,7 +312,9 @@
                 self.send(index, relay, ToWatcher::Welcome { relay: relay as u16, number });
                 self.update(index, relay, held, root);
             }
-            ToRelay::AskLease { nonce, .. } => self.pending_requests[relay].push((index, connection, nonce)),
+            ToRelay::RequestLease { nonce, .. } => {
+                self.pending_requests[relay].push((index, connection, nonce))
+            }
             ToRelay::GetGroups { groups } => self.send_parts(index, relay, |state| {
                 let group = |group: &u8| ToWatcher::Group { group: *group, buckets: state.group(*group) };
                 groups.iter().map(group).collect()
@@ -510,13 +518,13 @@
             let has_lease = simulated.lease_model.until.is_some_and(|until| now < until);
             let allowed = watcher.status(now).allowed;
             let is_held = match self.disabled_rule {
-                DisabledRule::None | DisabledRule::PredictableNonces => acting.held.is_some(),
+                DisabledRule::None | DisabledRule::PredictableNonces => acting.hold_reason.is_some(),
                 _ => allowed > acting.active || !has_lease,
             };
             if matches!(self.disabled_rule, DisabledRule::None) {
                 let expected = allowed > acting.active || !has_lease;
-                assert_eq!(acting.held.is_some(), expected, "watcher {index}: {acting:?}");
-                assert!(acting.held != Some(HoldReason::NoLease) || !has_lease);
+                assert_eq!(acting.hold_reason.is_some(), expected, "watcher {index}: {acting:?}");
+                assert!(acting.hold_reason != Some(HoldReason::NoLease) || !has_lease);
             }
             self.samples += 1;
             if is_held {
@@ -546,9 +554,9 @@
                 let due = self.watchers[index]
                     .watcher
                     .as_ref()
-                    .is_some_and(|watcher| watcher.next_due() <= self.clock(index));
+                    .is_some_and(|watcher| watcher.next_poll_at() <= self.clock(index));
                 if due && self.watchers[index].paused_until <= self.now {
-                    self.call(index, |watcher, now, out| watcher.tend(now, out));
+                    self.call(index, |watcher, now, out| watcher.poll(now, out));
                 }
             }
             self.step();
@@ -567,7 +575,7 @@
     for seed in seeds {
         let simulation = Simulation::new(seed, disabled_rule).run();
         longest_overlap = longest_overlap.max(simulation.longest_overlap);
-        over += usize::from(simulation.longest_overlap > bound(TICK));
+        over += usize::from(simulation.longest_overlap > contradiction_bound(TICK));
         (acting, samples) = (acting + simulation.acting_samples, samples + simulation.samples);
         revisions += simulation.first_acted.len();
     }
@@ -579,7 +587,7 @@
 
 fn assert_safe(seeds: std::ops::Range<u64>) {
     let (longest_overlap, over) = run_seeds(seeds, DisabledRule::None);
-    assert_eq!(over, 0, "{longest_overlap:?} over {:?}", bound(TICK));
+    assert_eq!(over, 0, "{longest_overlap:?} over {:?}", contradiction_bound(TICK));
     // The runs come close enough to the bound to be meaningful.
     assert!(longest_overlap > LEASE / 2, "{longest_overlap:?}");
 }
--- a/crates/distribution/src/tests/watcher/relay_connections.rs
+++ b/crates/distribution/src/tests/watcher/relay_connections.rs
@@ -26,7 +26,7 @@
     assert_eq!(harness.advance(Duration::ZERO), [CONNECT_0]);
     let out = harness.open(0);
     assert!(is_hello(&out[0]));
-    assert!(matches!(out[1], WatcherOutput::Send(0, ToRelay::AskLease { active: 0, .. })));
+    assert!(matches!(out[1], WatcherOutput::Send(0, ToRelay::RequestLease { active: 0, .. })));
     harness.receive(0, welcome(20, 0));
     assert_eq!(harness.watcher.status(harness.now).serving, Some((0, Some(20))));
     // A connection that was not requested is ignored.
@@ -331,7 +331,7 @@
     let mut harness = Harness::new(0);
     assert_eq!(harness.advance(seconds(100.0)), []);
     assert_eq!(
-        (harness.hold_reason(), harness.watcher.next_due()),
+        (harness.hold_reason(), harness.watcher.next_poll_at()),
         (Some(HoldReason::Unsure), Duration::MAX)
     );
 }
--- a/crates/distribution/src/tests/watcher/revisions.rs
+++ b/crates/distribution/src/tests/watcher/revisions.rs
@@ -52,11 +52,11 @@
     let nonce = harness.take_nonces(0)[0];
     harness.receive(0, ToWatcher::Lease(good_proof(CONTROLLER, nonce, 0)));
     assert!(harness.watcher.status(harness.now).lease_until <= Some(drawn_at + LEASE));
-    assert!(harness.watcher.acting(drawn_at + LEASE - seconds(0.1)).held.is_none());
-    assert_eq!(harness.watcher.acting(drawn_at + LEASE).held, Some(HoldReason::NoLease));
+    assert!(harness.watcher.acting(drawn_at + LEASE - seconds(0.1)).hold_reason.is_none());
+    assert_eq!(harness.watcher.acting(drawn_at + LEASE).hold_reason, Some(HoldReason::NoLease));
     // A proof that is older than a lease, or is received again, gives no lease.
     harness.receive(0, ToWatcher::Lease(good_proof(CONTROLLER, nonce, 0)));
-    assert_eq!(harness.watcher.acting(drawn_at + LEASE).held, Some(HoldReason::NoLease));
+    assert_eq!(harness.watcher.acting(drawn_at + LEASE).hold_reason, Some(HoldReason::NoLease));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let mut harness = Harness::with_serving_relay(1, 0);
     let requests = harness.advance_granting(0, LEASE * 10);
     let requests =
-        requests.iter().filter(|out| matches!(out, WatcherOutput::Send(_, ToRelay::AskLease { .. })));
+        requests.iter().filter(|out| matches!(out, WatcherOutput::Send(_, ToRelay::RequestLease { .. })));
     let requests = requests.count();
     assert!((29..=34).contains(&requests), "{requests}");
     assert_eq!(harness.hold_reason(), None);
@@ -117,7 +117,7 @@
     for goes in invalid {
         let mut harness = Harness::with_serving_relay(2, 1);
         harness.receive(0, delta(&one, 0, &file_state(), &edits));
-        let out = harness.receive(0, ToWatcher::Activate { number: 1, goes });
+        let out = harness.receive(0, ToWatcher::Activate { number: 1, activation_grants: goes });
         assert!(closes(&out, 0));
         assert_eq!((harness.numbers(), harness.hold_reason()), ((0, Some(1)), None));
     }
@@ -154,7 +154,7 @@
     assert!(!closes(&harness.receive(0, ToWatcher::Lease(behind)), 0));
     assert_eq!(harness.hold_reason(), None);
     assert_eq!(harness.watcher.status(harness.now).lease_until, Some(until));
-    assert_eq!(harness.watcher.acting(until).held, Some(HoldReason::Behind));
+    assert_eq!(harness.watcher.acting(until).hold_reason, Some(HoldReason::Behind));
 }
 
 #[test]
@@ -251,9 +251,12 @@
         out = next.into_iter().flat_map(|part| harness.receive(0, part)).collect();
     }
     let progress = harness.watcher.status(harness.now).transfer.unwrap();
-    assert!(progress.buckets_taken > 0 && progress.buckets_left > 0);
+    assert!(progress.buckets_received > 0 && progress.buckets_left > 0);
     harness.close(0);
-    assert_eq!(harness.watcher.status(harness.now).transfer.unwrap().buckets_taken, progress.buckets_taken);
+    assert_eq!(
+        harness.watcher.status(harness.now).transfer.unwrap().buckets_received,
+        progress.buckets_received
+    );
     harness.connect_and_welcome(1, 6);
     // The next relay already holds a later revision.
     let mut later = whole.state.clone();
@@ -444,7 +447,7 @@
 #[test]
 fn a_paused_process_learns_that_its_lease_has_expired() {
     let (mut harness, one) = active_on_first();
-    assert_eq!(harness.watcher.acting(harness.now + LEASE).held, Some(HoldReason::NoLease));
+    assert_eq!(harness.watcher.acting(harness.now + LEASE).hold_reason, Some(HoldReason::NoLease));
     harness.now += Duration::from_secs(3600);
     harness.advance(Duration::from_millis(1));
     assert_eq!((harness.hold_reason(), harness.numbers()), (Some(HoldReason::NoLease), (1, None)));
@@ -457,7 +460,7 @@
     let (one, edits) = first_revision();
     let mut ring = hand(100);
     ring.acceptors = vec![10, 11, 12];
-    harness.watcher.take_hand(ring);
+    harness.watcher.replace_signer(ring);
     assert!(closes(&harness.receive(0, delta(&one, 0, &file_state(), &edits)), 0));
 }
 
--- a/crates/distribution/src/tests/watcher/scripted_relays.rs
+++ b/crates/distribution/src/tests/watcher/scripted_relays.rs
@@ -128,11 +128,11 @@
                 self.session = Session { welcomed: true, held, root, ..Session::default() };
             }
             ToRelay::Prepared { number } => self.session.held = self.session.held.max(number),
-            ToRelay::AskLease { nonce, .. } => messages.extend(self.lease(nonce, control_plane)),
+            ToRelay::RequestLease { nonce, .. } => messages.extend(self.lease(nonce, control_plane)),
             ToRelay::GetGroups { groups } => self.session.groups.extend(groups),
             ToRelay::GetBuckets { buckets } => self.session.buckets.extend(buckets),
             ToRelay::Unfit { .. } | ToRelay::Push(_) | ToRelay::GetStatus => {}
-            ToRelay::AskRegionalLease { .. } | ToRelay::GetApart => {}
+            ToRelay::RequestRegionalLease { .. } | ToRelay::GetPartitionStatus => {}
         }
         messages.extend(self.pending_updates(control_plane));
         let mut outputs = self.apply_behaviour(messages);
@@ -164,7 +164,7 @@
 
     fn activation_grants(&self, version: &Version) -> ToWatcher {
         let acceptors = if self.behaviour == Behaviour::TooFewActivationGrants { 0..2 } else { a_quorum() };
-        ToWatcher::Activate { number: version.number(), goes: version.goes(acceptors) }
+        ToWatcher::Activate { number: version.number(), activation_grants: version.goes(acceptors) }
     }
 
     /// Offers the latest revision, unless an offer is outstanding.
--- a/crates/distribution/src/tests/watcher/simulation.rs
+++ b/crates/distribution/src/tests/watcher/simulation.rs
@@ -132,18 +132,18 @@
             return;
         }
         match event {
-            Event::Opened(_) => self.call(|watcher, now, out| watcher.opened(now, relay, out)),
+            Event::Opened(_) => self.call(|watcher, now, out| watcher.on_connected(now, relay, out)),
             Event::ToRelay(_, message) => {
                 let outputs = self.relays[relay].receive(message, &self.control_plane);
                 self.send_outputs(relay, outputs);
             }
             Event::ToWatcher(_, message) => {
                 self.received_buckets += usize::from(matches!(*message, ToWatcher::Bucket { .. }));
-                self.call(|watcher, now, out| watcher.heard(now, relay, *message, out));
+                self.call(|watcher, now, out| watcher.on_message(now, relay, *message, out));
             }
             Event::Closed(_) => {
                 self.connections[relay] += 1;
-                self.call(|watcher, now, out| watcher.closed(now, relay, out));
+                self.call(|watcher, now, out| watcher.on_closed(now, relay, out));
             }
         }
     }
@@ -153,7 +153,7 @@
         let mut tick = self.now;
         for _ in 0..2_000_000 {
             let event = self.events.first_key_value().map_or(Duration::MAX, |(key, _)| key.0);
-            let due = self.watcher.next_due().max(self.now);
+            let due = self.watcher.next_poll_at().max(self.now);
             let next = event.min(due).min(tick);
             if next > until {
                 self.now = until;
@@ -167,7 +167,7 @@
                 let Some((_, (connection, event))) = self.events.pop_first() else { return };
                 self.handle_event(connection, event);
             } else {
-                self.call(|watcher, now, out| watcher.tend(now, out));
+                self.call(|watcher, now, out| watcher.poll(now, out));
             }
         }
         panic!("the simulation does not end: {:?}", self.status());
@@ -178,7 +178,7 @@
             let outputs = self.relays[relay].send_news(&self.control_plane);
             self.send_outputs(relay, outputs);
         }
-        let is_held = self.watcher.acting(self.now).held.is_some();
+        let is_held = self.watcher.acting(self.now).hold_reason.is_some();
         if !is_held {
             self.first_leased_at.get_or_insert(self.now);
         }
@@ -381,7 +381,7 @@
         simulation.schedule(Duration::ZERO, relay, Event::Closed(relay));
     }
     simulation.run(LEASE);
-    assert!(simulation.status().acting.held.is_some());
+    assert!(simulation.status().acting.hold_reason.is_some());
     assert!(
         simulation.hold_since.is_some_and(|at| at > partitioned_at + LEASE / 2),
         "{:?}",
@@ -392,5 +392,5 @@
     simulation.relays.iter_mut().for_each(|relay| relay.behaviour = Behaviour::Correct);
     // The longest backoff before a relay is retried, and the time to connect.
     simulation.run(seconds(31.0));
-    assert_eq!(simulation.status().acting.held, None);
+    assert_eq!(simulation.status().acting.hold_reason, None);
 }
--- a/crates/distribution/src/tests/watcher/stored.rs
+++ b/crates/distribution/src/tests/watcher/stored.rs
@@ -167,10 +167,10 @@
 
 #[test]
 fn bytes_of_another_format_are_refused() {
-    assert_eq!(Stored::read(b""), Err(StoredFault::Kind));
-    assert_eq!(Stored::read(b"blr2something else"), Err(StoredFault::Kind));
-    assert_eq!(Stored::read(b"bdw1"), Err(StoredFault::Seal));
-    assert_eq!(Stored::read(&[&b"bdw1"[..], &[0xff; 60]].concat()), Err(StoredFault::Seal));
+    assert_eq!(Stored::read(b""), Err(StoredFault::UnknownFormat));
+    assert_eq!(Stored::read(b"blr2something else"), Err(StoredFault::UnknownFormat));
+    assert_eq!(Stored::read(b"bdw1"), Err(StoredFault::ChecksumMismatch));
+    assert_eq!(Stored::read(&[&b"bdw1"[..], &[0xff; 60]].concat()), Err(StoredFault::ChecksumMismatch));
     assert_eq!(Stored::read(&Stored::default().write()), Ok(Stored::default()));
 }
 
@@ -184,11 +184,11 @@
     };
     let one = version(1, titles(3));
     let prepared = Some(stored_revision(unfit(2, &one.state)));
-    let stored = Stored { active: Some(stored_revision(one)), prepared, sure: true };
+    let stored = Stored { active: Some(stored_revision(one)), prepared, confirmed: true };
     let harness = Harness::with_disk(2, stored.write());
     assert_eq!((harness.numbers(), harness.hold_reason()), ((1, None), Some(HoldReason::NoLease)));
     let stored =
-        Stored { active: Some(stored_revision(unfit(1, &file_state()))), prepared: None, sure: true };
+        Stored { active: Some(stored_revision(unfit(1, &file_state()))), prepared: None, confirmed: true };
     let harness = Harness::with_disk(2, stored.write());
     assert_eq!((harness.numbers(), harness.hold_reason()), ((0, None), Some(HoldReason::Unsure)));
 }
--- a/crates/distribution/src/tokens.rs
+++ b/crates/distribution/src/token_bucket.rs
@@ -5,7 +5,7 @@
 /// A token bucket that refills at a steady rate up to a burst. More tokens may be spent than are available;
 /// then nothing is allowed until the debt is refilled.
 #[derive(Clone, Debug)]
-pub(crate) struct Tokens {
+pub(crate) struct TokenBucket {
     per_second: f64,
     burst: f64,
     /// The tokens at `updated_at`; negative after overspending.
@@ -14,7 +14,7 @@
     updated_at: Duration,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// A full bucket.
     pub fn new(per_second: f64, burst: f64, now: Duration) -> Self {
         Self { per_second, burst, level: burst, updated_at: now }
@@ -27,7 +27,7 @@
     }
 
     /// Whether tokens are available.
-    pub fn any(&self, now: Duration) -> bool {
+    pub fn has_tokens(&self, now: Duration) -> bool {
         self.level(now) > 0.0
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Spends one token, if one is available.
-    pub fn try_one(&mut self, now: Duration) -> bool {
+    pub fn try_spend_one(&mut self, now: Duration) -> bool {
         let enough = self.level(now) >= 1.0;
         if enough {
             self.spend(now, 1.0);
--- a/crates/distribution/src/transfer.rs
+++ b/crates/distribution/src/transfer.rs
@@ -10,7 +10,9 @@
 
 use thiserror::Error;
 
-use crate::state::{bucket_digest, group_digest, root_of_groups, Entry, State, StateFault, GROUP, GROUPS};
+use crate::state::{
+    bucket_digest, group_digest, root_of_groups, Entry, State, StateFault, BUCKETS_PER_GROUP, GROUPS,
+};
 use crate::Digest;
 
 /// The maximum number of outstanding groups.
@@ -27,7 +29,7 @@
 
 /// The result of receiving a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum PartOutcome {
     /// The part was verified and is part of the state now.
     Verified,
     /// The part was requested while an earlier root was the target, and is not used.
@@ -40,13 +42,13 @@
     #[error("the digests of {0} groups do not lead to the certified root")]
     Root(usize),
     #[error("group {0} was not requested, or was received twice")]
-    UnaskedGroup(u8),
+    UnrequestedGroup(u8),
     #[error("group {0}: the bucket digests do not match the group digest")]
     GroupDigest(u8),
     #[error("group {group}: bucket {bucket} is of another group, duplicate, or out of order")]
     GroupBucket { group: u8, bucket: u16 },
     #[error("bucket {0} was not requested, or was received twice")]
-    UnaskedBucket(u16),
+    UnrequestedBucket(u16),
     #[error("bucket {0}: the entries do not match the bucket digest")]
     BucketDigest(u16),
     #[error("bucket {bucket}: {fault}")]
@@ -61,9 +63,9 @@
     /// Buckets that are known to differ.
     pub buckets_left: usize,
     /// Buckets received so far, over all targets.
-    pub buckets_taken: usize,
+    pub buckets_received: usize,
     /// The bytes of keys and values in them.
-    pub bytes_taken: usize,
+    pub bytes_received: usize,
 }
 
 /// A snapshot transfer.
@@ -85,8 +87,8 @@
     /// target.
     groups_outdated: BTreeMap<u8, u32>,
     buckets_outdated: BTreeMap<u16, u32>,
-    buckets_taken: usize,
-    bytes_taken: usize,
+    buckets_received: usize,
+    bytes_received: usize,
 }
 
 impl Transfer {
@@ -106,8 +108,8 @@
             buckets_requested: BTreeSet::new(),
             groups_outdated: BTreeMap::new(),
             buckets_outdated: BTreeMap::new(),
-            buckets_taken: 0,
-            bytes_taken: 0,
+            buckets_received: 0,
+            bytes_received: 0,
         };
         transfer.compare_groups();
         Ok(transfer)
@@ -179,10 +181,12 @@
     ///
     /// # Errors
     /// If the part was not requested, or does not match the root.
-    pub fn take_group(&mut self, group: u8, buckets: Vec<(u16, Digest)>) -> Result<Taken, TransferFault> {
+    pub fn receive_group(
+        &mut self, group: u8, buckets: Vec<(u16, Digest)>,
+    ) -> Result<PartOutcome, TransferFault> {
         match self.check_group(group, &buckets) {
             Ok(()) => {}
-            Err(_) if take_outdated(&mut self.groups_outdated, group) => return Ok(Taken::Outdated),
+            Err(_) if take_outdated(&mut self.groups_outdated, group) => return Ok(PartOutcome::Outdated),
             Err(fault) => return Err(fault),
         }
         self.groups_requested.remove(&group);
@@ -193,15 +197,15 @@
         }
         let differs = |(bucket, digest): &(u16, Digest)| local.get(bucket) != Some(digest);
         self.buckets_left.extend(buckets.into_iter().filter(differs));
-        Ok(Taken::Verified)
+        Ok(PartOutcome::Verified)
     }
 
     fn check_group(&self, group: u8, buckets: &[(u16, Digest)]) -> Result<(), TransferFault> {
         if !self.groups_requested.contains(&group) {
-            return Err(TransferFault::UnaskedGroup(group));
+            return Err(TransferFault::UnrequestedGroup(group));
         }
-        let mut min_bucket = u16::from(group) * GROUP;
-        let end = min_bucket + GROUP;
+        let mut min_bucket = u16::from(group) * BUCKETS_PER_GROUP;
+        let end = min_bucket + BUCKETS_PER_GROUP;
         for (bucket, _) in buckets {
             if *bucket < min_bucket || *bucket >= end {
                 return Err(TransferFault::GroupBucket { group, bucket: *bucket });
@@ -218,24 +222,24 @@
     ///
     /// # Errors
     /// If the part was not requested, or does not match the root.
-    pub fn take_bucket(&mut self, bucket: u16, entries: Vec<Entry>) -> Result<Taken, TransferFault> {
+    pub fn receive_bucket(&mut self, bucket: u16, entries: Vec<Entry>) -> Result<PartOutcome, TransferFault> {
         match self.check_bucket(bucket, &entries) {
             Ok(()) => {}
-            Err(_) if take_outdated(&mut self.buckets_outdated, bucket) => return Ok(Taken::Outdated),
+            Err(_) if take_outdated(&mut self.buckets_outdated, bucket) => return Ok(PartOutcome::Outdated),
             Err(fault) => return Err(fault),
         }
         let bytes: usize = entries.iter().map(|entry| entry.key.len() + entry.value.len()).sum();
         self.put_bucket(bucket, entries)?;
         self.buckets_requested.remove(&bucket);
         self.buckets_left.remove(&bucket);
-        self.buckets_taken += 1;
-        self.bytes_taken += bytes;
-        Ok(Taken::Verified)
+        self.buckets_received += 1;
+        self.bytes_received += bytes;
+        Ok(PartOutcome::Verified)
     }
 
     fn check_bucket(&self, bucket: u16, entries: &[Entry]) -> Result<(), TransferFault> {
         if !self.buckets_requested.contains(&bucket) {
-            return Err(TransferFault::UnaskedBucket(bucket));
+            return Err(TransferFault::UnrequestedBucket(bucket));
         }
         match self.buckets_left.get(&bucket) == Some(&bucket_digest(entries)) {
             true => Ok(()),
@@ -259,8 +263,8 @@
         Progress {
             groups_left: self.groups_left.len(),
             buckets_left: self.buckets_left.len(),
-            buckets_taken: self.buckets_taken,
-            bytes_taken: self.bytes_taken,
+            buckets_received: self.buckets_received,
+            bytes_received: self.bytes_received,
         }
     }
 }
--- a/crates/distribution/src/watcher.rs
+++ b/crates/distribution/src/watcher.rs
@@ -33,7 +33,7 @@
 
 use thiserror::Error;
 
-use crate::lease::{bound, LeaseFault, LeaseProof};
+use crate::lease::{contradiction_bound, LeaseFault, LeaseProof};
 use crate::message::{ToRelay, ToWatcher};
 use crate::regional::RegionalProof;
 use crate::state::State;
@@ -89,11 +89,11 @@
             |revision: &mut StoredRevision| (config.check)(&revision.state, revision.number()).is_err();
         stored.prepared.take_if(is_unfit);
         if stored.active.take_if(is_unfit).is_some() {
-            stored.sure = false;
+            stored.confirmed = false;
         }
         Self {
             signer,
-            confirmed: stored.sure || stored.active.is_some(),
+            confirmed: stored.confirmed || stored.active.is_some(),
             revisions: Revisions::new(file_state, stored.clone()),
             lease_requests: LeaseRequests::default(),
             connections: RelayConnections::new(config.relays, seed, now),
@@ -107,7 +107,7 @@
     }
 
     /// The connection to a relay that [`WatcherOutput::Connect`] requested is open.
-    pub fn opened(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
+    pub fn on_connected(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
         if self.connections.on_opened(now, relay) {
             self.send_hello(relay, out);
             self.report_unfit(relay, out);
@@ -117,13 +117,15 @@
 
     /// The connection to a relay closed, could not be opened, or carried bytes that are not a message. Must
     /// not be called for a connection that [`WatcherOutput::Close`] asked to close.
-    pub fn closed(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
+    pub fn on_closed(&mut self, now: Duration, relay: usize, out: &mut Vec<WatcherOutput>) {
         self.connections.on_closed(now, relay);
         self.advance(now, out);
     }
 
     /// Handles a message from a relay.
-    pub fn heard(&mut self, now: Duration, relay: usize, message: ToWatcher, out: &mut Vec<WatcherOutput>) {
+    pub fn on_message(
+        &mut self, now: Duration, relay: usize, message: ToWatcher, out: &mut Vec<WatcherOutput>,
+    ) {
         if !self.connections.is_open(relay) {
             return;
         }
@@ -166,8 +168,8 @@
             ToWatcher::Bucket { bucket, entries } => {
                 self.handle_part(now, relay, out, |revisions| revisions.receive_bucket(bucket, entries))?;
             }
-            ToWatcher::Activate { number, goes } => {
-                self.handle_activation_grants(now, relay, number, &goes, out)?
+            ToWatcher::Activate { number, activation_grants } => {
+                self.handle_activation_grants(now, relay, number, &activation_grants, out)?
             }
             ToWatcher::Lease(proof) => self.handle_lease(now, relay, &proof, out)?,
             ToWatcher::RegionalLease(proof) if self.config.regional => {
@@ -176,7 +178,7 @@
             ToWatcher::PushOutcome { .. }
             | ToWatcher::Status(_)
             | ToWatcher::RegionalLease(_)
-            | ToWatcher::Apart(_) => return Err(RelayFault::Unexpected),
+            | ToWatcher::PartitionStatus(_) => return Err(RelayFault::Unexpected),
         }
         Ok(())
     }
@@ -224,7 +226,7 @@
     }
 
     /// Performs the work that is due.
-    pub fn tend(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
+    pub fn poll(&mut self, now: Duration, out: &mut Vec<WatcherOutput>) {
         self.advance(now, out);
     }
 
@@ -273,8 +275,8 @@
         self.lease_requests.record_request(now, nonce);
         let active = self.revisions.active();
         let request = match self.config.regional {
-            true => ToRelay::AskRegionalLease { nonce, active },
-            false => ToRelay::AskLease { nonce, active },
+            true => ToRelay::RequestRegionalLease { nonce, active },
+            false => ToRelay::RequestLease { nonce, active },
         };
         out.push(WatcherOutput::Send(relay, request));
     }
@@ -299,9 +301,9 @@
         }
     }
 
-    /// The next time at which [`Watcher::tend`] must be called. To be read again after each call of another
+    /// The next time at which [`Watcher::poll`] must be called. To be read again after each call of another
     /// method.
-    pub fn next_due(&self) -> Duration {
+    pub fn next_poll_at(&self) -> Duration {
         self.connections.next_poll_at(self.now, &self.update_demand())
     }
 
@@ -312,7 +314,7 @@
         Acting {
             active: self.revisions.active(),
             prepared: self.revisions.prepared().map(StoredRevision::number),
-            held: self.hold_reason(now),
+            hold_reason: self.hold_reason(now),
         }
     }
 
@@ -350,7 +352,7 @@
             unfit: self.revisions.unfit().map(|(number, _)| number),
             lease_until: self.lease_requests.lease_until(),
             regional: self.lease_requests.is_regional(now),
-            bound: bound(self.config.late),
+            bound: contradiction_bound(self.config.activation_delay),
             serving: self.connections.serving(),
             trying: self.connections.trying(),
             transfer: self.revisions.progress(),
@@ -360,7 +362,7 @@
     }
 
     /// Replaces the verification keys and the list of acceptors.
-    pub fn take_hand(&mut self, signer: H) {
+    pub fn replace_signer(&mut self, signer: H) {
         self.signer = signer;
     }
 }
--- a/crates/distribution/src/watcher/interface.rs
+++ b/crates/distribution/src/watcher/interface.rs
@@ -23,7 +23,7 @@
     pub relays: usize,
     /// The longest time from a decision until its messages are sent, which is part of the stated bound on
     /// contradicting revisions.
-    pub late: Duration,
+    pub activation_delay: Duration,
     /// Whether a regional lease, which control machines of the region grant, is accepted while no quorum of
     /// acceptors answers.
     pub regional: bool,
@@ -45,7 +45,7 @@
 /// An action for the driver. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatcherOutput {
-    /// Open a connection to this relay, then call [`super::Watcher::opened`], or [`super::Watcher::closed`]
+    /// Open a connection to this relay, then call [`super::Watcher::on_connected`], or [`super::Watcher::on_closed`]
     /// on failure.
     Connect(usize),
     /// Close the connection to this relay, or stop opening it.
@@ -80,7 +80,7 @@
     /// any time.
     pub prepared: Option<Number>,
     /// Why decisions that depend on exclusive keys are withheld; `None` if they are allowed.
-    pub held: Option<HoldReason>,
+    pub hold_reason: Option<HoldReason>,
 }
 
 /// Status of a watcher, for operators.
--- a/crates/distribution/src/watcher/relay_connections.rs
+++ b/crates/distribution/src/watcher/relay_connections.rs
@@ -10,7 +10,7 @@
 use badgerledge_core::random::Rng;
 use thiserror::Error;
 
-use crate::lease::{LEASE, REQUESTS_IN_A_LEASE};
+use crate::lease::{LEASE, REQUESTS_PER_LEASE};
 use crate::{MachineId, Number};
 
 /// A connection attempt is given up after this time.
@@ -594,7 +594,7 @@
 
     /// Requests leases on the connections where the next request is due.
     fn request_leases(&mut self, now: Duration, actions: &mut Vec<ConnectionAction>) {
-        let interval = LEASE / REQUESTS_IN_A_LEASE;
+        let interval = LEASE / REQUESTS_PER_LEASE;
         for (relay, connection) in self.connections.iter_mut().enumerate() {
             if connection.is_open() && now >= connection.next_lease_request {
                 connection.next_lease_request = now + interval.mul_f64(1.0 - self.rng.unit_interval() / 10.0);
--- a/crates/distribution/src/watcher/revisions.rs
+++ b/crates/distribution/src/watcher/revisions.rs
@@ -9,7 +9,7 @@
 use crate::change::Summary;
 use crate::lease::MAX_GRANTS;
 use crate::state::{Edit, Entry, State, StateFault};
-use crate::transfer::{check_groups, PartRequest, Progress, Taken, Transfer, TransferFault};
+use crate::transfer::{check_groups, PartOutcome, PartRequest, Progress, Transfer, TransferFault};
 use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 
 /// The number of votes, or of activation grants, that a certificate may have: more than there are
@@ -220,18 +220,18 @@
     pub fn receive_group(
         &mut self, group: u8, buckets: Vec<(u16, Digest)>,
     ) -> Result<UpdateOutcome, RevisionFault> {
-        self.receive_part(|transfer| transfer.take_group(group, buckets))
+        self.receive_part(|transfer| transfer.receive_group(group, buckets))
     }
 
     /// Receives the entries of a bucket.
     pub fn receive_bucket(
         &mut self, bucket: u16, entries: Vec<Entry>,
     ) -> Result<UpdateOutcome, RevisionFault> {
-        self.receive_part(|transfer| transfer.take_bucket(bucket, entries))
+        self.receive_part(|transfer| transfer.receive_bucket(bucket, entries))
     }
 
     fn receive_part(
-        &mut self, receive: impl FnOnce(&mut Transfer) -> Result<Taken, TransferFault>,
+        &mut self, receive: impl FnOnce(&mut Transfer) -> Result<PartOutcome, TransferFault>,
     ) -> Result<UpdateOutcome, RevisionFault> {
         let snapshot = self.snapshot.as_mut().ok_or(RevisionFault::NoTransfer)?;
         let number = snapshot.certificate.number();
--- a/crates/distribution/src/watcher/stored.rs
+++ b/crates/distribution/src/watcher/stored.rs
@@ -52,18 +52,18 @@
     /// The later revision that was reported as prepared.
     pub prepared: Option<StoredRevision>,
     /// Whether a lease ever confirmed that the program's own file is current.
-    pub sure: bool,
+    pub confirmed: bool,
 }
 
 /// Why stored bytes cannot be read. The watcher then starts as if nothing were stored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoredFault {
     #[error("not the stored state of a watcher, or of an unknown version")]
-    Kind,
+    UnknownFormat,
     #[error("the first record is torn or corrupt: its checksum does not match")]
-    Seal,
+    ChecksumMismatch,
     #[error("the first record matches its checksum but cannot be decoded")]
-    Form,
+    Malformed,
     #[error("the state of revision {number}: {fault}")]
     State { number: Number, fault: StateFault },
     #[error("the state of revision {0} does not have the certified root")]
@@ -111,12 +111,12 @@
     /// # Errors
     /// If the bytes are of another format, or the first record is torn.
     pub fn read(bytes: &[u8]) -> Result<Self, StoredFault> {
-        let rest = bytes.strip_prefix(MAGIC).ok_or(StoredFault::Kind)?;
-        let (header, rest) = split_record(rest).ok_or(StoredFault::Seal)?;
-        let header: Header = postcard::from_bytes(header).map_err(|_| StoredFault::Form)?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(StoredFault::UnknownFormat)?;
+        let (header, rest) = split_record(rest).ok_or(StoredFault::ChecksumMismatch)?;
+        let header: Header = postcard::from_bytes(header).map_err(|_| StoredFault::Malformed)?;
         let (active, rest) = read_revision(header.active, rest)?;
         let (prepared, mut rest) = read_revision(header.prepared, rest)?;
-        let mut stored = Self { active, prepared, sure: header.confirmed };
+        let mut stored = Self { active, prepared, confirmed: header.confirmed };
         while let Some((body, following)) = split_record(rest) {
             let Ok(record) = postcard::from_bytes(body) else { break };
             if !stored.apply_record(record) {
@@ -136,7 +136,7 @@
             let (certificate, summary) = (revision.certificate.clone(), revision.summary);
             Some(RevisionHeader { certificate, summary, state_length: state.len() as u64 })
         };
-        let header = Header { active: header_of(0), prepared: header_of(1), confirmed: self.sure };
+        let header = Header { active: header_of(0), prepared: header_of(1), confirmed: self.confirmed };
         let mut bytes = MAGIC.to_vec();
         push_record(&mut bytes, &postcard::to_stdvec(&header).unwrap_or_default());
         states.iter().flatten().for_each(|state| bytes.extend_from_slice(state));
@@ -165,7 +165,7 @@
                 };
                 self.active = Some(prepared);
             }
-            Record::Confirmed => self.sure = true,
+            Record::Confirmed => self.confirmed = true,
         }
         true
     }
@@ -179,8 +179,8 @@
         return Ok((None, bytes));
     };
     let number = certificate.number();
-    let length = usize::try_from(state_length).map_err(|_| StoredFault::Form)?;
-    let (state, rest) = bytes.split_at_checked(length).ok_or(StoredFault::Form)?;
+    let length = usize::try_from(state_length).map_err(|_| StoredFault::Malformed)?;
+    let (state, rest) = bytes.split_at_checked(length).ok_or(StoredFault::Malformed)?;
     let state = State::read(state).map_err(|fault| StoredFault::State { number, fault })?;
     if state.root() != summary.root {
         return Err(StoredFault::Root(number));
@@ -238,7 +238,7 @@
 
     /// Stores that a lease confirmed the program's own file.
     pub fn confirmed(&mut self) -> StoreRequest {
-        self.stored.sure = true;
+        self.stored.confirmed = true;
         self.write(Some(Record::Confirmed))
     }
 
--- a/crates/relay/src/client.rs
+++ b/crates/relay/src/client.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_distribution::change::{Change, Rejection};
 use badgerledge_distribution::message::{
-    decode, encode, ApartStatus, ControlStatus, FrameFault, ToRelay, ToWatcher, LONGEST_FROM_RELAY,
+    decode, encode, ControlStatus, FrameFault, PartitionStatus, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES,
 };
 use badgerledge_distribution::Number;
 use thiserror::Error;
@@ -66,7 +66,7 @@
     pub fn receive(&mut self, within: Duration) -> Result<ToWatcher, ClientFault> {
         let end = Instant::now() + within;
         loop {
-            let found = decode::<ToWatcher>(&self.input, LONGEST_FROM_RELAY);
+            let found = decode::<ToWatcher>(&self.input, MAX_RELAY_BODY_BYTES);
             if let Some((message, used)) = found.map_err(|fault| ClientFault::Frame(self.at, fault))? {
                 self.input.drain(..used);
                 return match message {
@@ -118,13 +118,13 @@
     ///
     /// # Errors
     /// Where it does not answer.
-    pub fn apart(mut self) -> Result<Option<ApartStatus>, ClientFault> {
-        self.send(&ToRelay::GetApart)?;
+    pub fn apart(mut self) -> Result<Option<PartitionStatus>, ClientFault> {
+        self.send(&ToRelay::GetPartitionStatus)?;
         let end = Instant::now() + ANSWER_WITHIN;
         loop {
             let left = end.saturating_duration_since(Instant::now());
             match self.receive(left) {
-                Ok(ToWatcher::Apart(apart)) => return Ok(Some(*apart)),
+                Ok(ToWatcher::PartitionStatus(apart)) => return Ok(Some(*apart)),
                 Ok(_) => {}
                 Err(ClientFault::Closed(_)) => return Ok(None),
                 Err(fault) => return Err(fault),
--- a/crates/relay/src/envelope.rs
+++ b/crates/relay/src/envelope.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use badgerledge_distribution::message::{FrameFault, PeerMessage, LONGEST_FROM_RELAY};
+use badgerledge_distribution::message::{FrameFault, PeerMessage, MAX_RELAY_BODY_BYTES};
 use badgerledge_distribution::{MachineId, Signature, Signer};
 use serde::{Deserialize, Serialize};
 use serde_big_array::BigArray;
@@ -18,7 +18,7 @@
 /// Bytes of an envelope beside its payload, at most.
 const BESIDE_PAYLOAD: usize = 256;
 /// The longest frame between control machines.
-pub const LONGEST_FRAME: usize = LONGEST_FROM_RELAY + BESIDE_PAYLOAD;
+pub const LONGEST_FRAME: usize = MAX_RELAY_BODY_BYTES + BESIDE_PAYLOAD;
 
 /// Drawn anew by the accepting side of each stream; unpredictable.
 pub type Session = [u8; 16];
@@ -97,7 +97,7 @@
 pub fn frame_fault_label(fault: &FrameFault) -> &'static str {
     match fault {
         FrameFault::TooLong(..) => "too_long",
-        FrameFault::Mark => "version",
+        FrameFault::Version => "version",
         FrameFault::Body => "body",
         FrameFault::Trailing(_) => "trailing",
     }
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -7,7 +7,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_deployment::is_exclusive;
 use badgerledge_distribution::control::{Config, ControlMachine, ControlOutput, StoredItem};
-use badgerledge_distribution::message::{ApartStatus, ControlStatus, PeerMessage, ToRelay, ToWatcher};
+use badgerledge_distribution::message::{ControlStatus, PartitionStatus, PeerMessage, ToRelay, ToWatcher};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
 use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
@@ -356,7 +356,7 @@
         }
     }
 
-    fn log_apart(&mut self, apart: &ApartStatus) {
+    fn log_apart(&mut self, apart: &PartitionStatus) {
         let waits_for: Vec<MachineId> = apart.waits_ms.iter().map(|(machine, _)| *machine).collect();
         let vouched = apart.regional_leases > self.apart_logged.leases;
         let leases = apart.regional_leases;
@@ -403,7 +403,7 @@
 }
 
 /// How long exclusive changes wait at most.
-fn longest_wait(apart: &ApartStatus) -> Option<Duration> {
+fn longest_wait(apart: &PartitionStatus) -> Option<Duration> {
     apart.waits_ms.iter().map(|(_, left)| Duration::from_millis(*left)).max()
 }
 
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result};
 use badgerledge_deployment::{entries, kinds};
 use badgerledge_distribution::control::{LEAST_APART, MOST_APART};
-use badgerledge_distribution::message::LONGEST_FROM_RELAY;
+use badgerledge_distribution::message::MAX_RELAY_BODY_BYTES;
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 
 /// What may wait for one connection holds a longest frame and small ones beside it.
-const LEAST_CONNECTION_BYTES: usize = 2 * LONGEST_FROM_RELAY;
+const LEAST_CONNECTION_BYTES: usize = 2 * MAX_RELAY_BODY_BYTES;
 const MEGABYTE: usize = 1024 * 1024;
 
 /// `[relay]`.
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use badgerledge_distribution::message::{ApartStatus, ControlStatus};
+use badgerledge_distribution::message::{ControlStatus, PartitionStatus};
 use metrics::{counter, describe_counter, describe_gauge, gauge, Unit};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use rustix::time::{clock_gettime, ClockId};
@@ -92,7 +92,7 @@
 }
 
 /// Shows what is known of regions apart.
-pub fn show_apart(apart: &ApartStatus) {
+pub fn show_apart(apart: &PartitionStatus) {
     let longest = apart.waits_ms.iter().map(|(_, left)| *left).max().unwrap_or(0);
     counter!(REGIONAL_LEASES).absolute(apart.regional_leases);
     gauge!(VOUCHES).set(f64::from(u8::from(apart.vouches)));
--- a/crates/relay/src/tests/envelope.rs
+++ b/crates/relay/src/tests/envelope.rs
@@ -21,7 +21,7 @@
 }
 
 fn message() -> Payload {
-    Payload::Message(PeerMessage::AskGrant { root: [3; 32] })
+    Payload::Message(PeerMessage::RequestGrant { root: [3; 32] })
 }
 
 #[test]
--- a/crates/relay/src/tests/peers.rs
+++ b/crates/relay/src/tests/peers.rs
@@ -111,7 +111,7 @@
 }
 
 fn asks(seed: u8) -> PeerMessage {
-    PeerMessage::AskGrant { root: [seed; 32] }
+    PeerMessage::RequestGrant { root: [seed; 32] }
 }
 
 #[test]
--- a/crates/relay/src/verbs/status.rs
+++ b/crates/relay/src/verbs/status.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use anyhow::Result;
-use badgerledge_distribution::message::{ApartStatus, ControlStatus};
+use badgerledge_distribution::message::{ControlStatus, PartitionStatus};
 use serde_json::json;
 
 use crate::client::{Client, ClientFault};
@@ -39,13 +39,13 @@
     }
 }
 
-fn ask(relay: SocketAddr) -> Result<(ControlStatus, ApartStatus), ClientFault> {
+fn ask(relay: SocketAddr) -> Result<(ControlStatus, PartitionStatus), ClientFault> {
     let status = Client::connect(relay)?.status()?;
     let apart = Client::connect(relay)?.apart()?;
     Ok((status, apart.unwrap_or_default()))
 }
 
-fn as_json(status: &ControlStatus, apart: &ApartStatus) -> serde_json::Value {
+fn as_json(status: &ControlStatus, apart: &PartitionStatus) -> serde_json::Value {
     let ControlStatus {
         machine,
         acceptor,
@@ -77,7 +77,7 @@
         "log_floor": log_floor,
         "entries": entries,
         "state_bytes": state_bytes,
-        "apart_ms": apart.apart_ms,
+        "apart_ms": apart.max_partition_ms,
         "vouches": apart.vouches,
         "regional_leases": apart.regional_leases,
         "exclusive_waits_ms": apart.waits_ms,
@@ -85,13 +85,13 @@
 }
 
 /// Machines that exclusive changes wait for, and for how long at most.
-pub fn exclusive_waits(apart: &ApartStatus) -> String {
+pub fn exclusive_waits(apart: &PartitionStatus) -> String {
     let wait = |(machine, left): &(u16, u64)| format!("{machine} ({} s at most)", left.div_ceil(1000));
     listed(&apart.waits_ms.iter().map(wait).collect::<Vec<_>>())
 }
 
-fn as_apart(apart: &ApartStatus) -> String {
-    match apart.apart_ms {
+fn as_apart(apart: &PartitionStatus) -> String {
+    match apart.max_partition_ms {
         0 => "a region that is cut off holds back".to_owned(),
         ms => format!(
             "a region that is cut off goes on for {} s; {} regional leases so far",
@@ -101,7 +101,7 @@
     }
 }
 
-fn as_table(status: &ControlStatus, apart: &ApartStatus) -> String {
+fn as_table(status: &ControlStatus, apart: &PartitionStatus) -> String {
     let role = if status.acceptor { "acceptor and relay" } else { "relay" };
     let rows = [
         ("machine", format!("{} ({role})", status.machine)),
--- a/crates/relay/src/verbs/watch.rs
+++ b/crates/relay/src/verbs/watch.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_distribution::message::{ApartStatus, ControlStatus};
+use badgerledge_distribution::message::{ControlStatus, PartitionStatus};
 use badgerledge_distribution::Number;
 
 use crate::client::Client;
@@ -35,7 +35,7 @@
     let mut status = client.status()?;
     let wanted = arguments.revision.unwrap_or(status.certified);
     let apart = || Client::connect(arguments.relay)?.apart();
-    let mut waits = apart()?.filter(|apart| apart.apart_ms > 0);
+    let mut waits = apart()?.filter(|apart| apart.max_partition_ms > 0);
     let mut shown = String::new();
     while status.active < wanted && begun.elapsed() < Duration::from_secs(arguments.wait) {
         let line = progress(&status, wanted);
@@ -60,7 +60,7 @@
 }
 
 /// What an exclusive change waits for, if it does.
-fn waits_for(apart: &ApartStatus) -> String {
+fn waits_for(apart: &PartitionStatus) -> String {
     match apart.waits_ms.is_empty() {
         true => String::new(),
         false => format!(", an exclusive change waits for {}", exclusive_waits(apart)),
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_distribution::control::{CloseReason, ConnectionId};
-use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, LONGEST_FROM_WATCHER};
+use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, MAX_WATCHER_BODY_BYTES};
 use badgerledge_reactor::{Bounds, Line, Reactor};
 use metrics::counter;
 
@@ -59,7 +59,7 @@
 impl Watchers {
     /// The bounds of one connection.
     pub fn bounds(limits: Limits) -> Bounds {
-        Bounds { input: LONGEST_FROM_WATCHER + HEADER, output: limits.output }
+        Bounds { input: MAX_WATCHER_BODY_BYTES + HEADER, output: limits.output }
     }
 
     pub fn new(listener: Line, limits: Limits) -> Self {
@@ -99,7 +99,7 @@
     ) {
         loop {
             let Some(connection) = self.connections.get_mut(&line) else { return };
-            match decode::<ToRelay>(reactor.input(line), LONGEST_FROM_WATCHER) {
+            match decode::<ToRelay>(reactor.input(line), MAX_WATCHER_BODY_BYTES) {
                 Ok(None) => break,
                 Ok(Some((message, used))) => {
                     connection.until = now + SILENT_AFTER;
--- a/crates/relay/tests/it/watcher.rs
+++ b/crates/relay/tests/it/watcher.rs
@@ -78,7 +78,7 @@
     fn ask(&mut self) -> Result<(), ClientFault> {
         self.asked = Some(Instant::now());
         self.nonce += 1;
-        self.client.send(&ToRelay::AskLease { nonce: self.drawn(), active: self.active })
+        self.client.send(&ToRelay::RequestLease { nonce: self.drawn(), active: self.active })
     }
 
     fn drawn(&self) -> [u8; 16] {
@@ -96,7 +96,7 @@
                     self.client.send(&ToRelay::Prepared { number: self.held })?;
                 }
             }
-            ToWatcher::Activate { number, goes } => {
+            ToWatcher::Activate { number, activation_grants: goes } => {
                 assert!(number <= self.held, "acts on {number}, holds {}", self.held);
                 let signed = goes.iter().filter(|go| go.number == number && go.holds(&self.verifier)).count();
                 assert!(signed >= 2, "{signed} acceptors signed");
--- a/crates/replay/tests/distribution/fleet.rs
+++ b/crates/replay/tests/distribution/fleet.rs
@@ -9,7 +9,7 @@
 
 use badgerledge_distribution::change::{Change, Rejection};
 use badgerledge_distribution::lease;
-use badgerledge_distribution::message::{ApartStatus, ControlStatus};
+use badgerledge_distribution::message::{ControlStatus, PartitionStatus};
 use badgerledge_distribution::Number;
 use badgerledge_keys::{PrivateKey, Role};
 use badgerledge_relay::client::{Client, ClientFault};
@@ -40,7 +40,7 @@
 
 /// The stated bound on two controllers that act on contradicting revisions.
 pub fn bound() -> Duration {
-    lease::bound(LATE)
+    lease::contradiction_bound(LATE)
 }
 
 /// Plays a scene. One that fails where the rig, or the disk on which its processes store, stood still is void, is said to be, and is played again.
@@ -356,7 +356,7 @@
     }
 
     /// What a control machine knows of regions apart.
-    pub fn apart(&self, machine: usize) -> Option<ApartStatus> {
+    pub fn apart(&self, machine: usize) -> Option<PartitionStatus> {
         Client::connect(self.machines[machine].at).ok()?.apart().ok()?
     }
 
--- a/crates/replay/tests/distribution/lying_relay.rs
+++ b/crates/replay/tests/distribution/lying_relay.rs
@@ -10,7 +10,7 @@
 use badgerledge_distribution::change::Summary;
 use badgerledge_distribution::lease::{leaf, Grant, LeaseProof, Nonce, NonceTree};
 use badgerledge_distribution::message::{
-    decode, encode, ToRelay, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use badgerledge_distribution::state::{Edit, State};
 use badgerledge_distribution::{Certified, ControllerId, MachineId, Signed};
@@ -90,7 +90,7 @@
         (stream.try_clone().unwrap(), upstream.try_clone().unwrap(), conduct.clone());
     std::thread::spawn(move || {
         let mut down = down;
-        each_message(from_upstream, LONGEST_FROM_RELAY, |message: ToWatcher| {
+        each_message(from_upstream, MAX_RELAY_BODY_BYTES, |message: ToWatcher| {
             if shared.replays.load(Ordering::Relaxed) {
                 return true;
             }
@@ -101,11 +101,11 @@
         });
     });
     let watcher = stream.try_clone().unwrap();
-    each_message(watcher, LONGEST_FROM_WATCHER, |message: ToRelay| {
+    each_message(watcher, MAX_WATCHER_BODY_BYTES, |message: ToRelay| {
         if !conduct.replays.load(Ordering::Relaxed) {
             return upstream.write_all(&encode(&message)).is_ok();
         }
-        if let ToRelay::AskLease { .. } = message {
+        if let ToRelay::RequestLease { .. } = message {
             let granted = conduct.granted.lock().unwrap().clone();
             conduct.lies.fetch_add(granted.len(), Ordering::Relaxed);
             return granted
@@ -119,7 +119,7 @@
 /// Forges something else for each controller in turn.
 fn serve_forged(mut stream: TcpStream, conduct: &Conduct) {
     let (watcher, mut caller) = (stream.try_clone().unwrap(), 0);
-    each_message(watcher, LONGEST_FROM_WATCHER, |message: ToRelay| {
+    each_message(watcher, MAX_WATCHER_BODY_BYTES, |message: ToRelay| {
         let answers = match message {
             ToRelay::Hello { controller, root, .. } => {
                 caller = controller;
@@ -132,7 +132,7 @@
                 conduct.lies.fetch_add(forged.len(), Ordering::Relaxed);
                 [vec![welcome], forged].concat()
             }
-            ToRelay::AskLease { nonce, .. } => {
+            ToRelay::RequestLease { nonce, .. } => {
                 conduct.lies.fetch_add(1, Ordering::Relaxed);
                 vec![forged_lease(caller, nonce)]
             }
@@ -160,7 +160,7 @@
 }
 
 fn forged_word_to_act() -> ToWatcher {
-    ToWatcher::Activate { number: 1, goes: forged_goes([1; 32]) }
+    ToWatcher::Activate { number: 1, activation_grants: forged_goes([1; 32]) }
 }
 
 fn forged_goes(digest: [u8; 32]) -> Vec<ActivationGrant> {
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -9,7 +9,7 @@
 use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::{
-    decode, encode, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::{
@@ -31,7 +31,8 @@
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 /// Bytes of a frame beside its body.
 const HEADER: usize = 64;
-const BOUNDS: Bounds = Bounds { input: LONGEST_FROM_RELAY + HEADER, output: LONGEST_FROM_WATCHER + HEADER };
+const BOUNDS: Bounds =
+    Bounds { input: MAX_RELAY_BODY_BYTES + HEADER, output: MAX_WATCHER_BODY_BYTES + HEADER };
 const ORDER_BOUNDS: Bounds = Bounds { input: 1 << 20, output: 1 << 20 };
 /// Tokens of due times: a controller's own to be tended, and these.
 const START: u64 = 1 << 32;
@@ -210,7 +211,7 @@
             Happening::Closed(line, _) if line == self.orders => bail!("the run is gone"),
             Happening::Opened(line) => {
                 if let Some((seat, relay)) = self.by_line.get(&line).copied() {
-                    self.with(seat, |state, now, out| state.opened(now, relay, out));
+                    self.with(seat, |state, now, out| state.on_connected(now, relay, out));
                 }
             }
             Happening::Readable(line) => self.readable(line),
@@ -261,7 +262,7 @@
         let config = WatcherConfig {
             controller: seat.controller,
             relays: seat.relays.len(),
-            late: control::Config::new(0, 1).late,
+            activation_delay: control::Config::new(0, 1).late,
             regional: false,
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(draw_nonce),
@@ -285,7 +286,7 @@
 
     fn tend(&mut self, place: usize) {
         self.seats[place].due = Duration::MAX;
-        self.with(place, |state, now, out| state.tend(now, out));
+        self.with(place, |state, now, out| state.poll(now, out));
     }
 
     fn unschedule(&mut self, place: usize) {
@@ -296,7 +297,7 @@
     }
 
     fn schedule(&mut self, place: usize) {
-        let Some(due) = self.seats[place].state.as_ref().map(Watcher::next_due) else { return };
+        let Some(due) = self.seats[place].state.as_ref().map(Watcher::next_poll_at) else { return };
         if due != self.seats[place].due {
             self.unschedule(place);
             self.seats[place].due = due;
@@ -341,7 +342,7 @@
                 self.seats[place].lines.insert(relay, line);
                 self.by_line.insert(line, (place, relay));
             }
-            Err(_) => self.with(place, |state, now, out| state.closed(now, relay, out)),
+            Err(_) => self.with(place, |state, now, out| state.on_closed(now, relay, out)),
         }
     }
 
@@ -363,14 +364,14 @@
 
     fn readable(&mut self, line: Line) {
         while let Some((place, relay)) = self.by_line.get(&line).copied() {
-            match decode::<ToWatcher>(self.reactor.input(line), LONGEST_FROM_RELAY) {
+            match decode::<ToWatcher>(self.reactor.input(line), MAX_RELAY_BODY_BYTES) {
                 Ok(None) => return,
                 Ok(Some((message, used))) => {
                     self.reactor.consume(line, used);
                     let now = self.reactor.now();
                     let meter = &mut self.seats[place].meter;
                     meter.note(now, wire_bytes(used), true, &mut self.seen.seconds);
-                    self.with(place, |state, now, out| state.heard(now, relay, message, out));
+                    self.with(place, |state, now, out| state.on_message(now, relay, message, out));
                 }
                 Err(_) => {
                     self.reactor.close(line);
@@ -383,14 +384,14 @@
     fn lost(&mut self, line: Line) {
         let Some((place, relay)) = self.by_line.remove(&line) else { return };
         self.seats[place].lines.remove(&relay);
-        self.with(place, |state, now, out| state.closed(now, relay, out));
+        self.with(place, |state, now, out| state.on_closed(now, relay, out));
     }
 
     /// Notes what a controller acts on at this time.
     fn watch(&mut self, place: usize, now: Duration) {
         let seat = &mut self.seats[place];
         let acting = seat.state.as_ref().map(|state| state.acting(now));
-        let acts_on = acting.filter(|acting| acting.held.is_none()).map(|acting| acting.active);
+        let acts_on = acting.filter(|acting| acting.hold_reason.is_none()).map(|acting| acting.active);
         if let Some(number) = acts_on {
             self.seen.acted_on.note(number, now);
         }
--- a/crates/scale/src/hollow/run.rs
+++ b/crates/scale/src/hollow/run.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_distribution::change::Rejection;
-use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, LONGEST_FROM_RELAY};
+use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES};
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{control, lease, ControllerId, Number};
 use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
@@ -86,7 +86,7 @@
     let mut run = Run::start(scenario, real, program)?;
     run.serve(show_progress)?;
     let (hollow, real) = run.finish()?;
-    let bound = lease::bound(control::Config::new(0, 1).late);
+    let bound = lease::contradiction_bound(control::Config::new(0, 1).late);
     let figures = |kind, seen: &Observations| {
         Figures::of(&Title { scenario, kind, bound, took: begun.elapsed() }, seen)
     };
@@ -405,7 +405,7 @@
 
     fn tool_readable(&mut self, place: usize, line: Line) {
         while let Ok(Some((message, used))) =
-            decode::<ToWatcher>(self.reactor.input(line), LONGEST_FROM_RELAY)
+            decode::<ToWatcher>(self.reactor.input(line), MAX_RELAY_BODY_BYTES)
         {
             self.reactor.consume(line, used);
             if let ToWatcher::PushOutcome { change, outcome } = message {
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -219,7 +219,7 @@
 
     /// The bound on contradictions that the protocol states.
     pub fn bound(&self) -> Duration {
-        lease::bound(control::Config::new(0, 1).late)
+        lease::contradiction_bound(control::Config::new(0, 1).late)
     }
 
     /// Plays to the end.
@@ -317,7 +317,7 @@
     fn watch(&mut self, controller: ControllerId) {
         let seat = &mut self.watchers[controller as usize];
         let acting = seat.state.as_ref().map(|state| state.acting(self.now));
-        let acts_on = acting.filter(|acting| acting.held.is_none() || self.broken.no_lease);
+        let acts_on = acting.filter(|acting| acting.hold_reason.is_none() || self.broken.no_lease);
         let acts_on = acts_on.map(|acting| acting.active);
         if let Some(number) = acts_on {
             self.seen.acted_on.note(number, self.now);
--- a/crates/scale/src/simulation/peers.rs
+++ b/crates/scale/src/simulation/peers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerledge_distribution::message::{decode, PeerMessage, LONGEST_FROM_RELAY};
+use badgerledge_distribution::message::{decode, PeerMessage, MAX_RELAY_BODY_BYTES};
 
 use super::connections::{ConnectionId, End, OPENER};
 use super::hand::{CHECK_COST, SIGN_COST};
@@ -97,7 +97,7 @@
         self.count_machine(machine, bytes.len() + ENVELOPE, true);
         self.machines[usize::from(machine)].used.cpu += CHECK_COST;
         self.with_machine(machine, |state, now, out| {
-            if let Ok(Some((message, _))) = decode::<PeerMessage>(bytes, LONGEST_FROM_RELAY) {
+            if let Ok(Some((message, _))) = decode::<PeerMessage>(bytes, MAX_RELAY_BODY_BYTES) {
                 state.peer_message(now, from, message, out);
             }
         });
--- a/crates/scale/src/simulation/tools.rs
+++ b/crates/scale/src/simulation/tools.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_distribution::change::Rejection;
-use badgerledge_distribution::message::{encode, ToRelay, ToWatcher, LONGEST_FROM_RELAY};
+use badgerledge_distribution::message::{encode, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES};
 use badgerledge_distribution::Number;
 
 use super::connections::{End, OPENER};
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn tool_frame(&mut self, tool: u16, bytes: &[u8]) {
-        let Some(ToWatcher::PushOutcome { change, outcome }) = decoded(bytes, LONGEST_FROM_RELAY) else {
+        let Some(ToWatcher::PushOutcome { change, outcome }) = decoded(bytes, MAX_RELAY_BODY_BYTES) else {
             return;
         };
         let certified = self.highest_certified();
--- a/crates/scale/src/simulation/watchers.rs
+++ b/crates/scale/src/simulation/watchers.rs
@@ -4,7 +4,7 @@
 
 use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
-use badgerledge_distribution::message::{encode, ToWatcher, LONGEST_FROM_RELAY};
+use badgerledge_distribution::message::{encode, ToWatcher, MAX_RELAY_BODY_BYTES};
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::{Stored, Watcher, WatcherConfig, WatcherOutput};
 use badgerledge_distribution::ControllerId;
@@ -27,7 +27,7 @@
         let config = WatcherConfig {
             controller,
             relays: seat.relays.len(),
-            late: control::Config::new(0, 1).late,
+            activation_delay: control::Config::new(0, 1).late,
             regional: self.scenario.fleet.apart_s > 0,
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
@@ -65,13 +65,13 @@
         let seat = &mut self.watchers[controller as usize];
         if seat.life == life && seat.state.is_some() && seat.due <= self.now {
             seat.due = Duration::MAX;
-            self.with_watcher(controller, |state, now, out| state.tend(now, out));
+            self.with_watcher(controller, |state, now, out| state.poll(now, out));
         }
     }
 
     pub(super) fn schedule_watcher(&mut self, controller: ControllerId) {
         let seat = &mut self.watchers[controller as usize];
-        let Some(due) = seat.state.as_ref().map(Watcher::next_due) else { return };
+        let Some(due) = seat.state.as_ref().map(Watcher::next_poll_at) else { return };
         if due < seat.due {
             seat.due = due.max(self.now + LEAST_STEP);
             self.queue.push(seat.due, Event::TendWatcher(controller, seat.life));
@@ -137,9 +137,9 @@
         let seat = &mut self.watchers[controller as usize];
         seat.meter.note(self.now, wire_bytes(bytes.len()), true, &mut self.seen.seconds);
         self.with_watcher(controller, |state, now, out| {
-            match decoded::<ToWatcher>(bytes, LONGEST_FROM_RELAY) {
-                Some(message) => state.heard(now, relay, message, out),
-                None => state.closed(now, relay, out),
+            match decoded::<ToWatcher>(bytes, MAX_RELAY_BODY_BYTES) {
+                Some(message) => state.on_message(now, relay, message, out),
+                None => state.on_closed(now, relay, out),
             }
         });
     }
--- a/crates/scale/src/simulation/wiring.rs
+++ b/crates/scale/src/simulation/wiring.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_distribution::message::{ToRelay, LONGEST_FROM_WATCHER};
+use badgerledge_distribution::message::{ToRelay, MAX_WATCHER_BODY_BYTES};
 
 use super::connections::{Arrival, ConnectionId, Due, End, OPENER, TAKER};
 use super::{decoded, Event, Simulation, CONNECT_WITHIN};
@@ -79,7 +79,7 @@
             End::Machine(from) => self.peer_opened(id, from, machine),
             End::Watcher { controller, relay } => {
                 self.with_machine(machine, |state, now, out| state.watcher_opened(now, id, out));
-                self.with_watcher(controller, |state, now, out| state.opened(now, relay, out));
+                self.with_watcher(controller, |state, now, out| state.on_connected(now, relay, out));
             }
             End::Tool(tool) => {
                 self.with_machine(machine, |state, now, out| state.watcher_opened(now, id, out));
@@ -105,7 +105,7 @@
                 let seat = &mut self.watchers[controller as usize];
                 if seat.connections.get(&relay) == Some(&id) {
                     seat.connections.remove(&relay);
-                    self.with_watcher(controller, |state, now, out| state.closed(now, relay, out));
+                    self.with_watcher(controller, |state, now, out| state.on_closed(now, relay, out));
                 }
             }
             (End::Tool(tool), _) => {
@@ -164,7 +164,7 @@
             (End::Machine(machine), _) => {
                 self.count_machine(machine, bytes.len(), true);
                 self.with_machine(machine, |state, now, out| {
-                    if let Some(message) = decoded::<ToRelay>(bytes, LONGEST_FROM_WATCHER) {
+                    if let Some(message) = decoded::<ToRelay>(bytes, MAX_WATCHER_BODY_BYTES) {
                         state.watcher_message(now, id, message, out);
                     }
                 });
--- a/fuzz/fuzz_targets/frame.rs
+++ b/fuzz/fuzz_targets/frame.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 
 use badgerledge_distribution::message::{
-    decode, encode, PeerMessage, ToRelay, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, PeerMessage, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use libfuzzer_sys::fuzz_target;
 use serde::de::DeserializeOwned;
@@ -20,9 +20,9 @@
 }
 
 fn holds_for_all(bytes: &[u8]) {
-    holds::<ToRelay>(bytes, LONGEST_FROM_WATCHER);
-    holds::<ToWatcher>(bytes, LONGEST_FROM_RELAY);
-    holds::<PeerMessage>(bytes, LONGEST_FROM_RELAY);
+    holds::<ToRelay>(bytes, MAX_WATCHER_BODY_BYTES);
+    holds::<ToWatcher>(bytes, MAX_RELAY_BODY_BYTES);
+    holds::<PeerMessage>(bytes, MAX_RELAY_BODY_BYTES);
 }
 
 fuzz_target!(|input: &[u8]| {
