--- a/crates/keys/src/tests.rs
+++ b/crates/keys/src/tests.rs
@@ -79,7 +79,9 @@
     let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public());
     let verifier = crate::Verifier::new(Ring::of(&Sheet::parse("ring", &text).unwrap()).unwrap());
     let signature = member.sign(b"bytes");
-    assert!(verifier.by_member(3, b"bytes", &signature) && !verifier.by_member(3, b"other", &signature));
-    assert!(!verifier.by_member(3, b"bytes", &verifier.sign(b"bytes")));
-    assert_eq!((verifier.members(), verifier.keepers()), ([3].as_slice(), [3].as_slice()));
+    assert!(
+        verifier.verify_member(3, b"bytes", &signature) && !verifier.verify_member(3, b"other", &signature)
+    );
+    assert!(!verifier.verify_member(3, b"bytes", &verifier.sign(b"bytes")));
+    assert_eq!((verifier.members(), verifier.acceptors()), ([3].as_slice(), [3].as_slice()));
 }
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -23,7 +23,7 @@
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{lease, ControllerId};
-use badgerledge_revisions::Kept;
+use badgerledge_revisions::AcceptorState;
 use serde::de::DeserializeOwned;
 
 use crate::figures::{Figures, Title};
@@ -189,7 +189,10 @@
     }
 
     fn machine_seat(&self, machine: u16) -> MachineSeat {
-        let founded = badgerledge_revisions::Stored { keeper: Some(Kept::default()), ..Default::default() };
+        let founded = badgerledge_revisions::StoredState {
+            acceptor: Some(AcceptorState::default()),
+            ..Default::default()
+        };
         let acceptor = self.hand.acceptors.contains(&machine);
         let agreement = acceptor.then(|| founded.write());
         MachineSeat {
@@ -216,7 +219,7 @@
 
     /// The bound on contradictions that the protocol states.
     pub fn bound(&self) -> Duration {
-        lease::bound(control::Config::new(0, 1).late)
+        lease::contradiction_bound(control::Config::new(0, 1).late)
     }
 
     /// Plays to the end.
@@ -314,7 +317,7 @@
     fn watch(&mut self, controller: ControllerId) {
         let seat = &mut self.watchers[controller as usize];
         let acting = seat.state.as_ref().map(|state| state.acting(self.now));
-        let acts_on = acting.filter(|acting| acting.held.is_none() || self.broken.no_lease);
+        let acts_on = acting.filter(|acting| acting.hold_reason.is_none() || self.broken.no_lease);
         let acts_on = acts_on.map(|acting| acting.active);
         if let Some(number) = acts_on {
             self.seen.acted_on.note(number, self.now);
