--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -76,7 +76,7 @@
     }
 }
 
-impl badgerledge_revisions::Hand for Verifier {
+impl badgerledge_revisions::Signer for Verifier {
     /// Returns zeros, which are nobody's valid signature: a verifier has no private key.
     fn sign(&self, _bytes: &[u8]) -> Signature {
         [0; 64]
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -97,7 +97,7 @@
     }
 
     /// The members that certify revisions.
-    pub fn keepers(&self) -> &[Member] {
+    pub fn acceptors(&self) -> &[Member] {
         &self.acceptors
     }
 
--- a/crates/keys/src/tests.rs
+++ b/crates/keys/src/tests.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn verifier_verifies_signatures_of_members_but_can_not_sign() {
-    use badgerledge_revisions::Hand;
+    use badgerledge_revisions::Signer;
     let member = PrivateKey::make(Role::Member(3)).unwrap();
     let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public());
     let verifier = crate::Verifier::new(Ring::of(&Sheet::parse("ring", &text).unwrap()).unwrap());
