--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -1,4 +1,4 @@
-//! This controller's accounts of what crosses between buildings, and their copies on disk.
+//! This controller's accounts of traffic between zones, and their copies on disk.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -7,120 +7,130 @@
 
 use crate::files::{self, wall};
 
-/// Accounts are stored this often, and a kill loses no more than what came since: the stated second, halved.
+/// Interval at which accounts are stored: half of the second that a killed process may lose at most.
 pub const STORE_EVERY: Duration = Duration::from_millis(500);
-/// The files of the last sums, written in turn: a torn one leaves the one before.
-const TURNS: [&str; 2] = ["accounts-a", "accounts-b"];
-/// All windows, written once for each window.
-const WINDOWS: &str = "accounts-windows";
-/// There after an orderly end, so that nothing is estimated for it.
-const ENDED: &str = "accounts-ended";
-/// Windows in the files of the last sums: the one that is on, and the one that closed last.
-const LAST: usize = 2;
+/// The files of the latest sums, written alternately: if one is torn, the previous one is intact.
+const LATEST_FILES: [&str; 2] = ["accounts-a", "accounts-b"];
+/// The file of all windows, written once per window.
+const WINDOWS_FILE: &str = "accounts-windows";
+/// Present after an orderly stop, so that no unseen traffic is estimated for it.
+const ENDED_FILE: &str = "accounts-ended";
+/// Windows in the files of the latest sums: the current one, and the one that closed last.
+const LATEST_WINDOWS: usize = 2;
 
+/// The accounts of this controller.
 pub struct Accounting {
     accounts: Accounts,
     source: Source,
     folder: Option<PathBuf>,
-    turn: usize,
+    /// The file of [`LATEST_FILES`] that was written last.
+    latest_file: usize,
     stored_at: Duration,
+    /// The window at the last write of all windows.
     window: u64,
-    /// What was stored last, as in the files: all that is ever handed out, so that a reborn controller never says
-    /// less. The page is made of it when it is asked for, which is seldom beside storing.
+    /// What was stored last, as in the files. Only this is exported, so that a restarted controller never
+    /// reports less than before. The page is built on request, which is rare compared with storing.
     stored: Stored,
 }
 
-/// The stored texts: all windows as they were at the last window's turn, and the last few since.
+/// The stored texts: all windows as of the last change of window, and the latest windows since.
 #[derive(Default)]
 struct Stored {
     windows: String,
-    last: String,
+    latest: String,
 }
 
 impl Accounting {
-    /// Reads what an earlier process stored, and goes on with it.
+    /// Reads what an earlier process stored, and continues from it.
     pub fn new(controller: u32, folder: Option<&Path>, seed: u64) -> Self {
         let mut accounts = Accounts::default();
         if let Some(folder) = folder {
-            TURNS.iter().chain([&WINDOWS]).filter_map(|file| read(&folder.join(file))).for_each(|stored| {
-                accounts.merge(&stored);
-            });
+            LATEST_FILES.iter().chain([&WINDOWS_FILE]).filter_map(|file| read(&folder.join(file))).for_each(
+                |stored| {
+                    accounts.merge(&stored);
+                },
+            );
         }
-        let known = accounts.source_of(controller);
-        let source = known.unwrap_or(Source { controller, account: seed });
-        let ended =
-            folder.map(|folder| folder.join(ENDED)).is_some_and(|file| std::fs::remove_file(file).is_ok());
-        if known.is_some() && !ended {
+        let stored_source = accounts.source_of(controller);
+        let source = stored_source.unwrap_or(Source { controller, account: seed });
+        let stopped_in_order = folder
+            .map(|folder| folder.join(ENDED_FILE))
+            .is_some_and(|file| std::fs::remove_file(file).is_ok());
+        if stored_source.is_some() && !stopped_in_order {
             accounts.ledger(source).estimate_unseen(wall(), STORE_EVERY);
         }
         accounts.ledger(source);
-        let stored = Stored { windows: accounts.write(), last: String::new() };
+        let stored = Stored { windows: accounts.write(), latest: String::new() };
         let folder = folder.map(Path::to_owned);
-        Self { accounts, source, folder, turn: 0, stored_at: Duration::ZERO, window: 0, stored }
+        Self { accounts, source, folder, latest_file: 0, stored_at: Duration::ZERO, window: 0, stored }
     }
 
-    pub fn count(&mut self, key: &Key, title: u64, more: &Amount) {
-        self.accounts.ledger(self.source).count(wall(), key, title, more);
+    /// Adds traffic of a title to an account.
+    pub fn count(&mut self, key: &Key, title: u64, traffic: &Amount) {
+        self.accounts.ledger(self.source).count(wall(), key, title, traffic);
     }
 
+    /// The sums of all windows, by account key.
     pub fn whole(&self) -> std::collections::BTreeMap<Key, Amount> {
         self.accounts.whole()
     }
 
-    /// What was stored last, for whoever asks.
+    /// The accounts as stored last, as text.
     pub fn page(&self) -> String {
-        let texts = [&self.stored.windows, &self.stored.last];
+        let texts = [&self.stored.windows, &self.stored.latest];
         let mut stored = Accounts::default();
         texts.into_iter().filter_map(|text| Accounts::read(text).ok()).for_each(|part| stored.merge(&part));
         stored.write()
     }
 
+    /// Whether storing is due.
     pub fn is_due(&self, now: Duration) -> bool {
         now >= self.stored_at + STORE_EVERY
     }
 
-    /// Stores what has been counted. A disk that takes nothing is told of in the log, and counting goes on.
-    pub fn store(&mut self, now: Duration, ends: bool) {
+    /// Stores the counts. A failure is logged, and counting goes on.
+    pub fn store(&mut self, now: Duration, is_last: bool) {
         self.stored_at = now;
-        if let Err(e) = self.try_store(ends) {
-            tracing::warn!("the accounts could not be stored: {e}; counting goes on");
+        if let Err(error) = self.try_store(is_last) {
+            tracing::warn!("the accounts could not be stored: {error}; counting goes on");
         }
     }
 
-    fn try_store(&mut self, ends: bool) -> std::io::Result<()> {
-        let last = self.accounts.write_last(LAST);
-        let window = wall().as_secs() / WINDOW.as_secs();
-        let whole = (window != self.window || ends).then(|| self.accounts.write());
+    fn try_store(&mut self, is_last: bool) -> std::io::Result<()> {
+        let latest = self.accounts.write_last(LATEST_WINDOWS);
+        let current_window = wall().as_secs() / WINDOW.as_secs();
+        let whole = (current_window != self.window || is_last).then(|| self.accounts.write());
         if let Some(folder) = &self.folder {
-            self.turn = 1 - self.turn;
-            std::fs::write(folder.join(TURNS[self.turn]), seal(&last))?;
+            self.latest_file = 1 - self.latest_file;
+            std::fs::write(folder.join(LATEST_FILES[self.latest_file]), seal(&latest))?;
             if let Some(whole) = &whole {
-                files::replace(&folder.join(WINDOWS), &seal(whole))?;
+                files::replace(&folder.join(WINDOWS_FILE), &seal(whole))?;
             }
-            if ends {
-                std::fs::write(folder.join(ENDED), "")?;
+            if is_last {
+                std::fs::write(folder.join(ENDED_FILE), "")?;
             }
         }
-        self.stored.last = last;
+        self.stored.latest = latest;
         if let Some(whole) = whole {
-            (self.stored.windows, self.window) = (whole, window);
+            (self.stored.windows, self.window) = (whole, current_window);
         }
         Ok(())
     }
 }
 
-/// One stored file; nothing where there is none, or it is torn.
+/// Reads a stored file; `None` if there is none or it is torn.
 fn read(path: &Path) -> Option<Accounts> {
     let bytes = std::fs::read(path).ok()?;
-    let read = open(&bytes).map_err(|e| e.to_string());
-    let accounts = read.and_then(|text| Accounts::read(text).map_err(|e| e.to_string()));
-    accounts.map_err(|e| tracing::warn!(path = %path.display(), "stored accounts are no use: {e}")).ok()
+    let text = open(&bytes).map_err(|error| error.to_string());
+    let accounts = text.and_then(|text| Accounts::read(text).map_err(|error| error.to_string()));
+    accounts.map_err(|error| tracing::warn!(path = %path.display(), "a file of stored accounts is invalid and skipped: {error}")).ok()
 }
 
-/// All accounts that controllers stored in a folder; torn files are passed over, as a reborn controller does.
+/// Reads all accounts that a controller stored in a folder. Torn files are skipped, as a restarted controller
+/// does.
 pub fn stored_in(folder: &Path) -> Accounts {
     let mut accounts = Accounts::default();
-    let files = TURNS.iter().chain([&WINDOWS]);
+    let files = LATEST_FILES.iter().chain([&WINDOWS_FILE]);
     files.filter_map(|file| read(&folder.join(file))).for_each(|stored| accounts.merge(&stored));
     accounts
 }
--- a/crates/controller/src/budgeting.rs
+++ b/crates/controller/src/budgeting.rs
@@ -1,4 +1,5 @@
-//! The budget of what crosses, joined to the ends: what was spent goes in, plans and words come out.
+//! Applies the bandwidth budgets for traffic between zones: spent bytes go in, plans and messages to other
+//! controllers come out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,138 +9,166 @@
 use badgerledge_deployment::Deployment;
 use badgerledge_exchange::book::{Book, Held, Join};
 
-use crate::ends::Ends;
+use crate::connections::Connections;
 
-/// A plan is made this often: the module's own beat.
-const EVERY: Duration = Duration::from_millis(200);
+/// Interval between plans: the same as the module's periodic work.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The way of a budget for what crosses in all.
-const ANY: u16 = u16::MAX;
+/// The path number of a budget for all cross-zone traffic.
+const ALL_PATHS: u16 = u16::MAX;
 
-/// A budget of one way: from one building to another, or all. Of ways that do not end here a controller owns its share
-/// like everyone, and only lends it.
-struct Part {
-    /// The building it comes from; nothing where it is for all.
+/// The budget of one path: from one zone to another, or of all cross-zone traffic. Of a path that does not
+/// end in this controller's zone, the controller owns a share like every other, and only lends it.
+struct PathBudget {
+    /// The zone that the path starts in; `None` where the budget covers all traffic.
     from: Option<u16>,
-    /// Whether it ends in this controller's building.
-    here: bool,
+    /// Whether the path ends in this controller's zone.
+    ends_here: bool,
     bucket: SharedBucket,
     lending: Lending,
-    planned: f64,
+    planned_rate: f64,
 }
 
-pub struct Budgeting {
-    parts: BTreeMap<u16, Part>,
-    next: Duration,
-    /// Subscriptions that the last plans capped.
+/// The budgets of all paths that this controller takes part in.
+pub struct CrossingBudgets {
+    path_budgets: BTreeMap<u16, PathBudget>,
+    next_plan_at: Duration,
+    /// Subscriptions whose rung the last plans capped.
     capped: BTreeSet<JobId>,
 }
 
-impl Budgeting {
-    /// Nothing where the deployment has no budget.
+impl CrossingBudgets {
+    /// `None` where the deployment has no budget.
     pub fn new(deployment: &Deployment, now: Duration, seed: u64) -> Option<Self> {
         let (budget, place) = (deployment.shared.crossing.as_ref()?, &deployment.place);
         let zones = &deployment.shared.fleet.zones;
-        let part = |from: Option<u16>, here: bool, way: u16| {
+        let new_budget = |from: Option<u16>, ends_here: bool, path: u16| {
             let bucket = SharedBucket::new(budget.rate_kb_s, budget.burst_kb, place.controllers, now);
-            let seed = seed ^ u64::from(way).rotate_left(32);
+            let seed = seed ^ u64::from(path).rotate_left(32);
             let lending = Lending::new(place.number, place.controllers, bucket.share(), now, seed);
-            Part { from, here, bucket, lending, planned: 0.0 }
+            PathBudget { from, ends_here, bucket, lending, planned_rate: 0.0 }
         };
-        let mut parts = BTreeMap::new();
+        let mut path_budgets = BTreeMap::new();
         if budget.per == "pair" {
             let count = zones.len() as u16;
             for (from, to) in (0..count).flat_map(|from| (0..count).map(move |to| (from, to))) {
-                let (way, here) = (from * count + to, zones[usize::from(to)] == place.zone);
+                let (path, ends_here) = (from * count + to, zones[usize::from(to)] == place.zone);
                 if from != to {
-                    parts.insert(way, part(Some(from), here, way));
+                    path_budgets.insert(path, new_budget(Some(from), ends_here, path));
                 }
             }
         } else {
-            parts.insert(ANY, part(None, true, ANY));
+            path_budgets.insert(ALL_PATHS, new_budget(None, true, ALL_PATHS));
         }
-        Some(Self { parts, next: now, capped: BTreeSet::new() })
+        Some(Self { path_budgets, next_plan_at: now, capped: BTreeSet::new() })
     }
 
+    /// When the next plans are due.
     pub fn next_due(&self) -> Duration {
-        self.next
+        self.next_plan_at
     }
 
-    /// Takes a word of another controller. Tells whether it was one, and answers it.
-    pub fn handle(&mut self, ends: &mut Ends, peer: u32, bytes: &[u8]) -> bool {
-        let Some((way, message)) = Message::read(bytes) else { return false };
-        let part = self.parts.get_mut(&way);
-        if let Some(answer) = part.and_then(|part| part.lending.handle(ends.now, peer, message)) {
-            ends.tell(peer, &answer.write(way));
+    /// Handles a lending message of another controller and answers it. Returns whether it was one.
+    pub fn handle(&mut self, connections: &mut Connections, peer: u32, bytes: &[u8]) -> bool {
+        let Some((path, message)) = Message::read(bytes) else { return false };
+        let path_budget = self.path_budgets.get_mut(&path);
+        if let Some(answer) =
+            path_budget.and_then(|budget| budget.lending.handle(connections.now, peer, message))
+        {
+            connections.send_to_peer(peer, &answer.write(path));
         }
         true
     }
 
-    /// Plans for now, from what crossed since the last ones: each with the building that it is for.
-    pub fn plan(&mut self, ends: &mut Ends, book: &Book) -> Vec<(Option<u16>, Plan)> {
-        let now = ends.now;
-        self.next = now + EVERY;
-        let spent = std::mem::take(&mut ends.crossed_bytes);
+    /// Makes plans from the traffic since the last ones, each with the zone that its path starts in.
+    pub fn plan(&mut self, connections: &mut Connections, book: &Book) -> Vec<(Option<u16>, Plan)> {
+        let now = connections.now;
+        self.next_plan_at = now + PLAN_INTERVAL;
+        let spent_bytes = std::mem::take(&mut connections.cross_zone_bytes);
         let mut plans = Vec::new();
-        for (way, part) in &mut self.parts {
-            let made = part.here.then(|| part.plan(ends, book, &spent));
-            let wanted = made.as_ref().map_or(0.0, |(_, wanted)| *wanted);
-            part.lending.request(now, wanted, |peer, message| ends.tell(peer, &message.write(*way)));
-            plans.extend(made.map(|(plan, _)| (part.from, plan)));
+        for (path, budget) in &mut self.path_budgets {
+            let planned = budget.ends_here.then(|| budget.plan(connections, book, &spent_bytes));
+            let wanted_rate = planned.as_ref().map_or(0.0, |(_, wanted_rate)| *wanted_rate);
+            budget.lending.request(now, wanted_rate, |peer, message| {
+                connections.send_to_peer(peer, &message.write(*path))
+            });
+            plans.extend(planned.map(|(plan, _)| (budget.from, plan)));
         }
         plans
     }
 
-    /// The caps that plans set, and those of the last plans that are no more.
+    /// The rung caps that the plans set, and `None` for each that the last plans set and these do not.
     pub fn caps(&mut self, plans: &[(Option<u16>, Plan)]) -> Vec<(JobId, Option<u8>)> {
-        let tops = || plans.iter().flat_map(|(_, plan)| &plan.tops);
-        let now: BTreeSet<JobId> = tops().map(|(job, _)| *job).collect();
-        let lifted = self.capped.difference(&now).map(|job| (*job, None));
-        let caps = lifted.chain(tops().map(|(job, top)| (*job, Some(*top)))).collect();
-        self.capped = now;
+        let rung_caps = || plans.iter().flat_map(|(_, plan)| &plan.tops);
+        let capped: BTreeSet<JobId> = rung_caps().map(|(job, _)| *job).collect();
+        let lifted = self.capped.difference(&capped).map(|job| (*job, None));
+        let caps = lifted.chain(rung_caps().map(|(job, top)| (*job, Some(*top)))).collect();
+        self.capped = capped;
         caps
     }
 }
 
-impl Part {
-    /// A plan, and what would be spent if it could.
-    fn plan(&mut self, ends: &Ends, book: &Book, spent: &BTreeMap<u16, u64>) -> (Plan, f64) {
-        let ours = |zone: u16| self.from.is_none_or(|from| from == zone);
-        let bytes: u64 = spent.iter().filter(|(zone, _)| ours(**zone)).map(|(_, bytes)| *bytes).sum();
-        let crossers: Vec<Crosser> = book.flowing().filter_map(|one| crosser(ends, one, ours)).collect();
-        // Joins that are out will play at the rungs they were sent with: not the plan's to change yet.
-        let out: f64 = book.out().filter_map(|one| crosser(ends, one, ours)).map(|one| rate_of(&one)).sum();
-        let owned = self.lending.owned(ends.now);
-        self.bucket.spend(ends.now, owned, bytes as f64 / 1000.0, self.planned * EVERY.as_secs_f64());
-        let made = plan(&crossers, (self.bucket.may_plan(owned) - out).max(0.0));
-        self.planned = made.planned + out;
-        let wanted: f64 = crossers.iter().filter_map(|one| one.steps.last()).map(|step| step.rate).sum();
-        (made, wanted + out)
+impl PathBudget {
+    /// Returns a plan, and the rate that would be used without a budget.
+    fn plan(
+        &mut self, connections: &Connections, book: &Book, spent_bytes: &BTreeMap<u16, u64>,
+    ) -> (Plan, f64) {
+        let is_on_path = |zone: u16| self.from.is_none_or(|from| from == zone);
+        let bytes: u64 =
+            spent_bytes.iter().filter(|(zone, _)| is_on_path(**zone)).map(|(_, bytes)| *bytes).sum();
+        let crossers: Vec<Crosser> = book
+            .flowing()
+            .filter_map(|subscription| crosser(connections, subscription, is_on_path))
+            .collect();
+        // Joins in progress will play at the rungs that they were sent with, which the plan cannot change
+        // yet.
+        let joining_rate: f64 = book
+            .out()
+            .filter_map(|subscription| crosser(connections, subscription, is_on_path))
+            .map(|crossing| rate_of(&crossing))
+            .sum();
+        let owned = self.lending.owned(connections.now);
+        self.bucket.spend(
+            connections.now,
+            owned,
+            bytes as f64 / 1000.0,
+            self.planned_rate * PLAN_INTERVAL.as_secs_f64(),
+        );
+        let new_plan = plan(&crossers, (self.bucket.may_plan(owned) - joining_rate).max(0.0));
+        self.planned_rate = new_plan.planned + joining_rate;
+        let wanted_rate: f64 =
+            crossers.iter().filter_map(|crossing| crossing.steps.last()).map(|step| step.rate).sum();
+        (new_plan, wanted_rate + joining_rate)
     }
 }
 
+/// The rate of a subscription at its present rung.
 fn rate_of(crosser: &Crosser) -> f64 {
-    let at = usize::from(crosser.rung.saturating_sub(crosser.floor));
-    crosser.steps.get(at).or(crosser.steps.last()).map_or(0.0, |step| step.rate)
+    let index = usize::from(crosser.rung.saturating_sub(crosser.floor));
+    crosser.steps.get(index).or(crosser.steps.last()).map_or(0.0, |step| step.rate)
 }
 
-/// A subscription as a plan sees it; nothing where it does not cross, or not by this plan's way.
+/// A subscription as the planner needs it; `None` where it does not cross zones, or not on this plan's path.
 fn crosser(
-    ends: &Ends, (job, held, join): (JobId, &Held, &Join), ours: impl Fn(u16) -> bool,
+    connections: &Connections, (job, record, join): (JobId, &Held, &Join), is_on_path: impl Fn(u16) -> bool,
 ) -> Option<Crosser> {
-    let shared = &ends.deployment.shared;
-    let from = *ends.zones.get(&join.streamer)?;
-    let zone = shared.fleet.zones.get(usize::from(from))?;
-    if *zone == ends.deployment.place.zone || !ours(from) {
+    let shared = &connections.deployment.shared;
+    let from = *connections.streamer_zones.get(&join.streamer)?;
+    let source_zone = shared.fleet.zones.get(usize::from(from))?;
+    if *source_zone == connections.deployment.place.zone || !is_on_path(from) {
         return None;
     }
-    let (_, told) = shared.room_types.get(held.asked.room_type)?;
+    let (_, parameters) = shared.room_types.get(record.asked.room_type)?;
     let ladder = &shared.ladder;
-    let highest = told.top.unwrap_or(u8::MAX).min(held.asked.max_rung).min(ladder.rates_kb.len() as u8 - 1);
+    let highest_rung =
+        parameters.top.unwrap_or(u8::MAX).min(record.asked.max_rung).min(ladder.rates_kb.len() as u8 - 1);
     let step = |rung: u8| {
         let rung = usize::from(rung);
-        Step { rate: ladder.rates_kb[rung] * told.scale, earns: ladder.benefit[rung] * told.benefit }
+        Step {
+            rate: ladder.rates_kb[rung] * parameters.scale,
+            earns: ladder.benefit[rung] * parameters.benefit,
+        }
     };
-    let steps = (told.floor..=highest.max(told.floor)).map(step).collect();
-    Some(Crosser { job, floor: told.floor, steps, rung: held.rung.unwrap_or(told.floor) })
+    let steps = (parameters.floor..=highest_rung.max(parameters.floor)).map(step).collect();
+    Some(Crosser { job, floor: parameters.floor, steps, rung: record.rung.unwrap_or(parameters.floor) })
 }
--- a/crates/controller/src/changing.rs
+++ b/crates/controller/src/changing.rs
@@ -1,4 +1,5 @@
-//! A change of settings and titles, from its taking to the last subscription that it moves.
+//! Applies a change of settings and titles to existing subscriptions, until the last one that must move has
+//! moved.
 
 use std::time::Duration;
 
@@ -12,44 +13,48 @@
 use metrics::{counter, gauge};
 use serde_json::{Map, Value};
 
-use crate::ends::Ends;
-use crate::watch;
+use crate::connections::Connections;
+use crate::telemetry;
 
-/// One that was to leave before it played is looked at again after this: some tenths of what viewers wait.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+/// Delay until a subscription that was to move before it played is checked again: some tenths of the time
+/// that viewers wait.
+const RECHECK_DELAY: Duration = Duration::from_millis(250);
 
-/// What counts from now on.
+/// The configuration that applies from now on.
 pub struct Change {
-    /// In the numbers that subscriptions are held under.
+    /// In the numbering that existing subscriptions refer to.
     pub shared: Shared,
-    /// Nothing where the titles are not under revisions.
+    /// `None` where the titles are not part of revisions.
     pub titles: Option<Catalogue>,
 }
 
-/// What a round does of a change before all else.
-pub struct Turn {
-    told: Map<String, Value>,
+/// What a round applies of a change before all else.
+pub struct RoundChanges {
+    module_settings: Map<String, Value>,
     outcomes: Vec<(JobId, Outcome)>,
 }
 
-pub struct Changing {
+/// The state of a change that is being applied.
+pub struct ConfigurationChanges {
+    /// Whether a new configuration has not been reported to the module yet.
     pending: bool,
     moves: MoveSchedule,
-    within: Duration,
-    chance: Chance,
+    move_within: Duration,
+    rng: Chance,
 }
 
-impl Changing {
-    pub fn new(within: Duration, seed: u64) -> Self {
-        Self { pending: false, moves: MoveSchedule::default(), within, chance: Chance(seed) }
+impl ConfigurationChanges {
+    /// `move_within` is the time over which moves are spread.
+    pub fn new(move_within: Duration, seed: u64) -> Self {
+        Self { pending: false, moves: MoveSchedule::default(), move_within, rng: Chance(seed) }
     }
 
-    /// The ends act on something else by now: the next round tells the module.
-    pub fn begins(&mut self) {
+    /// Records that the connections use a new configuration, which the next round reports to the module.
+    pub fn mark_pending(&mut self) {
         self.pending = true;
     }
 
-    /// When a round has something to do for it.
+    /// When a round has work to do for a change.
     pub fn next_due(&self) -> Option<Duration> {
         if self.pending {
             Some(Duration::ZERO)
@@ -58,44 +63,50 @@
         }
     }
 
-    /// What is to be done in the round that begins, where something changed.
-    pub fn turn(&mut self, ends: &Ends, book: &Book) -> Option<Turn> {
+    /// Decides what the coming round applies, if something changed.
+    pub fn plan_round(&mut self, connections: &Connections, book: &Book) -> Option<RoundChanges> {
         if !std::mem::take(&mut self.pending) {
             return None;
         }
-        let configuration = Configuration { shared: &ends.deployment.shared, titles: &ends.catalogue };
+        let configuration =
+            Configuration { shared: &connections.deployment.shared, titles: &connections.catalogue };
         let mut outcomes = Vec::new();
-        let mut leaving: Vec<(JobId, StreamerId)> = Vec::new();
-        for (job, held) in book.all() {
-            let found = outcome(&Subscription { asked: held.asked, stage: stage(held, ends) }, configuration);
-            match (found.action, &held.join) {
-                (Action::MovesOn, Some(join)) => leaving.push((job, join.streamer)),
+        let mut to_move: Vec<(JobId, StreamerId)> = Vec::new();
+        for (job, record) in book.all() {
+            let subscription_outcome = outcome(
+                &Subscription { asked: record.asked, stage: stage(record, connections) },
+                configuration,
+            );
+            match (subscription_outcome.action, &record.join) {
+                (Action::MovesOn, Some(join)) => to_move.push((job, join.streamer)),
                 _ => self.moves.cancel(job),
             }
-            outcomes.push((job, found));
+            outcomes.push((job, subscription_outcome));
         }
-        // In an order by chance: or those held longest would always be the first to go.
-        for at in (1..leaving.len()).rev() {
-            leaving.swap(at, (self.chance.share() * (at + 1) as f64) as usize);
+        // In random order, or the oldest subscriptions would always be the first to move.
+        for last in (1..to_move.len()).rev() {
+            to_move.swap(last, (self.rng.share() * (last + 1) as f64) as usize);
         }
-        self.moves.spread(ends.now, self.within, &leaving);
+        self.moves.spread(connections.now, self.move_within, &to_move);
         let count = |action: Action| outcomes.iter().filter(|(_, outcome)| outcome.action == action).count();
         let (turned_away, withdrawn) = (count(Action::TurnedAway), count(Action::Withdrawn));
         tracing::info!(
             held = outcomes.len(),
-            moves = leaving.len(),
+            moves = to_move.len(),
             withdrawn,
             turned_away,
-            "a change is carried out"
+            "a change is applied"
         );
-        Some(Turn { told: ends.deployment.module_settings(), outcomes })
+        Some(RoundChanges { module_settings: connections.deployment.module_settings(), outcomes })
     }
 
-    /// Carries a change out, and lets those go whose time to leave has come.
-    pub fn carry_out(&mut self, turn: Option<Turn>, floor: &mut Floor<'_, '_, Ends>, now: Duration) {
-        if let Some(Turn { told, outcomes }) = turn {
+    /// Applies a change, and moves the subscriptions whose time to move has come.
+    pub fn apply(
+        &mut self, changes: Option<RoundChanges>, floor: &mut Floor<'_, '_, Connections>, now: Duration,
+    ) {
+        if let Some(RoundChanges { module_settings, outcomes }) = changes {
             outcomes.iter().for_each(|(job, outcome)| floor.ends_at(*job, outcome.top));
-            floor.retell(told);
+            floor.retell(module_settings);
             for (job, Outcome { placement, action, .. }) in outcomes {
                 floor.relocate(job, placement.0, placement.1);
                 match action {
@@ -107,21 +118,21 @@
         }
         while let Some((job, from)) = self.moves.pop_due(now) {
             if floor.move_on(job, from) {
-                // A join that is out ends or plays within its viewer's time: it is looked at again.
-                self.moves.spread(now + LOOK_AGAIN, Duration::ZERO, &[(job, from)]);
+                // A join in progress ends or plays within its viewer's time-out, so it is checked again.
+                self.moves.spread(now + RECHECK_DELAY, Duration::ZERO, &[(job, from)]);
             } else {
-                counter!(watch::MOVED_ON).increment(1);
+                counter!(telemetry::SUBSCRIPTIONS_RELOCATED).increment(1);
             }
         }
-        gauge!(watch::TO_MOVE_ON).set(self.moves.len() as f64);
+        gauge!(telemetry::RELOCATIONS_PENDING).set(self.moves.len() as f64);
     }
 }
 
-/// How far a subscription is.
-fn stage(held: &Held, ends: &Ends) -> Stage {
-    let Some(join) = &held.join else { return Stage::Waits };
-    let cell = ends.cells.get(&join.streamer).copied();
-    match held.plays_to {
+/// The stage of a subscription.
+fn stage(record: &Held, connections: &Connections) -> Stage {
+    let Some(join) = &record.join else { return Stage::Waits };
+    let cell = connections.streamer_cells.get(&join.streamer).copied();
+    match record.plays_to {
         Some(_) => Stage::Plays { cell },
         None => Stage::Joins { cell, sent: join.set_up.is_some() },
     }
--- a/crates/controller/src/configuration_source.rs
+++ b/crates/controller/src/configuration_source.rs
@@ -1,5 +1,5 @@
-//! Where the shared configuration comes from while the controller runs: revisions that controllers agree on among
-//! themselves, or those that control machines hand down. The program's loop has one path for both.
+//! The source of the shared configuration while the controller runs: revisions that controllers agree on
+//! among themselves, or those that control machines distribute. The event loop treats both alike.
 
 use std::time::Duration;
 
@@ -9,127 +9,132 @@
 use badgerledge_reactor::{Happening, Line, Reactor};
 
 use crate::changing::Change;
-use crate::distributing::Distributing;
-use crate::gossiping::Gossiping;
-use crate::revising::Revising;
+use crate::distributing::DistributionDriver;
+use crate::gossiping::GossipDriver;
+use crate::revising::RevisionDriver;
 
 /// A source of changes of the shared configuration.
 pub enum ConfigurationSource {
-    Revisions(Box<Revising>),
-    Distribution(Box<Distributing>),
+    Revisions(Box<RevisionDriver>),
+    Distribution(Box<DistributionDriver>),
 }
 
 impl ConfigurationSource {
-    /// Nothing where the deployment has the shared configuration in its file alone.
+    /// `None` where the shared configuration comes from the settings file alone.
     ///
     /// # Errors
-    /// Where what the deployment names is not in order.
+    /// If the settings of the source are invalid or its files unusable.
     pub fn new(
-        reactor: &mut Reactor, deployment: &Deployment, titles: &Catalogue, gossiping: Option<&Gossiping>,
+        reactor: &mut Reactor, deployment: &Deployment, titles: &Catalogue, gossip: Option<&GossipDriver>,
         seed: u64,
     ) -> Result<Option<Self>> {
-        if let Some(distributing) = Distributing::new(reactor, deployment, titles, seed)? {
-            return Ok(Some(Self::Distribution(Box::new(distributing))));
+        if let Some(distribution) = DistributionDriver::new(reactor, deployment, titles, seed)? {
+            return Ok(Some(Self::Distribution(Box::new(distribution))));
         }
-        let Some(gossiping) = gossiping else { return Ok(None) };
-        let revising = Revising::new(reactor, deployment, titles, gossiping, seed)?;
-        Ok(revising.map(|revising| Self::Revisions(Box::new(revising))))
+        let Some(gossip) = gossip else { return Ok(None) };
+        let revisions = RevisionDriver::new(reactor, deployment, titles, gossip, seed)?;
+        Ok(revisions.map(|revisions| Self::Revisions(Box::new(revisions))))
     }
 
-    /// The revisions among controllers, which also tell each other of their lists.
-    pub fn revisions(&mut self) -> Option<&mut Revising> {
+    /// The driver of revisions among controllers, which also exchanges positions of the list.
+    pub fn revisions(&mut self) -> Option<&mut RevisionDriver> {
         match self {
-            Self::Revisions(revising) => Some(revising),
+            Self::Revisions(revisions) => Some(revisions),
             Self::Distribution(_) => None,
         }
     }
 
+    /// When [`Self::poll`] has work to do next.
     pub fn next_due(&self) -> Duration {
         match self {
-            Self::Revisions(revising) => revising.next_due(),
-            Self::Distribution(distributing) => distributing.next_due(),
+            Self::Revisions(revisions) => revisions.next_due(),
+            Self::Distribution(distribution) => distribution.next_due(),
         }
     }
 
-    /// One time for all that a wake brings.
-    pub fn wakes(&mut self, now: Duration) {
+    /// Sets the one time that all events of this iteration of the event loop are handled with.
+    pub fn set_now(&mut self, now: Duration) {
         match self {
-            Self::Revisions(revising) => revising.wakes(now),
-            Self::Distribution(distributing) => distributing.wakes(now),
+            Self::Revisions(revisions) => revisions.set_now(now),
+            Self::Distribution(distribution) => distribution.set_now(now),
         }
     }
 
-    /// Does what is due.
-    pub fn tend(&mut self, reactor: &mut Reactor, gossiping: Option<&mut Gossiping>, now: Duration) {
-        match (self, gossiping) {
-            (Self::Revisions(revising), Some(gossiping)) => {
-                gossiping.take_new_keys().iter().for_each(|keys| revising.take_keys(keys));
-                revising.tend(reactor, gossiping, now);
+    /// Does the work that is due.
+    pub fn poll(&mut self, reactor: &mut Reactor, gossip: Option<&mut GossipDriver>, now: Duration) {
+        match (self, gossip) {
+            (Self::Revisions(revisions), Some(gossip)) => {
+                gossip.take_new_keys().iter().for_each(|keys| revisions.replace_keys(keys));
+                revisions.poll(reactor, gossip, now);
             }
             (Self::Revisions(_), None) => {}
-            (Self::Distribution(distributing), _) => distributing.tend(reactor, now),
+            (Self::Distribution(distribution), _) => distribution.poll(reactor, now),
         }
     }
 
-    /// Takes a connection that came in, if it is for this.
-    pub fn accepts(&mut self, reactor: &mut Reactor, line: Line, listener: Line) -> bool {
-        self.revisions().is_some_and(|revising| revising.accepts(reactor, line, listener))
+    /// Accepts a connection if it came in on a listener of this source.
+    pub fn accept(&mut self, reactor: &mut Reactor, connection: Line, listener: Line) -> bool {
+        self.revisions().is_some_and(|revisions| revisions.accept(reactor, connection, listener))
     }
 
-    /// Whether a line is one of this part's own.
-    pub fn is(&self, line: Line) -> bool {
+    /// Whether a connection belongs to this source.
+    pub fn owns(&self, connection: Line) -> bool {
         match self {
-            Self::Revisions(revising) => revising.is(line),
-            Self::Distribution(distributing) => distributing.is(line),
+            Self::Revisions(revisions) => revisions.owns(connection),
+            Self::Distribution(distribution) => distribution.owns(connection),
         }
     }
 
-    /// Something happened on one of its lines.
-    pub fn take(
-        &mut self, reactor: &mut Reactor, gossiping: Option<&mut Gossiping>, line: Line,
-        happening: &Happening,
+    /// Handles an event on one of its connections.
+    pub fn handle_event(
+        &mut self, reactor: &mut Reactor, gossip: Option<&mut GossipDriver>, connection: Line,
+        event: &Happening,
     ) {
-        match (self, happening) {
-            (Self::Revisions(revising), Happening::Opened(_)) => revising.opened(reactor, line),
-            (Self::Revisions(revising), Happening::Closed(..)) => revising.closed(line),
-            (Self::Revisions(revising), _) => {
-                gossiping.into_iter().for_each(|gossiping| revising.readable(reactor, gossiping, line));
+        match (self, event) {
+            (Self::Revisions(revisions), Happening::Opened(_)) => revisions.opened(reactor, connection),
+            (Self::Revisions(revisions), Happening::Closed(..)) => revisions.closed(connection),
+            (Self::Revisions(revisions), _) => {
+                gossip.into_iter().for_each(|gossip| revisions.readable(reactor, gossip, connection));
             }
-            (Self::Distribution(distributing), Happening::Opened(_)) => distributing.opened(reactor, line),
-            (Self::Distribution(distributing), Happening::Closed(..)) => distributing.closed(reactor, line),
-            (Self::Distribution(distributing), _) => distributing.readable(reactor, line),
+            (Self::Distribution(distribution), Happening::Opened(_)) => {
+                distribution.opened(reactor, connection)
+            }
+            (Self::Distribution(distribution), Happening::Closed(..)) => {
+                distribution.closed(reactor, connection)
+            }
+            (Self::Distribution(distribution), _) => distribution.readable(reactor, connection),
         }
     }
 
-    /// What to act on from now on, if it has changed.
+    /// The configuration to apply from now on, if it has changed.
     pub fn take_change(&mut self) -> Option<Change> {
         match self {
-            Self::Revisions(revising) => revising.take_change(),
-            Self::Distribution(distributing) => distributing.take_change(),
+            Self::Revisions(revisions) => revisions.take_change(),
+            Self::Distribution(distribution) => distribution.take_change(),
         }
     }
 
-    /// Whether new joins are held back at this time, and when viewers may come back.
-    pub fn holds_back(&mut self, now: Duration) -> Option<Duration> {
+    /// Whether new joins are held back at this time, and if so the retry delay for viewers.
+    pub fn hold_new_joins(&mut self, now: Duration) -> Option<Duration> {
         match self {
-            Self::Revisions(revising) => revising.holds_back(now),
-            Self::Distribution(distributing) => distributing.holds_back(now),
+            Self::Revisions(revisions) => revisions.hold_new_joins(now),
+            Self::Distribution(distribution) => distribution.hold_new_joins(now),
         }
     }
 
-    /// The number of this controller's zone: the name may change.
+    /// The index of this controller's zone, which is stable while its name may change.
     pub fn zone(&self) -> usize {
         match self {
-            Self::Revisions(revising) => revising.zone(),
-            Self::Distribution(distributing) => distributing.zone(),
+            Self::Revisions(revisions) => revisions.zone(),
+            Self::Distribution(distribution) => distribution.zone(),
         }
     }
 
-    /// The catalogue's own file was read anew.
-    pub fn titles_read(&self, titles: &Catalogue) {
+    /// Records that the catalogue's own file was reloaded.
+    pub fn catalogue_reloaded(&self, titles: &Catalogue) {
         match self {
-            Self::Revisions(revising) => revising.titles_read(titles),
-            Self::Distribution(distributing) => distributing.titles_read(titles),
+            Self::Revisions(revisions) => revisions.catalogue_reloaded(titles),
+            Self::Distribution(distribution) => distribution.catalogue_reloaded(titles),
         }
     }
 }
--- a/crates/controller/src/ends/carrier.rs
+++ b/crates/controller/src/connections/carrier.rs
@@ -1,4 +1,5 @@
-//! What the exchange has carried out, and the module of this directory that does it.
+//! Carries out the exchange's decisions: each one is passed to the module of this directory that implements
+//! it.
 
 use std::time::Duration;
 
@@ -6,9 +7,9 @@
 use badgerledge_exchange::Carrier;
 use badgerledge_reactor::Line;
 
-use super::Ends;
+use super::Connections;
 
-impl Carrier for Ends {
+impl Carrier for Connections {
     fn grant(&mut self, viewer: Line, job: JobId) {
         self.answer_granted(viewer, job);
     }
@@ -25,8 +26,8 @@
         self.connect_join(job, number, streamer);
     }
 
-    fn set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>) {
-        self.request_set_up(job, number, asked, rung);
+    fn set_up(&mut self, job: JobId, number: u16, request: &Asked, rung: Option<u8>) {
+        self.request_set_up(job, number, request, rung);
     }
 
     fn play(&mut self, job: JobId, number: u16) {
@@ -46,15 +47,15 @@
     }
 
     fn farewell(&mut self, viewer: Line) {
-        self.send_farewell(viewer);
+        self.send_goodbye(viewer);
     }
 
     fn came_to(&mut self, streamer: StreamerId, ending: Option<Ending>) {
-        self.hear_ending(streamer, ending);
+        self.report_join_result(streamer, ending);
     }
 
     fn remind(&mut self, from_now: Duration, token: u64) {
-        self.reminders.push((self.now + from_now, token));
+        self.module_timers.push((self.now + from_now, token));
     }
 
     fn probe(&mut self, streamer: StreamerId) {
@@ -66,10 +67,10 @@
     }
 
     fn observe(&mut self, want: bool) {
-        self.list_wants.0 = Some(want);
+        self.list_requests.0 = Some(want);
     }
 
     fn list_all(&mut self) {
-        self.list_wants.1 = true;
+        self.list_requests.1 = true;
     }
 }
--- a/crates/controller/src/distributing/ring_file.rs
+++ b/crates/controller/src/distributing/ring_file.rs
@@ -1,4 +1,4 @@
-//! The file of the control machines' and authors' public keys, read anew where it changes.
+//! The ring file, with the public keys of control machines and authors; reloaded when it changes.
 
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
@@ -6,49 +6,51 @@
 use anyhow::Result;
 use badgerledge_keys::{Ring, Verifier};
 
-/// A ring's file.
+/// A ring file that has been read.
 pub struct RingFile {
     path: PathBuf,
-    modified: Option<SystemTime>,
+    modified_at: Option<SystemTime>,
     acceptors: usize,
 }
 
 impl RingFile {
+    /// Reads a ring file.
+    ///
     /// # Errors
-    /// Where the file can't be read, or is not in order.
+    /// If the file can't be read or is invalid.
     pub fn read(path: &Path) -> Result<(Self, Verifier)> {
-        // Its time first: what is written while it is read is seen at the next look.
-        let modified = modified(path);
+        // The time is read first: a change during the read is then noticed by the next check.
+        let modified_at = modified_at(path);
         let ring = Ring::read(path)?;
         let acceptors = ring.keepers().len();
-        Ok((Self { path: path.to_owned(), modified, acceptors }, Verifier::new(ring)))
+        Ok((Self { path: path.to_owned(), modified_at, acceptors }, Verifier::new(ring)))
     }
 
-    /// How many acceptors it names.
+    /// The number of acceptors that the ring names.
     pub fn acceptors(&self) -> usize {
         self.acceptors
     }
 
-    /// The keys, where the file has changed. One that is not in order changes nothing.
-    pub fn look(&mut self) -> Option<Verifier> {
-        if modified(&self.path) == self.modified {
+    /// Returns the keys if the file has changed. An invalid file changes nothing.
+    pub fn reload_if_changed(&mut self) -> Option<Verifier> {
+        if modified_at(&self.path) == self.modified_at {
             return None;
         }
         match Self::read(&self.path) {
             Ok((file, verifier)) => {
-                tracing::info!("the ring of the control machines was read anew");
+                tracing::info!("the ring of the control machines was reloaded");
                 *self = file;
                 Some(verifier)
             }
             Err(fault) => {
-                self.modified = modified(&self.path);
-                tracing::error!("{fault:#}; the keys read before go on holding");
+                self.modified_at = modified_at(&self.path);
+                tracing::error!("{fault:#}; keeping the previous keys");
                 None
             }
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
--- a/crates/controller/src/distributing/store.rs
+++ b/crates/controller/src/distributing/store.rs
@@ -1,5 +1,5 @@
-//! What a watcher finds again after its process ended: one file that is replaced as a whole or appended to, on the disk
-//! before anything is said that rests on it.
+//! The durable state of a watcher: one file that is replaced as a whole or appended to, and written to the
+//! disk before any message that depends on it is sent.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -11,41 +11,43 @@
 use crate::files;
 
 /// The file in the state folder.
-const STORED: &str = "distribution-state";
-/// Bytes of the file at most: two states, and as much of changes behind them.
-const LONGEST: u64 = 4 * LARGEST_STATE as u64;
+const STATE_FILE: &str = "distribution-state";
+/// Size limit of the file: two states, and as much again of changes behind them.
+const MAX_FILE_BYTES: u64 = 4 * LARGEST_STATE as u64;
 
 /// The file of a watcher's state.
 pub struct WatcherStore {
     path: PathBuf,
-    /// Whether this process wrote the file and nothing failed since: else nothing belongs behind what is there.
+    /// Whether this process wrote the file and nothing has failed since. Otherwise nothing may be appended to
+    /// its contents.
     appendable: bool,
 }
 
 impl WatcherStore {
+    /// The store in a state folder.
     pub fn new(state: &Path) -> Self {
-        Self { path: state.join(STORED), appendable: false }
+        Self { path: state.join(STATE_FILE), appendable: false }
     }
 
-    /// What an earlier process stored. What can't be read is as if it were not there, and said.
+    /// Reads what an earlier process stored. An unreadable file is logged and treated as absent.
     pub fn read(&self) -> Option<Stored> {
         read(&self.path)
-            .map_err(|why| tracing::error!("{}: {why}; taken as not there", self.path.display()))
+            .map_err(|why| tracing::error!("{}: {why}; treated as absent", self.path.display()))
             .ok()
             .flatten()
     }
 
-    /// Carries a request out; it is on the disk when this returns.
+    /// Carries out a request; its bytes are on the disk when this returns.
     ///
     /// # Errors
-    /// Where it could not be stored; what was stored before still counts.
-    pub fn carry_out(&mut self, request: &StoreRequest) -> io::Result<()> {
+    /// If it could not be stored; what was stored before remains valid.
+    pub fn execute(&mut self, request: &StoreRequest) -> io::Result<()> {
         let appendable = std::mem::replace(&mut self.appendable, false);
         match request {
             StoreRequest::Replace(bytes) => files::replace_durably(&self.path, bytes)?,
             StoreRequest::Append(bytes) if appendable => append_durably(&self.path, bytes)?,
             StoreRequest::Append(_) => {
-                return Err(io::Error::other("what it would be appended to could not be stored"))
+                return Err(io::Error::other("the file that it would be appended to could not be stored"))
             }
         }
         self.appendable = true;
@@ -59,16 +61,16 @@
     file.sync_data()
 }
 
-/// What a file holds; nothing where there is none.
+/// Reads a file; `None` if there is none.
 fn read(path: &Path) -> Result<Option<Stored>, String> {
     let length = match std::fs::metadata(path) {
         Ok(data) => data.len(),
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(fault) => return Err(fault.to_string()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error.to_string()),
     };
-    if length > LONGEST {
-        return Err(format!("{length} bytes, where {LONGEST} at most are taken"));
+    if length > MAX_FILE_BYTES {
+        return Err(format!("{length} bytes, over the limit of {MAX_FILE_BYTES}"));
     }
-    let bytes = std::fs::read(path).map_err(|fault| fault.to_string())?;
-    Stored::read(&bytes).map(Some).map_err(|fault| fault.to_string())
+    let bytes = std::fs::read(path).map_err(|error| error.to_string())?;
+    Stored::read(&bytes).map(Some).map_err(|error| error.to_string())
 }
--- a/crates/controller/src/fetching.rs
+++ b/crates/controller/src/fetching.rs
@@ -1,5 +1,5 @@
-//! Texts fetched from other members, by digest, in pieces: resumed where a stream broke, bounded by the length that
-//! the signed head names, and checked whole before they count.
+//! Fetches revision texts from other members by digest, in pieces. A fetch resumes where a stream broke, is
+//! bounded by the length in the signed head, and the whole text is verified by the caller before it is used.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -10,119 +10,131 @@
 use badgerledge_revisions::order::{self, Answer, Order, LONGEST_LINE, PIECE};
 use badgerledge_revisions::{Digest, Signed};
 
-const BOUNDS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: LONGEST_LINE };
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-/// A piece that does not come for so long is asked of another member; what came is kept.
-const PIECE_WITHIN: Duration = Duration::from_secs(3);
-/// Texts whose beginnings are kept at a time.
-const KEPT: usize = 2;
+/// Buffers of the stream: a piece with its answer line, and one request.
+const BUFFERS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: LONGEST_LINE };
+/// Time limit for connecting to a member.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for a piece; after it another member is asked, and the bytes received so far are kept.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Incomplete texts that are kept at a time.
+const MAX_PARTIAL_TEXTS: usize = 2;
 
+/// A fetch in progress.
 struct Fetch {
     signed: Signed,
-    line: Line,
-    until: Duration,
-    /// Bytes of the present piece that are still to come.
-    coming: usize,
+    connection: Line,
+    piece_deadline: Duration,
+    /// Bytes of the present piece that have not arrived yet.
+    piece_bytes_left: usize,
 }
 
+/// The fetch in progress, and what has been received of texts.
 #[derive(Default)]
-pub struct Fetching {
-    on: Option<Fetch>,
-    /// What has come of each text.
-    parts: BTreeMap<Digest, Vec<u8>>,
+pub struct TextFetcher {
+    current: Option<Fetch>,
+    /// The bytes received of each incomplete text.
+    partial_texts: BTreeMap<Digest, Vec<u8>>,
 }
 
-impl Fetching {
-    pub fn is(&self, line: Line) -> bool {
-        self.on.as_ref().is_some_and(|fetch| fetch.line == line)
+impl TextFetcher {
+    /// Whether a connection is the one of the present fetch.
+    pub fn owns(&self, connection: Line) -> bool {
+        self.current.as_ref().is_some_and(|fetch| fetch.connection == connection)
     }
 
+    /// When the present piece times out.
     pub fn next_due(&self) -> Duration {
-        self.on.as_ref().map_or(Duration::MAX, |fetch| fetch.until)
+        self.current.as_ref().map_or(Duration::MAX, |fetch| fetch.piece_deadline)
     }
 
-    /// Begins to fetch, unless something is being fetched.
-    pub fn begin(
-        &mut self, reactor: &mut Reactor, signed: Signed, from: SocketAddr, own: Option<IpAddr>,
+    /// Begins a fetch, unless one is in progress.
+    pub fn start(
+        &mut self, reactor: &mut Reactor, signed: Signed, from: SocketAddr, local_address: Option<IpAddr>,
         now: Duration,
     ) {
-        if self.on.is_some() {
+        if self.current.is_some() {
             return;
         }
-        if let Ok(line) = reactor.connect_from(own, from, CONNECT_WITHIN, BOUNDS) {
-            self.on = Some(Fetch { signed, line, until: now + PIECE_WITHIN, coming: 0 });
+        if let Ok(connection) = reactor.connect_from(local_address, from, CONNECT_TIMEOUT, BUFFERS) {
+            self.current =
+                Some(Fetch { signed, connection, piece_deadline: now + PIECE_TIMEOUT, piece_bytes_left: 0 });
         }
     }
 
-    pub fn opened(&mut self, reactor: &mut Reactor, line: Line) {
-        if self.is(line) {
-            self.ask(reactor);
+    /// Requests the first piece once connected.
+    pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
+        if self.owns(connection) {
+            self.request_piece(reactor);
         }
     }
 
-    fn ask(&mut self, reactor: &mut Reactor) {
-        let Some(fetch) = &self.on else { return };
-        let of = fetch.signed.head.text;
-        let from = self.parts.get(&of).map_or(0, Vec::len);
-        let order = Order::Text { text: hex::encode(of), from };
-        reactor.send(fetch.line, &[&order::write(&order)]);
+    /// Requests the next piece.
+    fn request_piece(&mut self, reactor: &mut Reactor) {
+        let Some(fetch) = &self.current else { return };
+        let digest = fetch.signed.head.text;
+        let offset = self.partial_texts.get(&digest).map_or(0, Vec::len);
+        let request = Order::Text { text: hex::encode(digest), from: offset };
+        reactor.send(fetch.connection, &[&order::write(&request)]);
     }
 
-    pub fn closed(&mut self, line: Line) {
-        self.on.take_if(|fetch| fetch.line == line);
+    /// Ends the fetch whose connection was lost.
+    pub fn closed(&mut self, connection: Line) {
+        self.current.take_if(|fetch| fetch.connection == connection);
     }
 
-    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration) {
-        if let Some(fetch) = self.on.take_if(|fetch| now >= fetch.until) {
-            reactor.close(fetch.line);
+    /// Gives up a fetch whose piece has timed out.
+    pub fn poll(&mut self, reactor: &mut Reactor, now: Duration) {
+        if let Some(fetch) = self.current.take_if(|fetch| now >= fetch.piece_deadline) {
+            reactor.close(fetch.connection);
         }
     }
 
-    /// Takes what came. A text that is whole by its length is handed on, to be checked.
-    pub fn readable(&mut self, reactor: &mut Reactor, line: Line) -> Option<(Signed, Arc<[u8]>)> {
-        let fetch = self.on.as_mut()?;
-        let (of, length) = (fetch.signed.head.text, fetch.signed.head.length as usize);
-        if fetch.coming == 0 {
-            match order::line::<Answer>(reactor.input(line)) {
+    /// Reads the input. Returns a text once it has its full length; the caller verifies it.
+    pub fn readable(&mut self, reactor: &mut Reactor, connection: Line) -> Option<(Signed, Arc<[u8]>)> {
+        let fetch = self.current.as_mut()?;
+        let (digest, length) = (fetch.signed.head.text, fetch.signed.head.length as usize);
+        if fetch.piece_bytes_left == 0 {
+            match order::line::<Answer>(reactor.input(connection)) {
                 Ok(None) => return None,
                 Ok(Some((Answer::Bytes(count), used))) => {
-                    reactor.consume(line, used);
-                    let had = self.parts.get(&of).map_or(0, Vec::len);
-                    // More than its author signed for is a liar's.
-                    if count == 0 && length > 0 || count > PIECE || had + count > length {
+                    reactor.consume(connection, used);
+                    let received = self.partial_texts.get(&digest).map_or(0, Vec::len);
+                    // A member that sends more than the author signed for is faulty.
+                    if count == 0 && length > 0 || count > PIECE || received + count > length {
                         return self.give_up(reactor);
                     }
-                    fetch.coming = count;
+                    fetch.piece_bytes_left = count;
                 }
                 _ => return self.give_up(reactor),
             }
         }
-        if self.parts.len() >= KEPT && !self.parts.contains_key(&of) {
-            self.parts.pop_first();
+        if self.partial_texts.len() >= MAX_PARTIAL_TEXTS && !self.partial_texts.contains_key(&digest) {
+            self.partial_texts.pop_first();
         }
-        let part = self.parts.entry(of).or_default();
-        let input = reactor.input(line);
-        let count = input.len().min(fetch.coming);
-        part.extend(&input[..count]);
-        reactor.consume(line, count);
-        fetch.coming -= count;
-        if fetch.coming > 0 {
+        let partial_text = self.partial_texts.entry(digest).or_default();
+        let input = reactor.input(connection);
+        let count = input.len().min(fetch.piece_bytes_left);
+        partial_text.extend(&input[..count]);
+        reactor.consume(connection, count);
+        fetch.piece_bytes_left -= count;
+        if fetch.piece_bytes_left > 0 {
             return None;
         }
-        if part.len() < length {
-            fetch.until = reactor.now() + PIECE_WITHIN;
-            self.ask(reactor);
+        if partial_text.len() < length {
+            fetch.piece_deadline = reactor.now() + PIECE_TIMEOUT;
+            self.request_piece(reactor);
             return None;
         }
         let signed = fetch.signed;
-        let text = self.parts.remove(&of).unwrap_or_default();
+        let text = self.partial_texts.remove(&digest).unwrap_or_default();
         let _ = self.give_up(reactor);
         Some((signed, Arc::from(text)))
     }
 
+    /// Ends the present fetch.
     fn give_up(&mut self, reactor: &mut Reactor) -> Option<(Signed, Arc<[u8]>)> {
-        if let Some(fetch) = self.on.take() {
-            reactor.close(fetch.line);
+        if let Some(fetch) = self.current.take() {
+            reactor.close(fetch.connection);
         }
         None
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,23 +1,25 @@
-//! The controller program. It is a library too, so that other programs of the toolkit can start the very same
-//! controller as a process of their own ([`main_with`]).
+//! The controller program: its command line, its settings and its logging.
+//!
+//! It is a library so that other programs of this repository can run the same controller as a child process
+//! ([`main_with`]).
 
 pub mod accounting;
 mod budgeting;
 mod changing;
+mod configuration_check;
 mod configuration_source;
+mod connections;
 mod distributing;
-mod ends;
 mod fetching;
-mod fits;
 mod gossiping;
-mod join;
+mod join_connection;
 mod list;
-mod orders;
 mod probes;
+mod request_streams;
 pub mod revising;
 mod serve;
+mod telemetry;
 mod viewer;
-mod watch;
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -51,7 +53,7 @@
         #[arg(long, default_value = "info")]
         log_level: String,
     },
-    /// Runs a controller on the platform that `GW_CONFIG` tells of, until SIGTERM
+    /// Runs a controller on the platform described by the file that `GW_CONFIG` names, until SIGTERM
     Platform {
         /// How log lines are written, on standard error
         #[arg(long, value_enum, default_value_t = LogForm::Text)]
@@ -60,7 +62,7 @@
         #[arg(long, default_value = "info")]
         log_level: String,
     },
-    /// Reads a settings file and its catalogue, and says all that is wrong with them
+    /// Reads a settings file and its catalogue, and reports every error in them
     Check {
         /// The controller's settings, an INI file
         settings: PathBuf,
@@ -73,23 +75,23 @@
     Json,
 }
 
-/// Runs the program on these arguments, the first of them its name.
+/// Runs the program with these arguments; the first one is the program's name.
 pub fn main_with(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    match carry_out(Command::parse_from(arguments).what) {
+    match execute(Command::parse_from(arguments).what) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("badgerledge-controller: {fault:#}");
+        Err(error) => {
+            eprintln!("badgerledge-controller: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn carry_out(what: What) -> Result<()> {
+fn execute(what: What) -> Result<()> {
     match what {
         What::Check { settings } => {
-            let (deployment, catalogue) = read(&settings)?;
-            let (types, titles) = (deployment.shared.room_types.len(), catalogue.len());
-            println!("{}: in order, {types} room types, {titles} titles", settings.display());
+            let (deployment, catalogue) = read_settings(&settings)?;
+            let (room_type_count, title_count) = (deployment.shared.room_types.len(), catalogue.len());
+            println!("{}: in order, {room_type_count} room types, {title_count} titles", settings.display());
             Ok(())
         }
         What::Platform { log, log_level } => {
@@ -98,14 +100,15 @@
         }
         What::Run { settings, log, log_level } => {
             start_log(log, &log_level)?;
-            let (deployment, catalogue) = read(&settings)?;
+            let (deployment, catalogue) = read_settings(&settings)?;
             serve::Service::new(deployment, catalogue)?.run()
         }
     }
 }
 
-/// Reads the settings and the catalogue that they name, beside them where its path is relative.
-fn read(settings: &Path) -> Result<(Deployment, Catalogue)> {
+/// Reads the settings and the catalogue that they name. Relative paths are resolved against the settings
+/// file's folder.
+fn read_settings(settings: &Path) -> Result<(Deployment, Catalogue)> {
     let mut deployment = Deployment::read(settings)?;
     if deployment.place.catalogue.is_relative() {
         let folder = settings.parent().unwrap_or(Path::new(""));
@@ -122,9 +125,9 @@
     let catalogue = Catalogue::read(&deployment.place.catalogue)?;
     for (id, title) in catalogue.titles() {
         if deployment.shared.room_type(&title.room_type).is_none() {
-            let at = deployment.place.catalogue.display();
+            let path = deployment.place.catalogue.display();
             anyhow::bail!(
-                "{at}: [title {id:x}] room_type = {}: the settings have no such one",
+                "{path}: [title {id:x}] room_type = {}: the settings define no such room type",
                 title.room_type
             );
         }
@@ -132,10 +135,10 @@
     Ok((deployment, catalogue))
 }
 
-fn start_log(form: LogForm, level: &str) -> Result<()> {
+fn start_log(format: LogForm, level: &str) -> Result<()> {
     let filter = EnvFilter::try_new(level).with_context(|| format!("--log-level {level}"))?;
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    match form {
+    match format {
         LogForm::Text => log.with_ansi(false).init(),
         LogForm::Json => log.json().init(),
     }
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -12,192 +12,201 @@
 
 use crate::files::{self, wall};
 
-/// The wait before the first try to come back to the list service, and the longest: a list that is some seconds
-/// old does little harm, hundreds of controllers that ask it in step do.
-const FIRST: Duration = Duration::from_millis(200);
-const MOST: Duration = Duration::from_secs(5);
-/// How long a connection to it may take.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The copy on disk is written no more often: a restart that finds a list a second old loses nothing.
-const STORE_EVERY: Duration = Duration::from_secs(1);
-
-pub struct ListLine {
-    at: Option<SocketAddr>,
-    number: u32,
-    line: Option<Line>,
-    open: bool,
+/// The first and the longest delay before reconnecting to the list service. A list that is some seconds old
+/// does little harm, while hundreds of controllers that query the service in step do.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time limit for connecting to it.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Shortest interval between writes of the copy on disk: a restart that finds a list a second old loses
+/// nothing.
+const MIN_STORE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The connection to the list service and the list received over it.
+pub struct ListConnection {
+    address: Option<SocketAddr>,
+    controller: u32,
+    connection: Option<Line>,
+    is_open: bool,
     retry_at: Option<Duration>,
     backoff: Backoff,
-    pub book: ListBook,
-    /// Changes are told without being asked for.
-    automatic: bool,
-    /// What the module asked for while there was no connection.
-    wants: (Option<bool>, bool),
-    stored_as: Option<PathBuf>,
+    pub streamer_list: ListBook,
+    /// Whether changes are subscribed to on every connection, without a request of the module.
+    subscribes_automatically: bool,
+    /// What the module requested while there was no connection: whether to be sent changes, and whether to be
+    /// sent the whole list.
+    pending_requests: (Option<bool>, bool),
+    store_path: Option<PathBuf>,
     stored_at: Duration,
-    unstored: bool,
-    /// Lines that came since the last round.
-    pub came: Vec<Vec<u8>>,
-    /// The service was lost since the last round.
-    pub lost: bool,
-    /// Streamers that were taken and went off by the lines taken last, with their starts, where others are told of it.
-    pub went: Option<Vec<(StreamerId, u64)>>,
+    is_dirty: bool,
+    /// Lines received since the last round.
+    pub received_lines: Vec<Vec<u8>>,
+    /// Whether the connection was lost since the last round.
+    pub disconnected: bool,
+    /// Streamers that were ready and that the last lines removed, with their start times; `None` where other
+    /// members are not notified of them.
+    pub removed_streamers: Option<Vec<(StreamerId, u64)>>,
 }
 
-impl ListLine {
-    pub fn new(place: &ControllerPlace, automatic: bool, now: Duration, seed: u64) -> Self {
-        let (at, state) = (place.list, place.state.as_deref());
-        let stored_as = state.map(|folder| folder.join("list.json"));
-        let book = stored_as.as_deref().and_then(|path| restored(path, now)).unwrap_or_default();
+impl ListConnection {
+    /// Starts with the stored list; the connection is begun by the first [`Self::poll`].
+    pub fn new(place: &ControllerPlace, subscribes_automatically: bool, now: Duration, seed: u64) -> Self {
+        let (address, state) = (place.list, place.state.as_deref());
+        let store_path = state.map(|folder| folder.join("list.json"));
+        let streamer_list = store_path.as_deref().and_then(|path| read_stored(path, now)).unwrap_or_default();
         Self {
-            at,
-            number: place.number,
-            line: None,
-            open: false,
-            // The first try is spread too: controllers are restarted many at a time.
-            retry_at: at.map(|_| now),
-            backoff: Backoff::new(FIRST, MOST, seed),
-            book,
-            automatic,
-            wants: (None, false),
-            stored_as,
+            address,
+            controller: place.number,
+            connection: None,
+            is_open: false,
+            // The first attempt is due at once, also where many controllers restart together.
+            retry_at: address.map(|_| now),
+            backoff: Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY, seed),
+            streamer_list,
+            subscribes_automatically,
+            pending_requests: (None, false),
+            store_path,
             stored_at: Duration::ZERO,
-            unstored: false,
-            came: Vec::new(),
-            lost: false,
-            went: None,
+            is_dirty: false,
+            received_lines: Vec::new(),
+            disconnected: false,
+            removed_streamers: None,
         }
     }
 
-    pub fn is(&self, line: Line) -> bool {
-        self.line == Some(line)
+    /// Whether a connection is the one to the list service.
+    pub fn owns(&self, connection: Line) -> bool {
+        self.connection == Some(connection)
     }
 
+    /// When the next attempt to connect is due.
     pub fn next_due(&self) -> Option<Duration> {
         self.retry_at
     }
 
-    /// Connects again when it is time to.
-    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration) {
+    /// Connects again when that is due.
+    pub fn poll(&mut self, reactor: &mut Reactor, now: Duration) {
         if self.retry_at.take_if(|at| *at <= now).is_none() {
             return;
         }
-        let Some(at) = self.at else { return };
+        let Some(address) = self.address else { return };
         let bounds = badgerledge_reactor::Bounds { input: LONGEST_LINE, output: 4096 };
-        match reactor.connect(at, PATIENCE, bounds) {
-            Ok(line) => self.line = Some(line),
+        match reactor.connect(address, CONNECT_TIMEOUT, bounds) {
+            Ok(connection) => self.connection = Some(connection),
             Err(_) => self.retry_at = Some(now + self.backoff.wait()),
         }
     }
 
+    /// Sends the pending requests once connected.
     pub fn opened(&mut self, reactor: &mut Reactor) {
-        self.open = true;
-        let (observe, whole) = std::mem::take(&mut self.wants);
-        if self.automatic || observe == Some(true) {
-            self.send(reactor, &self.book.ask_changes(true, self.number));
+        self.is_open = true;
+        let (observe, whole) = std::mem::take(&mut self.pending_requests);
+        if self.subscribes_automatically || observe == Some(true) {
+            self.send(reactor, &self.streamer_list.ask_changes(true, self.controller));
         }
         if whole {
-            self.send(reactor, &ListBook::ask_whole(self.number));
+            self.send(reactor, &ListBook::ask_whole(self.controller));
         }
     }
 
+    /// Schedules a reconnection after the connection was lost.
     pub fn closed(&mut self, now: Duration) {
-        if self.open {
-            tracing::warn!("the list service is lost; the last list goes on counting");
+        if self.is_open {
+            tracing::warn!("connection to the list service lost; using the last list until it is back");
         }
-        (self.line, self.open, self.lost) = (None, false, true);
+        (self.connection, self.is_open, self.disconnected) = (None, false, true);
         self.retry_at = Some(now + self.backoff.wait());
     }
 
-    /// Takes what came, and keeps whole lines for the next round.
+    /// Reads the input, and keeps its complete lines for the next round.
     pub fn read(&mut self, reactor: &mut Reactor, now: Duration) {
-        let Some(line) = self.line else { return };
-        let input = reactor.input(line);
+        let Some(connection) = self.connection else { return };
+        let input = reactor.input(connection);
         let Some(end) = input.iter().rposition(|byte| *byte == b'\n') else {
             if input.len() >= LONGEST_LINE {
-                tracing::warn!(
-                    most = LONGEST_LINE,
-                    "a line of the list service is too long; connecting anew"
-                );
-                reactor.close(line);
+                tracing::warn!(most = LONGEST_LINE, "a line of the list service is too long; reconnecting");
+                reactor.close(connection);
                 self.closed(now);
             }
             return;
         };
-        let lines = input[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
-        self.came.extend(lines.map(<[u8]>::to_vec));
-        reactor.consume(line, end + 1);
+        let complete_lines = input[..end].split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
+        self.received_lines.extend(complete_lines.map(<[u8]>::to_vec));
+        reactor.consume(connection, end + 1);
     }
 
     fn send(&self, reactor: &mut Reactor, text: &str) {
-        if let Some(line) = self.line {
-            reactor.send(line, &[text.as_bytes()]);
+        if let Some(connection) = self.connection {
+            reactor.send(connection, &[text.as_bytes()]);
         }
     }
 
-    /// Carries out what the module asked for: to be told of changes or not, and the whole list.
-    pub fn ask(&mut self, reactor: &mut Reactor, (observe, whole): (Option<bool>, bool)) {
+    /// Sends the module's requests: whether to be sent changes, and whether to be sent the whole list.
+    pub fn request(&mut self, reactor: &mut Reactor, (observe, whole): (Option<bool>, bool)) {
         if let Some(want) = observe {
-            self.observe(reactor, want);
+            self.request_changes(reactor, want);
         }
         if whole {
-            self.list_all(reactor);
+            self.request_whole_list(reactor);
         }
     }
 
-    fn observe(&mut self, reactor: &mut Reactor, want: bool) {
-        if self.open {
-            self.send(reactor, &self.book.ask_changes(want, self.number));
+    /// Requests to be sent changes or not, at once or on the next connection.
+    fn request_changes(&mut self, reactor: &mut Reactor, want: bool) {
+        if self.is_open {
+            self.send(reactor, &self.streamer_list.ask_changes(want, self.controller));
         } else {
-            self.wants.0 = Some(want);
+            self.pending_requests.0 = Some(want);
         }
     }
 
-    fn list_all(&mut self, reactor: &mut Reactor) {
-        if self.open {
-            self.send(reactor, &ListBook::ask_whole(self.number));
+    /// Requests the whole list, at once or on the next connection.
+    fn request_whole_list(&mut self, reactor: &mut Reactor) {
+        if self.is_open {
+            self.send(reactor, &ListBook::ask_whole(self.controller));
         } else {
-            self.wants.1 = true;
+            self.pending_requests.1 = true;
         }
     }
 
-    /// Writes the copy on disk, where something has changed. A new file takes the old one's place in one step, so
-    /// that a process killed meanwhile leaves one whole copy.
+    /// Writes the copy on disk if the list has changed. The new file replaces the old one in one step, so
+    /// that a process killed meanwhile leaves one complete copy.
     pub fn store(&mut self, now: Duration) {
-        let Some(path) = self.stored_as.as_ref().filter(|_| self.unstored) else { return };
-        if now < self.stored_at + STORE_EVERY {
+        let Some(path) = self.store_path.as_ref().filter(|_| self.is_dirty) else { return };
+        if now < self.stored_at + MIN_STORE_INTERVAL {
             return;
         }
-        (self.stored_at, self.unstored) = (now, false);
-        if let Err(e) = files::replace(path, self.book.store(now, wall()).as_ref()) {
-            tracing::warn!(path = %path.display(), "the list could not be stored: {e}; serving on without");
+        (self.stored_at, self.is_dirty) = (now, false);
+        if let Err(error) = files::replace(path, self.streamer_list.store(now, wall()).as_ref()) {
+            tracing::warn!(path = %path.display(), "the list could not be stored: {error}; continuing without a stored copy");
         }
     }
 }
 
-fn restored(path: &Path, now: Duration) -> Option<ListBook> {
+/// The stored list; `None` if there is none that can be used.
+fn read_stored(path: &Path, now: Duration) -> Option<ListBook> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return None,
-        Err(e) => {
-            tracing::warn!(path = %path.display(), "the stored list could not be read: {e}; starting without");
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return None,
+        Err(error) => {
+            tracing::warn!(path = %path.display(), "the stored list could not be read: {error}; starting without a list");
             return None;
         }
     };
     ListBook::restore(&text, now, wall())
         .map_err(
-            |e| tracing::warn!(path = %path.display(), "the stored list is no use: {e}; starting without"),
+            |error| tracing::warn!(path = %path.display(), "the stored list is invalid: {error}; starting without a list"),
         )
         .ok()
 }
 
-/// Passes the list on to the round.
-pub struct ToFloor<'f, 'a, 'd, C> {
+/// Reports the list to the round.
+pub struct ListSink<'f, 'a, 'd, C> {
     pub floor: &'f mut Floor<'a, 'd, C>,
     pub known: Vec<StreamerId>,
 }
 
-impl<C: Carrier> Sink for ToFloor<'_, '_, '_, C> {
+impl<C: Carrier> Sink for ListSink<'_, '_, '_, C> {
     fn list_begins(&mut self, how: Listing) {
         self.floor.list_begins(how, self.known.drain(..));
     }
@@ -214,35 +223,41 @@
     }
 }
 
-impl ListLine {
-    /// Streamers that take joins, with their starts.
+impl ListConnection {
+    /// Streamers that accept joins, with their start times.
     fn ready(&self) -> Vec<(StreamerId, u64)> {
-        let ready = self.book.entries().filter(|(_, entry)| entry.health == Health::Ready);
-        ready.map(|(id, entry)| (id, entry.start)).collect()
+        let ready_entries = self.streamer_list.entries().filter(|(_, entry)| entry.health == Health::Ready);
+        ready_entries.map(|(id, entry)| (id, entry.start)).collect()
     }
 
-    fn note_went(&mut self, before: Vec<(StreamerId, u64)>) {
-        let Some(went) = &mut self.went else { return };
-        let off = |(id, start): &(StreamerId, u64)| {
-            self.book.entry(id).is_none_or(|entry| entry.health != Health::Ready || entry.start != *start)
+    /// Records the streamers that were ready before a line and are not any more.
+    fn record_removed(&mut self, ready_before: Vec<(StreamerId, u64)>) {
+        let Some(removed_streamers) = &mut self.removed_streamers else { return };
+        let is_removed = |(id, start): &(StreamerId, u64)| {
+            self.streamer_list
+                .entry(id)
+                .is_none_or(|entry| entry.health != Health::Ready || entry.start != *start)
         };
-        went.extend(before.into_iter().filter(off));
+        removed_streamers.extend(ready_before.into_iter().filter(is_removed));
     }
 
-    /// Takes one line of the service into the book and on to the round. Tells whether the whole list is wanted.
-    pub fn take<C: Carrier>(&mut self, line: &[u8], now: Duration, floor: &mut Floor<'_, '_, C>) -> bool {
-        let known = self.book.known();
-        let before = self.went.as_ref().map(|_| self.ready());
-        match self.book.take(line, now, &mut ToFloor { floor, known }) {
+    /// Applies one line of the service to the list, and reports it to the round. Returns whether the whole
+    /// list must be requested because the line was invalid.
+    pub fn handle_line<C: Carrier>(
+        &mut self, line: &[u8], now: Duration, floor: &mut Floor<'_, '_, C>,
+    ) -> bool {
+        let known = self.streamer_list.known();
+        let ready_before = self.removed_streamers.as_ref().map(|_| self.ready());
+        match self.streamer_list.take(line, now, &mut ListSink { floor, known }) {
             Ok(how) => {
-                self.unstored |= how != Listing::Failed;
-                self.note_went(before.unwrap_or_default());
+                self.is_dirty |= how != Listing::Failed;
+                self.record_removed(ready_before.unwrap_or_default());
                 self.backoff.reset();
-                tracing::debug!(?how, revision = self.book.revision(), "list");
+                tracing::debug!(?how, revision = self.streamer_list.revision(), "list");
                 false
             }
             Err(fault) => {
-                tracing::warn!("list: {fault}; the list held before goes on counting");
+                tracing::warn!("invalid line from the list service: {fault}; keeping the previous list and requesting the whole one");
                 true
             }
         }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller program's entry.
+//! Entry point of the controller program.
 
 use std::process::ExitCode;
 
--- a/crates/controller/src/probes.rs
+++ b/crates/controller/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes that are out: a connection with one OPTIONS each.
+//! Probes in progress: each has a connection of its own and sends one OPTIONS request on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,46 +7,58 @@
 use badgerledge_reactor::Line;
 use badgerledge_rtsp::{Bounds, Framer};
 
-/// Probes out at a time; one more is answered as never sent. At 40 ms a probe that is over a thousand a second.
-pub const OUT: usize = 64;
-/// A probe that takes longer says nothing of use: the module waits 40 ms for it.
-pub const PATIENCE: Duration = Duration::from_millis(250);
+/// Probes in progress at a time; a further one is reported as not sent. At 40 ms a probe this is over a
+/// thousand a second.
+pub const MAX_PROBES: usize = 64;
+/// The module waits 40 ms for a probe: a later result is of no use to it.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// A probe whose result is awaited.
 pub struct Probe {
     pub streamer: StreamerId,
-    pub sent: Duration,
+    pub sent_at: Duration,
     pub framer: Framer,
 }
 
+/// All probes in progress, by connection.
 #[derive(Default)]
 pub struct Probes {
-    out: BTreeMap<Line, Probe>,
+    in_progress: BTreeMap<Line, Probe>,
 }
 
 impl Probes {
-    pub fn room(&self) -> bool {
-        self.out.len() < OUT
+    /// Whether another probe may start.
+    pub fn has_room(&self) -> bool {
+        self.in_progress.len() < MAX_PROBES
     }
 
-    pub fn begin(&mut self, line: Line, streamer: StreamerId, sent: Duration) {
-        self.out.insert(line, Probe { streamer, sent, framer: Framer::new(Bounds::default()) });
+    /// Records a probe whose connection was begun.
+    pub fn insert(&mut self, connection: Line, streamer: StreamerId, sent_at: Duration) {
+        self.in_progress
+            .insert(connection, Probe { streamer, sent_at, framer: Framer::new(Bounds::default()) });
     }
 
-    pub fn get(&mut self, line: Line) -> Option<&mut Probe> {
-        self.out.get_mut(&line)
+    /// The probe on a connection.
+    pub fn get(&mut self, connection: Line) -> Option<&mut Probe> {
+        self.in_progress.get_mut(&connection)
     }
 
-    pub fn end(&mut self, line: Line) -> Option<Probe> {
-        self.out.remove(&line)
+    /// Removes a probe that is over.
+    pub fn remove(&mut self, connection: Line) -> Option<Probe> {
+        self.in_progress.remove(&connection)
     }
 
-    /// The lines of probes that have taken too long.
-    pub fn late(&self, now: Duration) -> Vec<Line> {
-        self.out.iter().filter(|(_, probe)| probe.sent + PATIENCE <= now).map(|(line, _)| *line).collect()
+    /// The connections of probes that have timed out.
+    pub fn expired(&self, now: Duration) -> Vec<Line> {
+        self.in_progress
+            .iter()
+            .filter(|(_, probe)| probe.sent_at + PROBE_TIMEOUT <= now)
+            .map(|(connection, _)| *connection)
+            .collect()
     }
 
-    /// When the first probe has taken too long.
-    pub fn next_late(&self) -> Option<Duration> {
-        self.out.values().map(|probe| probe.sent + PATIENCE).min()
+    /// When the next probe times out.
+    pub fn next_expiry(&self) -> Option<Duration> {
+        self.in_progress.values().map(|probe| probe.sent_at + PROBE_TIMEOUT).min()
     }
 }
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -1,5 +1,8 @@
-//! Revisions among controllers, joined to the ends: words go with the gossip, texts and orders by streams at the
-//! gossip's own port, and what must outlive the process to the state folder before anything is said that rests on it.
+//! Drives the protocol by which controllers agree on revisions of the configuration among themselves.
+//!
+//! [`badgerledge_revisions`] decides; this does its input and output. Messages travel with the gossip, texts
+//! and requests over streams to the gossip's own port. What must survive the process goes to the state folder
+//! before any message that depends on it is sent.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -20,306 +23,337 @@
 use metrics::{counter, gauge};
 
 use crate::changing::Change;
-use crate::fetching::Fetching;
-use crate::fits::Fits;
-use crate::gossiping::Gossiping;
-use crate::orders::{Asked, Orders};
-use crate::{files, watch};
+use crate::configuration_check::ConfigurationCheck;
+use crate::fetching::TextFetcher;
+use crate::gossiping::GossipDriver;
+use crate::request_streams::{ReceivedRequest, RequestStreams};
+use crate::{files, telemetry};
 
-/// Files in the state folder.
+/// The file of the durable state, in the state folder.
 pub const STORED: &str = "revision-state";
-const TEXTS: &str = "revision-texts";
-/// Viewers that are turned away while new joins are held back come back after this: within a lease most holds end.
-const COME_BACK: Duration = Duration::from_millis(1500);
-/// Where the list stands is told to one other member this often, sooner while something went off by it; and to so many
-/// at once when it got somewhere. Each hears it from some, and a fleet of 300 knows of a change in some five steps.
-const TELL_LISTS: Duration = Duration::from_secs(2);
-const TELL_OFF: Duration = Duration::from_millis(200);
-const TOLD_AT_ONCE: usize = 3;
-
-pub struct Revising {
+/// The folder of revision texts in the state folder, a file per digest.
+const TEXTS_FOLDER: &str = "revision-texts";
+/// Retry delay for viewers that are throttled while new joins are held back: most holds end within a lease.
+const RETRY_DELAY: Duration = Duration::from_millis(1500);
+/// The list position is sent to one other member at this interval.
+const POSITION_INTERVAL: Duration = Duration::from_secs(2);
+/// The shorter interval while the position names streamers that left the list.
+const POSITION_INTERVAL_WITH_REMOVALS: Duration = Duration::from_millis(200);
+/// Members that are notified at once when the list advances. Every member learns it from several others, and
+/// a fleet of 300 knows of a change after some five rounds of messages.
+const MEMBERS_NOTIFIED_AT_ONCE: usize = 3;
+
+/// The driver of a controller's revisions.
+pub struct RevisionDriver {
     revisions: Revisions<Keys>,
-    orders: Orders,
-    fetching: Fetching,
+    request_streams: RequestStreams,
+    fetcher: TextFetcher,
+    /// The state folder.
     state: PathBuf,
     regime: Regime,
-    fits: Arc<Mutex<Fits>>,
-    /// The number of this controller's zone.
+    configuration_check: Arc<Mutex<ConfigurationCheck>>,
+    /// The index of this controller's zone.
     zone: usize,
-    /// Whether texts hold the titles too.
+    /// Whether texts contain the titles too.
     catalogue: bool,
-    /// What is acted on changed since it was last taken.
+    /// Whether the configuration to apply has changed since it was last taken.
     changed: bool,
-    /// What is prepared must not be acted on beside what is acted on.
+    /// Whether the prepared revision must not be applied by one controller while another applies the active
+    /// one.
     exclusive: bool,
+    /// Where the active configuration came from: `file`, `store` or `peers`.
     source: &'static str,
-    /// What was held when it was last shown.
-    shown: Option<Hold>,
+    /// The hold that was last logged.
+    logged_hold: Option<Hold>,
     now: Duration,
-    /// Nothing where positions of lists are not told.
+    /// `None` where list positions are not exchanged.
     lists: Option<Lists>,
-    tell_lists_at: Duration,
-    chance: Chance,
+    send_position_at: Duration,
+    rng: Chance,
 }
 
-impl Revising {
-    /// Nothing where the deployment has no such section.
+impl RevisionDriver {
+    /// `None` where the deployment has no such section.
+    ///
+    /// # Errors
+    /// If the address cannot be listened at, or the ring names no acceptors.
     pub fn new(
-        reactor: &mut Reactor, deployment: &Deployment, titles: &Catalogue, gossiping: &Gossiping, seed: u64,
+        reactor: &mut Reactor, deployment: &Deployment, titles: &Catalogue, gossiping: &GossipDriver,
+        seed: u64,
     ) -> Result<Option<Self>> {
         let place = &deployment.place;
-        let (Some(told), Some(state)) = (&deployment.revisions, &place.state) else { return Ok(None) };
-        let listener = Orders::listen(reactor, gossiping.listens_at())?;
+        let (Some(settings), Some(state)) = (&deployment.revisions, &place.state) else { return Ok(None) };
+        let listener = RequestStreams::listen(reactor, gossiping.local_address())?;
         let keys = gossiping.keys().clone();
         if keys.keepers().is_empty() {
-            bail!("[revisions]: the ring names no keepers; `badgerledge-keys keepers` does");
+            bail!("[revisions]: the ring names no acceptors; set them with `badgerledge-keys keepers`");
         }
-        let mut own = deployment.shared_text.clone();
-        if told.catalogue {
-            own += &titles.text();
+        let mut own_text = deployment.shared_text.clone();
+        if settings.catalogue {
+            own_text += &titles.text();
         }
         let stored = read_stored(state);
-        let texts = read_texts(&state.join(TEXTS));
+        let texts = read_texts(&state.join(TEXTS_FOLDER));
         let source = match &stored {
             Some(stored) if stored.active > 0 => "store",
             _ => "file",
         };
-        let regime = if told.regime == "hold" { Regime::Hold } else { Regime::Wait };
-        let fits = Fits::new(deployment, (!told.catalogue).then_some(titles), "[revisions] catalogue");
-        let zone = fits.zone();
-        let fits = Arc::new(Mutex::new(fits));
-        let checked = fits.clone();
+        let regime = if settings.regime == "hold" { Regime::Hold } else { Regime::Wait };
+        let configuration_check = ConfigurationCheck::new(
+            deployment,
+            (!settings.catalogue).then_some(titles),
+            "[revisions] catalogue",
+        );
+        let zone = configuration_check.zone();
+        let configuration_check = Arc::new(Mutex::new(configuration_check));
+        let check_handle = configuration_check.clone();
         let terms = Terms {
             me: place.number as Member,
-            life: gossiping.life(),
+            life: gossiping.incarnation(),
             regime,
             late: Duration::from_millis(2 * place.tick_ms),
-            check: Box::new(move |text| check(text, &checked)),
+            check: Box::new(move |text| check(text, &check_handle)),
         };
         let now = reactor.now();
-        let revisions = Revisions::new(keys, terms, Arc::from(own.as_bytes()), stored, texts, now, seed);
-        if let (0, Ok(mut fits)) = (revisions.acting(now).active, fits.lock()) {
-            fits.hold(deployment.shared.clone());
+        let revisions = Revisions::new(keys, terms, Arc::from(own_text.as_bytes()), stored, texts, now, seed);
+        if let (0, Ok(mut configuration_check)) = (revisions.acting(now).active, configuration_check.lock()) {
+            configuration_check.set_current(deployment.shared.clone());
         }
-        let (active, regime_name) = (revisions.acting(now).active, told.regime.as_str());
+        let (active, regime_name) = (revisions.acting(now).active, settings.regime.as_str());
         let bound = revisions.bound();
         tracing::info!(active, source, regime = regime_name, ?bound, "revisions begin");
         Ok(Some(Self {
             revisions,
-            orders: Orders::new(listener),
-            fetching: Fetching::default(),
+            request_streams: RequestStreams::new(listener),
+            fetcher: TextFetcher::default(),
             state: state.clone(),
             regime,
-            fits,
+            configuration_check,
             zone,
-            catalogue: told.catalogue,
+            catalogue: settings.catalogue,
             changed: active > 0,
             exclusive: false,
             source,
-            shown: None,
+            logged_hold: None,
             now,
-            lists: told.lists.then(Lists::default),
-            tell_lists_at: now,
-            chance: Chance(seed.rotate_left(11)),
+            lists: settings.lists.then(Lists::default),
+            send_position_at: now,
+            rng: Chance(seed.rotate_left(11)),
         }))
     }
 
+    /// When [`Self::poll`] has work to do next.
     pub fn next_due(&self) -> Duration {
-        let asks = self.lists.as_ref().and_then(Lists::next_due);
-        let lists = self.lists.as_ref().map(|_| self.tell_lists_at);
-        let own = self.revisions.next_due().min(self.orders.next_due()).min(self.fetching.next_due());
-        [Some(own), asks, lists].into_iter().flatten().min().unwrap_or(own)
+        let query_due = self.lists.as_ref().and_then(Lists::next_due);
+        let send_due = self.lists.as_ref().map(|_| self.send_position_at);
+        let own_due =
+            self.revisions.next_due().min(self.request_streams.next_due()).min(self.fetcher.next_due());
+        [Some(own_due), query_due, send_due].into_iter().flatten().min().unwrap_or(own_due)
     }
 
-    /// Does what is due.
-    pub fn tend(&mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, now: Duration) {
-        self.orders.tend(reactor, now);
-        self.fetching.tend(reactor, now);
-        if now >= self.tell_lists_at {
-            self.tell_lists(reactor, gossiping, 1);
+    /// Does the work that is due.
+    pub fn poll(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, now: Duration) {
+        self.request_streams.poll(reactor, now);
+        self.fetcher.poll(reactor, now);
+        if now >= self.send_position_at {
+            self.send_position(reactor, gossiping, 1);
         }
         if now >= self.revisions.next_due() {
             let mut out = Vec::new();
             self.revisions.tend(now, &mut out);
-            self.carry_out(reactor, gossiping, out);
-            self.show();
+            self.execute(reactor, gossiping, out);
+            self.export_metrics();
         }
     }
 
-    /// Another member's word: streamers that enough members now say to be off; or it was of another kind.
-    pub fn heard(
-        &mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, from: Member, bytes: &[u8],
+    /// Handles another member's message. Returns the streamers that enough members now report off their
+    /// lists, or `None` if the message belongs to another subsystem.
+    pub fn handle_message(
+        &mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, from: Member, bytes: &[u8],
     ) -> Option<Vec<Off>> {
         if !Word::is_meant(bytes) {
             return None;
         }
         match (Word::read(bytes), &mut self.lists) {
-            (Some(Word::List(told)), Some(lists)) => return Some(lists.hears(self.now, from, &told)),
-            (Some(word), _) => {
+            (Some(Word::List(statement)), Some(lists)) => {
+                return Some(lists.hears(self.now, from, &statement))
+            }
+            (Some(message), _) => {
                 let mut out = Vec::new();
-                self.revisions.heard(self.now, from, word, &mut out);
-                self.carry_out(reactor, gossiping, out);
+                self.revisions.heard(self.now, from, message, &mut out);
+                self.execute(reactor, gossiping, out);
             }
             (None, _) => {}
         }
         Some(Vec::new())
     }
 
-    /// Whether others are told of the list.
-    pub fn tells_lists(&self) -> bool {
+    /// Whether list positions are exchanged with other members.
+    pub fn exchanges_list_positions(&self) -> bool {
         self.lists.is_some()
     }
 
-    /// The own list got somewhere: the others hear of it.
-    pub fn list_reached(
-        &mut self, reactor: &Reactor, gossiping: &mut Gossiping, (epoch, revision): (u64, u64),
-        went: Vec<(StreamerId, u64)>,
+    /// Records that this controller's list advanced, and notifies other members.
+    pub fn list_advanced(
+        &mut self, reactor: &Reactor, gossiping: &mut GossipDriver, (epoch, revision): (u64, u64),
+        removed: Vec<(StreamerId, u64)>,
     ) {
         let Some(lists) = &mut self.lists else { return };
         let position = ListPosition { epoch, revision };
         if position == lists.tells(self.now).position {
             return;
         }
-        let off = |(id, start): (StreamerId, u64)| Off { ip: id.ip().octets(), port: id.port(), start };
-        lists.reached(self.now, position, went.into_iter().map(off));
-        self.tell_lists(reactor, gossiping, TOLD_AT_ONCE);
+        let removal = |(id, start): (StreamerId, u64)| Off { ip: id.ip().octets(), port: id.port(), start };
+        lists.reached(self.now, position, removed.into_iter().map(removal));
+        self.send_position(reactor, gossiping, MEMBERS_NOTIFIED_AT_ONCE);
     }
 
-    /// Whether the list service is to be asked now, since others have got further.
-    pub fn asks_list(&mut self) -> bool {
+    /// Whether to query the list service now, since other members' lists are further ahead.
+    pub fn should_query_list(&mut self) -> bool {
         self.lists.as_mut().is_some_and(|lists| lists.asks(self.now))
     }
 
-    fn tell_lists(&mut self, reactor: &Reactor, gossiping: &mut Gossiping, count: usize) {
+    /// Sends the list position to this many randomly chosen members.
+    fn send_position(&mut self, reactor: &Reactor, gossiping: &mut GossipDriver, count: usize) {
         let Some(lists) = &self.lists else { return };
-        let told = lists.tells(self.now);
-        self.tell_lists_at = self.now + if told.off.is_empty() { TELL_LISTS } else { TELL_OFF };
-        let word = Word::List(told).write();
-        let me = self.revisions.hand().member();
-        let others: Vec<Member> =
-            Hand::members(self.revisions.hand()).iter().copied().filter(|member| *member != me).collect();
+        let statement = lists.tells(self.now);
+        self.send_position_at = self.now
+            + if statement.off.is_empty() { POSITION_INTERVAL } else { POSITION_INTERVAL_WITH_REMOVALS };
+        let message = Word::List(statement).write();
+        let own_member = self.revisions.hand().member();
+        let others: Vec<Member> = Hand::members(self.revisions.hand())
+            .iter()
+            .copied()
+            .filter(|member| *member != own_member)
+            .collect();
         for _ in 0..count {
-            let at = (self.chance.share() * others.len() as f64) as usize;
-            if let Some(to) = others.get(at) {
-                gossiping.send_message(reactor, self.now, u32::from(*to), &word);
+            let index = (self.rng.share() * others.len() as f64) as usize;
+            if let Some(member) = others.get(index) {
+                gossiping.send_message(reactor, self.now, u32::from(*member), &message);
             }
         }
     }
 
-    /// Whether a line is one of this part's own.
-    pub fn is(&self, line: Line) -> bool {
-        self.orders.is(line) || self.fetching.is(line)
+    /// Whether a connection belongs to this subsystem.
+    pub fn owns(&self, connection: Line) -> bool {
+        self.request_streams.owns(connection) || self.fetcher.owns(connection)
     }
 
-    /// One time for all that a wake brings.
-    pub fn wakes(&mut self, now: Duration) {
+    /// Sets the one time that all events of this iteration of the event loop are handled with.
+    pub fn set_now(&mut self, now: Duration) {
         self.now = now;
     }
 
-    pub fn accepts(&mut self, reactor: &mut Reactor, line: Line, listener: Line) -> bool {
-        self.orders.accepts(reactor, line, listener, self.now)
+    /// Accepts a connection if it came in on this subsystem's listener.
+    pub fn accept(&mut self, reactor: &mut Reactor, connection: Line, listener: Line) -> bool {
+        self.request_streams.accept(reactor, connection, listener, self.now)
     }
 
-    pub fn opened(&mut self, reactor: &mut Reactor, line: Line) {
-        self.fetching.opened(reactor, line);
+    /// Handles the completion of an outgoing connection.
+    pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
+        self.fetcher.opened(reactor, connection);
     }
 
-    pub fn closed(&mut self, line: Line) {
-        self.orders.closed(line);
-        self.fetching.closed(line);
+    /// Handles the end of a connection.
+    pub fn closed(&mut self, connection: Line) {
+        self.request_streams.closed(connection);
+        self.fetcher.closed(connection);
     }
 
-    pub fn readable(&mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, line: Line) {
-        if self.fetching.is(line) {
-            if let Some((signed, text)) = self.fetching.readable(reactor, line) {
+    /// Handles new input on a connection.
+    pub fn readable(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, connection: Line) {
+        if self.fetcher.owns(connection) {
+            if let Some((signed, text)) = self.fetcher.readable(reactor, connection) {
                 let mut out = Vec::new();
                 if let Err(why) = self.revisions.take_text(self.now, &signed, text, &mut out) {
-                    tracing::warn!(
-                        number = signed.head.number,
-                        "a text that was fetched is not taken: {why}"
-                    );
-                    counter!(watch::REVISIONS_REFUSED).increment(1);
+                    tracing::warn!(number = signed.head.number, "a fetched revision text is rejected: {why}");
+                    counter!(telemetry::REVISIONS_REFUSED).increment(1);
                 }
-                self.carry_out(reactor, gossiping, out);
+                self.execute(reactor, gossiping, out);
             }
             return;
         }
         loop {
             let revisions = &self.revisions;
-            let may_come = |signed: &Signed| revisions.may_be_next(signed).map_err(|why| why.to_string());
-            let Some(asked) = self.orders.readable(reactor, line, self.now, &may_come) else { return };
+            let accepts_text = |signed: &Signed| revisions.may_be_next(signed).map_err(|why| why.to_string());
+            let Some(request) = self.request_streams.readable(reactor, connection, self.now, &accepts_text)
+            else {
+                return;
+            };
             let mut out = Vec::new();
-            let (answer, bytes) = self.answer(asked, &mut out);
-            // What is answered rests on what is stored.
-            self.carry_out(reactor, gossiping, out);
-            reactor.send(line, &[&order::write(&answer), &bytes]);
+            let (answer, payload) = self.answer(request, &mut out);
+            // The answer depends on what is stored.
+            self.execute(reactor, gossiping, out);
+            reactor.send(connection, &[&order::write(&answer), &payload]);
         }
     }
 
-    fn answer(&mut self, asked: Asked, out: &mut Vec<Given>) -> (Answer, Vec<u8>) {
+    /// Answers a request; returns the answer and the bytes that follow it.
+    fn answer(&mut self, request: ReceivedRequest, out: &mut Vec<Given>) -> (Answer, Vec<u8>) {
         let now = self.now;
-        let refused = |why: String| {
-            counter!(watch::REVISIONS_REFUSED).increment(1);
-            tracing::warn!("an order is refused: {why}");
+        let refuse = |why: String| {
+            counter!(telemetry::REVISIONS_REFUSED).increment(1);
+            tracing::warn!("a request is refused: {why}");
             (Answer::Refused(why), Vec::new())
         };
-        match asked {
-            Asked::Wrong(why) => refused(why),
-            Asked::Push(signed, text) => match self.revisions.push(now, signed, text, out) {
+        match request {
+            ReceivedRequest::Invalid(why) => refuse(why),
+            ReceivedRequest::Push(signed, text) => match self.revisions.push(now, signed, text, out) {
                 Ok(()) => {
                     let (number, author) = (signed.head.number, signed.head.author);
-                    tracing::info!(number, author, "a revision was pushed here");
+                    tracing::info!(number, author, "a revision was pushed to this controller");
                     (Answer::Taken, Vec::new())
                 }
-                Err(why) => refused(why.to_string()),
+                Err(why) => refuse(why.to_string()),
             },
-            Asked::Order(Order::Text { text, from }) => {
-                let of = hex_digest(&text).and_then(|of| self.revisions.text_of(&of));
-                match of.and_then(|text| text.get(from..)) {
+            ReceivedRequest::Order(Order::Text { text, from }) => {
+                let whole_text = parse_digest(&text).and_then(|digest| self.revisions.text_of(&digest));
+                match whole_text.and_then(|text| text.get(from..)) {
                     Some(rest) => {
                         let piece = rest[..rest.len().min(order::PIECE)].to_vec();
                         (Answer::Bytes(piece.len()), piece)
                     }
                     None => {
-                        (Answer::Refused("no such text here, or none from there on".to_owned()), Vec::new())
+                        (Answer::Refused("no such text is held here, or it ends before that offset".to_owned()), Vec::new())
                     }
                 }
             }
-            Asked::Order(Order::Active) => {
+            ReceivedRequest::Order(Order::Active) => {
                 let text = self.revisions.active_text().to_vec();
                 (Answer::Bytes(text.len()), text)
             }
-            Asked::Order(Order::Latest) => match self.revisions.latest_text().map(|text| text.to_vec()) {
+            ReceivedRequest::Order(Order::Latest) => match self.revisions.latest_text().map(|text| text.to_vec()) {
                 Some(text) => (Answer::Bytes(text.len()), text),
                 None => {
                     let why = "the text of the certified revision is not here yet".to_owned();
                     (Answer::Refused(why), Vec::new())
                 }
             },
-            Asked::Order(Order::Gone { gone }) => match order::gone_of(&gone) {
+            ReceivedRequest::Order(Order::Gone { gone }) => match order::gone_of(&gone) {
                 Some(gone) if self.revisions.take_gone(now, gone, out) => {
                     tracing::info!(
                         member = gone.member,
                         gone = gone.gone,
                         author = gone.author,
-                        "an author's word on a member"
+                        "an author's statement on a member is accepted"
                     );
                     (Answer::Taken, Vec::new())
                 }
-                _ => refused(
-                    "the word on the member is not signed by an author, or is older than one that is held"
+                _ => refuse(
+                    "the statement on the member is not signed by an author, or is older than the one that is held"
                         .to_owned(),
                 ),
             },
-            Asked::Order(Order::Status) => (Answer::Status(Box::new(self.report())), Vec::new()),
-            Asked::Order(Order::Push { .. }) => (Answer::Refused("no text".to_owned()), Vec::new()),
+            ReceivedRequest::Order(Order::Status) => (Answer::Status(Box::new(self.report())), Vec::new()),
+            ReceivedRequest::Order(Order::Push { .. }) => (Answer::Refused("no text".to_owned()), Vec::new()),
         }
     }
 
+    /// The status that programs of operators request.
     pub fn report(&self) -> Report {
         let status = self.revisions.status(self.now);
-        let keeper = status.keeper.as_ref().map(|keeper| match keeper.kept().barred {
-            _ if keeper.is_asking() => "asks what it may have signed".to_owned(),
+        let acceptor_status = status.keeper.as_ref().map(|acceptor| match acceptor.kept().barred {
+            _ if acceptor.is_asking() => "asks what it may have signed".to_owned(),
             barred if barred > status.certified => format!("votes again after {barred}"),
             _ => "votes".to_owned(),
         });
@@ -330,89 +364,102 @@
             certified: status.certified,
             digest: hex::encode(status.digest),
             prepared: status.acting.prepared,
-            held: self.held(self.now).map(|held| format!("{held:?}")),
+            held: self.current_hold(self.now).map(|held| format!("{held:?}")),
             source: self.source.to_owned(),
             bound_ms: status.bound.as_millis() as u64,
             waited_for: status.waited_for,
             gone: status.gone,
-            keeper,
-            members: status.positions.iter().map(|(m, p)| (*m, p.active, p.held)).collect(),
+            keeper: acceptor_status,
+            members: status
+                .positions
+                .iter()
+                .map(|(member, position)| (*member, position.active, position.held))
+                .collect(),
         }
     }
 
-    fn held(&self, now: Duration) -> Option<Hold> {
-        // Where nothing that is exclusive changes, the stricter of both is safe beside either.
-        let harmless = self.regime == Regime::Wait && !self.exclusive;
-        self.revisions.acting(now).held.filter(|held| *held != Hold::NoLease || !harmless)
+    /// Why new joins are held back at this time, if they are.
+    fn current_hold(&self, now: Duration) -> Option<Hold> {
+        // Where no exclusive setting changes, a combination of both revisions, taking the stricter value of
+        // each setting, is safe beside either.
+        let is_harmless = self.regime == Regime::Wait && !self.exclusive;
+        self.revisions.acting(now).held.filter(|held| *held != Hold::NoLease || !is_harmless)
     }
 
-    /// Whether new joins are held back at this time, and when viewers may come back.
-    pub fn holds_back(&mut self, now: Duration) -> Option<Duration> {
-        let held = self.held(now);
-        if held != self.shown {
-            match held {
+    /// Whether new joins are held back at this time, and if so the retry delay for viewers.
+    pub fn hold_new_joins(&mut self, now: Duration) -> Option<Duration> {
+        let hold = self.current_hold(now);
+        if hold != self.logged_hold {
+            match hold {
                 Some(why) => tracing::warn!(?why, "new joins are held back"),
                 None => tracing::info!("new joins go on"),
             }
-            self.shown = held;
+            self.logged_hold = hold;
         }
-        held.map(|_| COME_BACK)
+        hold.map(|_| RETRY_DELAY)
     }
 
-    /// The number of this controller's zone: the name may change.
+    /// The index of this controller's zone, which is stable while its name may change.
     pub fn zone(&self) -> usize {
         self.zone
     }
 
-    /// What to act on from now on, if it has changed.
+    /// The configuration to apply from now on, if it has changed.
     pub fn take_change(&mut self) -> Option<Change> {
         if !std::mem::take(&mut self.changed) {
             return None;
         }
-        let read = |text: &[u8]| {
-            Text::read(text).map_err(|why| tracing::error!("a text that was taken can't be read: {why}")).ok()
+        let parse = |text: &[u8]| {
+            Text::read(text)
+                .map_err(|why| tracing::error!("an accepted revision text can't be read: {why}"))
+                .ok()
         };
-        let active = read(self.revisions.active_text())?;
-        let prepared = self.revisions.prepared_text().and_then(|text| read(text));
-        let acted_on = self.fits.lock().ok()?.act_on(&active, prepared.as_ref());
+        let active = parse(self.revisions.active_text())?;
+        let prepared = self.revisions.prepared_text().and_then(|text| parse(text));
+        let applied = self.configuration_check.lock().ok()?.apply(&active, prepared.as_ref());
         let ActedOn { shared, titles, exclusive } =
-            acted_on.map_err(|why| tracing::error!("a revision that was taken does not fit: {why}")).ok()?;
+            applied.map_err(|why| tracing::error!("an accepted revision can't be applied: {why}")).ok()?;
         self.exclusive = exclusive;
         let acting = self.revisions.acting(self.now);
         let (active, prepared) = (acting.active, acting.prepared);
-        tracing::info!(active, prepared, exclusive, titles = titles.len(), "acts on a revision");
-        self.show();
+        tracing::info!(active, prepared, exclusive, titles = titles.len(), "applies a revision");
+        self.export_metrics();
         Some(Change { shared, titles: self.catalogue.then_some(titles) })
     }
 
-    /// The catalogue's own file was read anew.
-    pub fn titles_read(&self, titles: &Catalogue) {
-        if let Ok(mut fits) = self.fits.lock() {
-            fits.titles_read(titles);
+    /// Records that the catalogue's own file was reloaded.
+    pub fn catalogue_reloaded(&self, titles: &Catalogue) {
+        if let Ok(mut configuration_check) = self.configuration_check.lock() {
+            configuration_check.catalogue_reloaded(titles);
         }
     }
 
-    pub fn take_keys(&mut self, keys: &Keys) {
+    /// Replaces the keys after the ring was reloaded.
+    pub fn replace_keys(&mut self, keys: &Keys) {
         self.revisions.take_hand(keys.clone());
     }
 
-    fn carry_out(&mut self, reactor: &mut Reactor, gossiping: &mut Gossiping, out: Vec<Given>) {
-        // What could not be stored must not be said: the rest of what was decided is dropped, as if it were lost.
-        let mut durable = true;
-        for given in out {
-            match given {
-                Given::Send(to, word) if durable => {
-                    gossiping.send_message(reactor, self.now, u32::from(to), &word)
+    /// Executes outputs of the protocol.
+    fn execute(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, out: Vec<Given>) {
+        // What could not be stored must not be announced: the outputs after it are dropped, as if they were
+        // lost in transit.
+        let mut all_stored = true;
+        for output in out {
+            match output {
+                Given::Send(to, message) if all_stored => {
+                    gossiping.send_message(reactor, self.now, u32::from(to), &message)
                 }
                 Given::Send(..) => {}
                 Given::Store(bytes) => {
-                    durable &= stored(files::replace_durably(&self.state.join(STORED), &bytes))
+                    all_stored &= log_store_result(files::replace_durably(&self.state.join(STORED), &bytes))
                 }
-                Given::StoreText(of, text) => durable &= self.store_text(&of, &text),
+                Given::StoreText(digest, text) => all_stored &= self.store_text(&digest, &text),
                 Given::Fetch(signed, from) => {
-                    let at = gossiping.address(from);
-                    let own = Some(gossiping.listens_at().ip()).filter(|ip| !ip.is_unspecified());
-                    at.into_iter().for_each(|at| self.fetching.begin(reactor, signed, at, own, self.now));
+                    let address = gossiping.address(from);
+                    let local_ip = Some(gossiping.local_address().ip()).filter(|ip| !ip.is_unspecified());
+                    address
+                        .into_iter()
+                        .for_each(|address| self.fetcher.start(reactor, signed, address, local_ip, self.now));
                 }
                 Given::Changed => {
                     if self.revisions.acting(self.now).active > 0 && self.source == "file" {
@@ -421,72 +468,81 @@
                     self.changed = true;
                 }
                 Given::Unfit(number, why) => {
-                    tracing::error!(number, "a certified revision can't be acted on here: {why}");
-                    counter!(watch::REVISIONS_REFUSED).increment(1);
+                    tracing::error!(number, "a certified revision can't be applied here: {why}");
+                    counter!(telemetry::REVISIONS_REFUSED).increment(1);
                 }
             }
         }
     }
 
-    fn store_text(&self, of: &Digest, text: &[u8]) -> bool {
-        let folder = self.state.join(TEXTS);
-        let path = folder.join(hex::encode(of));
+    fn store_text(&self, digest: &Digest, text: &[u8]) -> bool {
+        let folder = self.state.join(TEXTS_FOLDER);
+        let path = folder.join(hex::encode(digest));
         path.exists()
-            || stored(std::fs::create_dir_all(&folder).and_then(|()| files::replace_durably(&path, text)))
+            || log_store_result(
+                std::fs::create_dir_all(&folder).and_then(|()| files::replace_durably(&path, text)),
+            )
     }
 
-    fn show(&self) {
+    fn export_metrics(&self) {
         let revisions = &self.revisions;
-        gauge!(watch::REVISION_ACTIVE).set(f64::from(revisions.acting(self.now).active));
-        gauge!(watch::REVISION_CERTIFIED).set(f64::from(revisions.next().0 - 1));
-        gauge!(watch::REVISION_HELD).set(f64::from(u8::from(self.held(self.now).is_some())));
-        gauge!(watch::REVISION_BOUND).set(revisions.bound().as_secs_f64());
-        gauge!(watch::REVISION_WAITED_FOR).set(revisions.waited_for(self.now).len() as f64);
+        gauge!(telemetry::REVISION_ACTIVE).set(f64::from(revisions.acting(self.now).active));
+        gauge!(telemetry::REVISION_CERTIFIED).set(f64::from(revisions.next().0 - 1));
+        gauge!(telemetry::REVISION_HELD).set(f64::from(u8::from(self.current_hold(self.now).is_some())));
+        gauge!(telemetry::REVISION_BOUND).set(revisions.bound().as_secs_f64());
+        gauge!(telemetry::REVISION_WAITED_FOR).set(revisions.waited_for(self.now).len() as f64);
     }
 }
 
-fn stored(done: io::Result<()>) -> bool {
-    if let Err(e) = &done {
-        tracing::error!("a revision's state could not be stored, and nothing is said that rests on it: {e}");
+/// Logs a failure to store; returns whether it was stored.
+fn log_store_result(result: io::Result<()>) -> bool {
+    if let Err(error) = &result {
+        tracing::error!(
+            "the state of revisions could not be stored, and no message that depends on it is sent: {error}"
+        );
     }
-    done.is_ok()
+    result.is_ok()
 }
 
-fn hex_digest(text: &str) -> Option<Digest> {
+fn parse_digest(text: &str) -> Option<Digest> {
     hex::decode(text).ok()?.try_into().ok()
 }
 
-/// Whether a controller can act on a text after what it acts on now.
-fn check(text: &[u8], fits: &Mutex<Fits>) -> Result<(), String> {
+/// Checks whether this controller can apply a text after the present configuration.
+fn check(text: &[u8], configuration_check: &Mutex<ConfigurationCheck>) -> Result<(), String> {
     let text = Text::read(text)?;
-    fits.lock().map_err(|e| e.to_string())?.check(&text)
+    configuration_check.lock().map_err(|error| error.to_string())?.check(&text)
 }
 
-/// What an earlier process stored. What can't be read is as if it were not there, and said.
+/// The state that an earlier process stored. An unreadable file is logged and treated as absent.
 fn read_stored(state: &Path) -> Option<Stored> {
     let path = state.join(STORED);
     let bytes = std::fs::read(&path).ok()?;
-    Stored::read(&bytes).map_err(|why| tracing::error!("{}: {why}; taken as not there", path.display())).ok()
+    Stored::read(&bytes).map_err(|why| tracing::error!("{}: {why}; treated as absent", path.display())).ok()
 }
 
-/// Texts by their digests; one that is another by now is none.
+/// The stored texts whose contents match the digest in their name.
 fn read_texts(folder: &Path) -> Vec<Arc<[u8]>> {
     let Ok(entries) = std::fs::read_dir(folder) else { return Vec::new() };
-    let read = |path: PathBuf| {
+    let read_text = |path: PathBuf| {
         let bytes = std::fs::read(&path).ok()?;
-        let named = path.file_name()?.to_str().and_then(hex_digest)?;
-        (badgerledge_revisions::digest(&bytes) == named).then(|| Arc::from(bytes.as_slice()))
+        let expected_digest = path.file_name()?.to_str().and_then(parse_digest)?;
+        (badgerledge_revisions::digest(&bytes) == expected_digest).then(|| Arc::from(bytes.as_slice()))
     };
-    entries.filter_map(|entry| read(entry.ok()?.path())).collect()
+    entries.filter_map(|entry| read_text(entry.ok()?.path())).collect()
 }
 
-/// Makes a member's state for a first time: a keeper that was never there has signed nothing.
+/// Creates the state of a new member. Its acceptor has signed nothing yet, which is only true of a member
+/// that never ran.
+///
+/// # Errors
+/// If the state exists already or cannot be written.
 pub fn found(state: &Path) -> Result<()> {
     std::fs::create_dir_all(state).with_context(|| state.display().to_string())?;
     let path = state.join(STORED);
     if path.exists() {
-        bail!("{}: it is there already", path.display());
+        bail!("{}: exists already", path.display());
     }
-    let founded = Stored { keeper: Some(Default::default()), ..Stored::default() };
-    files::replace_durably(&path, &founded.write()).with_context(|| path.display().to_string())
+    let initial_state = Stored { keeper: Some(Default::default()), ..Stored::default() };
+    files::replace_durably(&path, &initial_state.write()).with_context(|| path.display().to_string())
 }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -1,4 +1,5 @@
-//! The program's loop: what a wake brought in goes to the ends at once, and once a tick to a round.
+//! The controller's event loop. Events from the reactor go to the connections at once; decisions are made in
+//! rounds, at most one per tick.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -15,451 +16,529 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::budgeting::Budgeting;
-use crate::changing::Changing;
+use crate::budgeting::CrossingBudgets;
+use crate::changing::ConfigurationChanges;
 use crate::configuration_source::ConfigurationSource;
-use crate::ends::{peer_at, Ends, CROWD};
-use crate::gossiping::{GossipOutput, Gossiping};
-use crate::list::{ListLine, ToFloor};
-use crate::watch;
+use crate::connections::{peer_at, Connections, OVERFLOW_CONNECTIONS};
+use crate::gossiping::{GossipDriver, GossipOutput};
+use crate::list::{ListConnection, ListSink};
+use crate::telemetry;
 
-/// The clock begins here, so that a streamer's start long before the process has a time.
-const ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
-/// Tokens of the loop's own due times; the module's are over them.
-const SWEEP: u64 = 0;
-const MODULE: u64 = 1;
-/// Viewers' connections are looked at, and gauges set, this often: well under every time-out there is.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
-/// Descriptors that are neither viewers' nor joins': list, log, metrics, probes, files.
-const SPARE: usize = 128;
-/// Idle connections that are held beside those with a subscription, as a share of those: players connect before
-/// they ask.
-const IDLE_SHARE: usize = 4;
-/// Connections for metrics at a time.
-const READERS: usize = 16;
+/// Start of the process's clock. It lies well above zero, so that a streamer that started long before this
+/// process still has a start time.
+const CLOCK_ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Timer tokens: the loop's own periodic work, and the first of the module's timers.
+const PERIODIC_WORK: u64 = 0;
+const FIRST_MODULE_TIMER: u64 = 1;
+/// Interval at which viewers' connections are checked for time-outs and gauges are set; well below every such
+/// time-out.
+const PERIODIC_WORK_INTERVAL: Duration = Duration::from_millis(500);
+/// Descriptors reserved for the list, log, metrics, probes and files: all that are neither viewers' nor
+/// joins'.
+const RESERVED_DESCRIPTORS: usize = 128;
+/// One idle viewer connection is accepted for this many with a subscription: players connect before they
+/// request a stream.
+const SUBSCRIPTIONS_PER_IDLE_CONNECTION: usize = 4;
+/// Metrics connections open at a time.
+const MAX_METRICS_CONNECTIONS: usize = 16;
 
+/// The running controller: event loop, connections and module.
 pub struct Service {
-    ends: Ends,
-    list: ListLine,
-    budgeting: Option<Budgeting>,
+    connections: Connections,
+    list: ListConnection,
+    budgets: Option<CrossingBudgets>,
     configuration: Option<ConfigurationSource>,
-    changing: Changing,
+    changes: ConfigurationChanges,
     exchange: Exchange,
     listener: Line,
-    readers: Vec<Line>,
-    page: PrometheusHandle,
-    /// When accounts were shown last, and the bytes then, for the rates.
-    accounts_shown: Option<Duration>,
-    crossed_before: BTreeMap<Key, u64>,
+    metrics_connections: Vec<Line>,
+    metrics_handle: PrometheusHandle,
+    /// When the accounts were last exported as metrics, and the bytes of each key then, for the rates.
+    accounts_exported_at: Option<Duration>,
+    exported_bytes: BTreeMap<Key, u64>,
     next_round: Duration,
     tick: Duration,
-    /// The list held before the restart is told in the first round.
-    born: bool,
-    ending: bool,
+    /// Whether the list cached before the restart has been reported, which the first round does.
+    cached_list_reported: bool,
+    stopping: bool,
 }
 
 impl Service {
+    /// Opens listeners and state.
+    ///
+    /// # Errors
+    /// If the settings, the state folder, a key file or an address cannot be used.
     pub fn new(deployment: Deployment, catalogue: Catalogue) -> Result<Self> {
-        let page = watch::start()?;
+        let metrics_handle = telemetry::install_recorder()?;
         let place = deployment.place.clone();
-        let mut reactor = Reactor::new(ORIGIN).context("event loop")?;
+        let mut reactor = Reactor::new(CLOCK_ORIGIN).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
             reactor.signal(signal).context("signals")?;
         }
-        let seed = place.seed.unwrap_or_else(seed_of_the_day);
+        let seed = place.seed.unwrap_or_else(seed_from_clock);
         let descriptors = raise_descriptors();
-        // Each subscription has a line to its viewer and one to its streamer.
-        let room = descriptors.saturating_sub(SPARE + CROWD) * IDLE_SHARE / (2 * IDLE_SHARE + 1);
-        let most = place.subscriptions.min(room).max(1);
-        if most < place.subscriptions {
-            let wanted = place.subscriptions;
-            tracing::warn!(wanted, most, descriptors, "subscriptions are bounded by the descriptors");
+        // Each subscription has a connection to its viewer and one to its streamer.
+        let max_by_descriptors = descriptors.saturating_sub(RESERVED_DESCRIPTORS + OVERFLOW_CONNECTIONS)
+            * SUBSCRIPTIONS_PER_IDLE_CONNECTION
+            / (2 * SUBSCRIPTIONS_PER_IDLE_CONNECTION + 1);
+        let max_subscriptions = place.subscriptions.min(max_by_descriptors).max(1);
+        if max_subscriptions < place.subscriptions {
+            let configured = place.subscriptions;
+            tracing::warn!(
+                wanted = configured,
+                most = max_subscriptions,
+                descriptors,
+                "fewer subscriptions than the settings allow: too few file descriptors"
+            );
         }
         if let Some(state) = &place.state {
             std::fs::create_dir_all(state).with_context(|| format!("state folder {}", state.display()))?;
         }
         let (listener, at) = reactor
-            .listen(place.listen, Ends::viewer_bounds())
+            .listen(place.listen, Connections::viewer_buffers())
             .with_context(|| format!("listening at {}", place.listen))?;
         if let Some(at) = place.metrics {
             let bounds = Bounds { input: 8192, output: 16 * 1024 * 1024 };
             reactor.listen(at, bounds).with_context(|| format!("metrics at {at}"))?;
         }
-        let own = place.peers.get(place.number as usize);
+        let own_address = place.peers.get(place.number as usize);
         let gossip_place = deployment.gossip.clone();
-        let own = own.filter(|_| gossip_place.is_none());
-        let datagrams = own.map(|at| reactor.datagrams(*at).with_context(|| format!("peers at {at}")));
-        let datagrams = datagrams.transpose()?.map(|(line, _)| line);
+        let own_address = own_address.filter(|_| gossip_place.is_none());
+        let peer_socket =
+            own_address.map(|at| reactor.datagrams(*at).with_context(|| format!("peers at {at}")));
+        let peer_socket = peer_socket.transpose()?.map(|(connection, _)| connection);
         let automatic = deployment.shared.fleet.discovery == "automatic";
-        let list = ListLine::new(&place, automatic, ORIGIN, seed ^ 1);
-        let budgeting = Budgeting::new(&deployment, reactor.now(), seed.rotate_left(48));
-        let exchange = Exchange::new(reactor.now(), seed, deployment.module_settings(), most);
-        let mut ends = Ends::new(reactor, deployment, catalogue, seed);
-        (ends.listen, ends.datagrams, ends.most_viewers) = (at, datagrams, most + most / IDLE_SHARE);
-        if let Some(told) = &gossip_place {
-            let gossiping = Gossiping::new(&mut ends.reactor, &place, told, seed.rotate_left(7))?;
-            ends.gossiping = Some(gossiping);
+        let list = ListConnection::new(&place, automatic, CLOCK_ORIGIN, seed ^ 1);
+        let budgets = CrossingBudgets::new(&deployment, reactor.now(), seed.rotate_left(48));
+        let exchange = Exchange::new(reactor.now(), seed, deployment.module_settings(), max_subscriptions);
+        let mut connections = Connections::new(reactor, deployment, catalogue, seed);
+        (connections.listen_address, connections.peer_socket, connections.max_viewers) =
+            (at, peer_socket, max_subscriptions + max_subscriptions / SUBSCRIPTIONS_PER_IDLE_CONNECTION);
+        if let Some(gossip_settings) = &gossip_place {
+            let gossiping =
+                GossipDriver::new(&mut connections.reactor, &place, gossip_settings, seed.rotate_left(7))?;
+            connections.gossiping = Some(gossiping);
         }
         let mut configuration = ConfigurationSource::new(
-            &mut ends.reactor,
-            &ends.deployment,
-            &ends.catalogue,
-            ends.gossiping.as_ref(),
+            &mut connections.reactor,
+            &connections.deployment,
+            &connections.catalogue,
+            connections.gossiping.as_ref(),
             seed.rotate_left(23),
         )?;
         let mut list = list;
         let revisions = configuration.as_mut().and_then(ConfigurationSource::revisions);
-        list.went = revisions.filter(|revising| revising.tells_lists()).map(|_| Vec::new());
-        let within = ends.deployment.leave_within_s();
-        let changing = Changing::new(Duration::from_secs(within), seed.rotate_left(31));
+        list.removed_streamers =
+            revisions.filter(|revising| revising.exchanges_list_positions()).map(|_| Vec::new());
+        let leave_within_s = connections.deployment.leave_within_s();
+        let changes = ConfigurationChanges::new(Duration::from_secs(leave_within_s), seed.rotate_left(31));
         let number = place.number;
-        tracing::info!(number, %at, most, descriptors, "badgerledge-controller serves");
+        tracing::info!(number, %at, most = max_subscriptions, descriptors, "badgerledge-controller serves");
         let tick = Duration::from_millis(place.tick_ms);
-        let (readers, next_round) = (Vec::new(), ORIGIN);
+        let (metrics_connections, next_round) = (Vec::new(), CLOCK_ORIGIN);
         Ok(Self {
-            ends,
+            connections,
             list,
-            budgeting,
+            budgets,
             configuration,
-            changing,
+            changes,
             exchange,
             listener,
-            readers,
-            page,
-            accounts_shown: None,
-            crossed_before: BTreeMap::new(),
+            metrics_connections,
+            metrics_handle,
+            accounts_exported_at: None,
+            exported_bytes: BTreeMap::new(),
             next_round,
             tick,
-            born: false,
-            ending: false,
+            cached_list_reported: false,
+            stopping: false,
         })
     }
 
-    /// Serves until a signal ends it.
+    /// Serves until a signal stops the process.
     pub fn run(mut self) -> Result<()> {
-        let mut told = Vec::new();
-        self.ends.reactor.due(ORIGIN + SWEEP_EVERY, SWEEP);
-        while !self.ending {
+        let mut events = Vec::new();
+        self.connections.reactor.due(CLOCK_ORIGIN + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
+        while !self.stopping {
             let until = self.next_wake();
-            self.ends.reactor.wait(until, &mut told).context("event loop")?;
-            self.ends.now = self.ends.reactor.now();
-            let now = self.ends.now;
-            self.configuration.iter_mut().for_each(|source| source.wakes(now));
-            told.drain(..).for_each(|happening| self.take(happening));
-            self.list.tend(&mut self.ends.reactor, now);
-            let ends = &mut self.ends;
-            let output = ends.gossiping.as_mut().map(|gossiping| gossiping.tick(&ends.reactor, now));
-            self.take_gossip(output);
-            self.revise();
-            for line in self.ends.probes.late(now) {
-                self.ends.probe_ends(line, Ending::Timeout, &[]);
+            self.connections.reactor.wait(until, &mut events).context("event loop")?;
+            self.connections.now = self.connections.reactor.now();
+            let now = self.connections.now;
+            self.configuration.iter_mut().for_each(|source| source.set_now(now));
+            events.drain(..).for_each(|event| self.dispatch(event));
+            self.list.poll(&mut self.connections.reactor, now);
+            let connections = &mut self.connections;
+            let output =
+                connections.gossiping.as_mut().map(|gossiping| gossiping.tick(&connections.reactor, now));
+            self.handle_gossip_output(output);
+            self.update_configuration();
+            for connection in self.connections.probes.expired(now) {
+                self.connections.finish_probe(connection, Ending::Timeout, &[]);
             }
-            self.step_on();
+            self.handle_join_events();
             if now >= self.next_round && self.has_work(now) {
-                self.round();
-                self.step_on();
+                self.run_round();
+                self.handle_join_events();
             }
-            self.ends.reactor.flush();
+            self.connections.reactor.flush();
         }
-        let ends = &mut self.ends;
-        if let Some(gossiping) = &mut ends.gossiping {
-            gossiping.leave(&ends.reactor, ends.now);
+        let connections = &mut self.connections;
+        if let Some(gossiping) = &mut connections.gossiping {
+            gossiping.leave(&connections.reactor, connections.now);
         }
-        self.ends.settle_accounts(true);
-        tracing::info!(held = self.exchange.book().len(), "badgerledge-controller ends");
+        self.connections.account_traffic(true);
+        tracing::info!(held = self.exchange.book().len(), "badgerledge-controller stops");
         Ok(())
     }
 
-    /// Carries out the steps of joins; one may bring another.
-    fn step_on(&mut self) {
-        while !self.ends.steps.is_empty() {
-            let steps = std::mem::take(&mut self.ends.steps);
-            self.exchange
-                .between(self.ends.now, &mut self.ends, |on| steps.into_iter().for_each(|step| step(on)));
+    /// Handles events on joins that need no decision; one may bring another.
+    fn handle_join_events(&mut self) {
+        while !self.connections.join_events.is_empty() {
+            let join_events = std::mem::take(&mut self.connections.join_events);
+            self.exchange.between(self.connections.now, &mut self.connections, |steps| {
+                join_events.into_iter().for_each(|event| event(steps))
+            });
         }
     }
 
+    /// Whether a round has anything to do at this time.
     fn has_work(&self, now: Duration) -> bool {
         let list = &self.list;
-        let plan_due = self.budgeting.as_ref().is_some_and(|budgeting| budgeting.next_due() <= now);
-        let came =
-            plan_due || !self.ends.arrivals.is_empty() || !list.came.is_empty() || list.lost || !self.born;
-        let due = [self.exchange.next_due(), self.changing.next_due()];
-        came || due.into_iter().flatten().any(|at| at <= now)
+        let plan_due = self.budgets.as_ref().is_some_and(|budgets| budgets.next_due() <= now);
+        let has_input = plan_due
+            || !self.connections.round_events.is_empty()
+            || !list.received_lines.is_empty()
+            || list.disconnected
+            || !self.cached_list_reported;
+        let due = [self.exchange.next_due(), self.changes.next_due()];
+        has_input || due.into_iter().flatten().any(|at| at <= now)
     }
 
-    /// When to wake at the latest.
+    /// The latest time at which the loop must wake.
     fn next_wake(&self) -> Option<Duration> {
         let round = match self.has_work(Duration::ZERO) {
             true => Some(self.next_round),
             false => {
-                let due = [self.exchange.next_due(), self.changing.next_due()];
+                let due = [self.exchange.next_due(), self.changes.next_due()];
                 due.into_iter().flatten().min().map(|at| at.max(self.next_round))
             }
         };
-        let plan = self.budgeting.as_ref().map(Budgeting::next_due);
-        let gossip = self.ends.gossiping.as_ref().map(Gossiping::next_due);
+        let plan = self.budgets.as_ref().map(CrossingBudgets::next_due);
+        let gossip = self.connections.gossiping.as_ref().map(GossipDriver::next_due);
         let configuration = self.configuration.as_ref().map(ConfigurationSource::next_due);
-        let due = [round, plan, gossip, configuration, self.list.next_due(), self.ends.probes.next_late()];
+        let due =
+            [round, plan, gossip, configuration, self.list.next_due(), self.connections.probes.next_expiry()];
         due.into_iter().flatten().min()
     }
 
-    fn take(&mut self, happening: Happening) {
-        match happening {
-            Happening::Accepted { line, listener, .. } if listener == self.listener => {
-                self.ends.accepted(line)
+    /// Passes an event of the reactor to the part that it belongs to.
+    fn dispatch(&mut self, event: Happening) {
+        match event {
+            Happening::Accepted { line: connection, listener, .. } if listener == self.listener => {
+                self.connections.accept_viewer(connection)
+            }
+            Happening::Accepted { line: connection, listener, .. }
+                if self.accept_for_configuration(connection, listener) => {}
+            Happening::Accepted { line: connection, .. }
+                if self.metrics_connections.len() < MAX_METRICS_CONNECTIONS =>
+            {
+                self.metrics_connections.push(connection)
+            }
+            Happening::Accepted { line: connection, .. } => self.connections.reactor.close(connection),
+            Happening::Readable(connection) if self.metrics_connections.contains(&connection) => {
+                self.answer_metrics_request(connection)
             }
-            Happening::Accepted { line, listener, .. } if self.is_for_configuration(line, listener) => {}
-            Happening::Accepted { line, .. } if self.readers.len() < READERS => self.readers.push(line),
-            Happening::Accepted { line, .. } => self.ends.reactor.close(line),
-            Happening::Readable(line) if self.readers.contains(&line) => self.show_metrics(line),
-            Happening::Closed(line, _) if self.readers.contains(&line) => {
-                self.readers.retain(|reader| *reader != line);
+            Happening::Closed(connection, _) if self.metrics_connections.contains(&connection) => {
+                self.metrics_connections.retain(|metrics_connection| *metrics_connection != connection);
             }
-            Happening::Readable(line) | Happening::Opened(line) | Happening::Closed(line, _)
-                if self.configuration.as_ref().is_some_and(|source| source.is(line)) =>
+            Happening::Readable(connection)
+            | Happening::Opened(connection)
+            | Happening::Closed(connection, _)
+                if self.configuration.as_ref().is_some_and(|source| source.owns(connection)) =>
             {
-                self.configuration_line(line, &happening);
+                self.handle_configuration_event(connection, &event);
             }
-            Happening::Readable(line) if self.list.is(line) => {
-                self.list.read(&mut self.ends.reactor, self.ends.now)
+            Happening::Readable(connection) if self.list.owns(connection) => {
+                self.list.read(&mut self.connections.reactor, self.connections.now)
             }
-            Happening::Opened(line) if self.list.is(line) => self.list.opened(&mut self.ends.reactor),
-            Happening::Closed(line, _) if self.list.is(line) => self.list.closed(self.ends.now),
-            Happening::Readable(line) => self.ends.readable(line),
-            Happening::Opened(line) => self.ends.opened(line),
-            Happening::Closed(line, why) => self.ends.closed(line, why),
-            // Media that did not fit was dropped; there is nothing to go on with.
+            Happening::Opened(connection) if self.list.owns(connection) => {
+                self.list.opened(&mut self.connections.reactor)
+            }
+            Happening::Closed(connection, _) if self.list.owns(connection) => {
+                self.list.closed(self.connections.now)
+            }
+            Happening::Readable(connection) => self.connections.readable(connection),
+            Happening::Opened(connection) => self.connections.opened(connection),
+            Happening::Closed(connection, reason) => self.connections.closed(connection, reason),
+            // Media that did not fit was dropped; nothing is left to resume.
             Happening::Drained(_) => {}
-            Happening::Datagram { line, from, bytes }
-                if self.ends.gossiping.as_ref().is_some_and(|g| g.is(line)) =>
+            Happening::Datagram { line: connection, from, bytes }
+                if self
+                    .connections
+                    .gossiping
+                    .as_ref()
+                    .is_some_and(|gossiping| gossiping.owns(connection)) =>
             {
-                let ends = &mut self.ends;
-                let now = ends.now;
-                let output =
-                    ends.gossiping.as_mut().map(|g| g.handle_datagram(&ends.reactor, now, from, &bytes));
-                self.take_gossip(output);
+                let connections = &mut self.connections;
+                let now = connections.now;
+                let output = connections
+                    .gossiping
+                    .as_mut()
+                    .map(|gossiping| gossiping.handle_datagram(&connections.reactor, now, from, &bytes));
+                self.handle_gossip_output(output);
             }
             Happening::Datagram { from, bytes, .. } => {
-                let Some(peer) = peer_at(&self.ends.deployment, from) else { return };
-                let heard = self.budgeting.as_mut().is_some_and(|b| b.handle(&mut self.ends, peer, &bytes));
-                if !heard {
-                    self.ends.arrivals.push(Box::new(move |floor| floor.peer(peer, &bytes)));
+                let Some(peer) = peer_at(&self.connections.deployment, from) else { return };
+                let is_lending_message = self
+                    .budgets
+                    .as_mut()
+                    .is_some_and(|budgets| budgets.handle(&mut self.connections, peer, &bytes));
+                if !is_lending_message {
+                    self.connections.round_events.push(Box::new(move |floor| floor.peer(peer, &bytes)));
                 }
             }
-            Happening::Due(SWEEP) => self.sweep(),
+            Happening::Due(PERIODIC_WORK) => self.run_periodic_work(),
             Happening::Due(token) => {
-                self.ends.arrivals.push(Box::new(move |floor| floor.fired(token - MODULE)));
+                self.connections
+                    .round_events
+                    .push(Box::new(move |floor| floor.fired(token - FIRST_MODULE_TIMER)));
             }
-            Happening::Signal(SIGHUP) => self.read_catalogue(),
+            Happening::Signal(SIGHUP) => self.reload_catalogue(),
             Happening::Signal(signal) => {
-                tracing::info!(signal, "told to end");
-                self.ending = true;
+                tracing::info!(signal, "signal received; stopping");
+                self.stopping = true;
             }
         }
     }
 
-    /// What gossip brought, to whom it is for.
-    fn take_gossip(&mut self, output: Option<GossipOutput>) {
+    /// Passes the output of gossip to the subsystems that it is for.
+    fn handle_gossip_output(&mut self, output: Option<GossipOutput>) {
         let Some(output) = output else { return };
-        for (peer, word) in output.messages {
+        for (peer, message) in output.messages {
             let revisions = self.configuration.as_mut().and_then(ConfigurationSource::revisions);
-            if let (Some(revising), Some(gossiping)) = (revisions, &mut self.ends.gossiping) {
-                if let Some(off) = revising.heard(&mut self.ends.reactor, gossiping, peer, &word) {
+            if let (Some(revising), Some(gossiping)) = (revisions, &mut self.connections.gossiping) {
+                if let Some(off) =
+                    revising.handle_message(&mut self.connections.reactor, gossiping, peer, &message)
+                {
                     for off in off {
                         let id = StreamerId::new(off.ip.into(), off.port);
-                        let ours = |entry: &Entry| entry.start == off.start && entry.health == Health::Ready;
-                        if self.list.book.entry(&id).is_some_and(ours) {
-                            tracing::info!(streamer = %id, "said by others to be off their lists");
-                            counter!(watch::SAID_OFF).increment(1);
-                            self.ends.arrivals.push(Box::new(move |floor| floor.reported_in_trouble(id)));
+                        let is_current =
+                            |entry: &Entry| entry.start == off.start && entry.health == Health::Ready;
+                        if self.list.streamer_list.entry(&id).is_some_and(is_current) {
+                            tracing::info!(streamer = %id, "peers report that this streamer left their lists");
+                            counter!(telemetry::STREAMERS_REPORTED_OFF_LIST).increment(1);
+                            self.connections
+                                .round_events
+                                .push(Box::new(move |floor| floor.reported_in_trouble(id)));
                         }
                     }
                     continue;
                 }
             }
-            if let Some(budgeting) = &mut self.budgeting {
-                budgeting.handle(&mut self.ends, u32::from(peer), &word);
+            if let Some(budgets) = &mut self.budgets {
+                budgets.handle(&mut self.connections, u32::from(peer), &message);
             }
         }
-        for streamer in output.believed {
-            counter!(watch::BELIEVED).increment(1);
-            self.ends.arrivals.push(Box::new(move |floor| floor.reported_in_trouble(streamer)));
+        for streamer in output.streamers_in_trouble {
+            counter!(telemetry::PEER_REPORTS_BELIEVED).increment(1);
+            self.connections.round_events.push(Box::new(move |floor| floor.reported_in_trouble(streamer)));
         }
     }
 
-    fn is_for_configuration(&mut self, line: Line, listener: Line) -> bool {
-        let reactor = &mut self.ends.reactor;
-        self.configuration.as_mut().is_some_and(|source| source.accepts(reactor, line, listener))
+    /// Whether a connection was accepted for the configuration source.
+    fn accept_for_configuration(&mut self, connection: Line, listener: Line) -> bool {
+        let reactor = &mut self.connections.reactor;
+        self.configuration.as_mut().is_some_and(|source| source.accept(reactor, connection, listener))
     }
 
-    fn configuration_line(&mut self, line: Line, happening: &Happening) {
+    fn handle_configuration_event(&mut self, connection: Line, event: &Happening) {
         let Some(source) = &mut self.configuration else { return };
-        let ends = &mut self.ends;
-        source.take(&mut ends.reactor, ends.gossiping.as_mut(), line, happening);
+        let connections = &mut self.connections;
+        source.handle_event(&mut connections.reactor, connections.gossiping.as_mut(), connection, event);
     }
 
-    /// What the source of the configuration has due, and what it changes, before anything is decided in this wake.
-    fn revise(&mut self) {
+    /// Runs the due work of the configuration source and applies its changes, before anything is decided in
+    /// this iteration.
+    fn update_configuration(&mut self) {
         let Some(source) = &mut self.configuration else { return };
-        let now = self.ends.now;
-        source.tend(&mut self.ends.reactor, self.ends.gossiping.as_mut(), now);
+        let now = self.connections.now;
+        source.poll(&mut self.connections.reactor, self.connections.gossiping.as_mut(), now);
         if let Some(change) = source.take_change() {
-            let held = &mut self.ends.deployment;
-            let budgets = change.shared.crossing != held.shared.crossing;
-            held.shared = change.shared;
-            // Its zone's name may be another by now; its number is not.
-            held.place.zone.clone_from(&held.shared.fleet.zones[source.zone()]);
-            change.titles.into_iter().for_each(|titles| self.ends.catalogue = titles);
-            self.changing.begins();
-            if budgets {
-                self.budgeting =
-                    Budgeting::new(&self.ends.deployment, now, u64::from(self.ends.deployment.place.number));
+            let deployment = &mut self.connections.deployment;
+            let budgets_changed = change.shared.crossing != deployment.shared.crossing;
+            deployment.shared = change.shared;
+            // The zone may have been renamed; its number is stable.
+            deployment.place.zone.clone_from(&deployment.shared.fleet.zones[source.zone()]);
+            change.titles.into_iter().for_each(|titles| self.connections.catalogue = titles);
+            self.changes.mark_pending();
+            if budgets_changed {
+                self.budgets = CrossingBudgets::new(
+                    &self.connections.deployment,
+                    now,
+                    u64::from(self.connections.deployment.place.number),
+                );
             }
         }
-        // By the clock: a process that stood still in this wake has no lease any more.
-        self.exchange.hold(source.holds_back(self.ends.reactor.clock()));
+        // Uses the clock rather than this iteration's time: the lease of a process that was suspended during
+        // this iteration has expired.
+        self.exchange.hold(source.hold_new_joins(self.connections.reactor.clock()));
         if let Some(revising) = source.revisions() {
-            let asks = revising.asks_list();
-            self.list.ask(&mut self.ends.reactor, (None, asks));
+            let should_query = revising.should_query_list();
+            self.list.request(&mut self.connections.reactor, (None, should_query));
         }
     }
 
-    fn round(&mut self) {
-        let begun = Instant::now();
-        let now = self.ends.now;
+    /// Runs a round: reports what came in since the last one to the module, and carries out its decisions.
+    fn run_round(&mut self) {
+        let started = Instant::now();
+        let now = self.connections.now;
         self.next_round = now + self.tick;
-        let arrivals = std::mem::take(&mut self.ends.arrivals);
-        let lines = std::mem::take(&mut self.list.came);
-        let lost = std::mem::take(&mut self.list.lost);
-        let born = std::mem::replace(&mut self.born, true);
-        let mut plan = None;
-        if let Some(budgeting) = self.budgeting.as_mut().filter(|budgeting| budgeting.next_due() <= now) {
-            let plans = budgeting.plan(&mut self.ends, self.exchange.book());
-            plan = Some((budgeting.caps(&plans), plans));
+        let round_events = std::mem::take(&mut self.connections.round_events);
+        let list_lines = std::mem::take(&mut self.list.received_lines);
+        let list_disconnected = std::mem::take(&mut self.list.disconnected);
+        let cached_list_reported = std::mem::replace(&mut self.cached_list_reported, true);
+        let mut caps_and_plans = None;
+        if let Some(budgets) = self.budgets.as_mut().filter(|budgets| budgets.next_due() <= now) {
+            let plans = budgets.plan(&mut self.connections, self.exchange.book());
+            caps_and_plans = Some((budgets.caps(&plans), plans));
         }
-        let turn = self.changing.turn(&self.ends, self.exchange.book());
-        let (list, changing) = (&mut self.list, &mut self.changing);
-        let mut whole = false;
-        self.exchange.round(now, &mut self.ends, |floor| {
-            changing.carry_out(turn, floor, now);
-            if !born {
-                list.book.tell_cached(&mut ToFloor { floor, known: Vec::new() });
+        let pending_changes = self.changes.plan_round(&self.connections, self.exchange.book());
+        let (list, changes) = (&mut self.list, &mut self.changes);
+        let mut whole_list_wanted = false;
+        self.exchange.round(now, &mut self.connections, |floor| {
+            changes.apply(pending_changes, floor, now);
+            if !cached_list_reported {
+                list.streamer_list.tell_cached(&mut ListSink { floor, known: Vec::new() });
             }
-            // The list first: what goes out in this round knows of it.
-            for line in &lines {
-                whole |= list.take(line, now, floor);
+            // The list first: this round's decisions must take it into account.
+            for line in &list_lines {
+                whole_list_wanted |= list.handle_line(line, now, floor);
             }
-            if !born || !lines.is_empty() {
-                floor.carrier().zones = list.book.entries().map(|(id, entry)| (id, entry.zone)).collect();
-                floor.carrier().cells = list.book.entries().map(|(id, entry)| (id, entry.cell)).collect();
+            if !cached_list_reported || !list_lines.is_empty() {
+                floor.carrier().streamer_zones =
+                    list.streamer_list.entries().map(|(id, entry)| (id, entry.zone)).collect();
+                floor.carrier().streamer_cells =
+                    list.streamer_list.entries().map(|(id, entry)| (id, entry.cell)).collect();
             }
-            if lost {
+            if list_disconnected {
                 floor.list_begins(Listing::Failed, std::iter::empty());
                 floor.list_ends(Listing::Failed);
             }
-            if let Some((caps, plans)) = plan {
-                for (from, made) in &plans {
-                    floor.crossing(*from, made.room);
-                    made.home.iter().for_each(|job| floor.send_home(*job));
+            if let Some((caps, plans)) = caps_and_plans {
+                for (from, plan) in &plans {
+                    floor.crossing(*from, plan.room);
+                    plan.home.iter().for_each(|job| floor.send_home(*job));
                 }
                 caps.into_iter().for_each(|(job, cap)| floor.cap(job, cap));
             }
-            arrivals.into_iter().for_each(|arrival| arrival(floor));
+            round_events.into_iter().for_each(|event| event(floor));
         });
-        let mut wants = std::mem::take(&mut self.ends.list_wants);
-        wants.1 |= whole;
-        self.list.ask(&mut self.ends.reactor, wants);
-        let went = self.list.went.as_mut().map(std::mem::take).unwrap_or_default();
+        let mut list_requests = std::mem::take(&mut self.connections.list_requests);
+        list_requests.1 |= whole_list_wanted;
+        self.list.request(&mut self.connections.reactor, list_requests);
+        let removed_streamers = self.list.removed_streamers.as_mut().map(std::mem::take).unwrap_or_default();
         let revisions = self.configuration.as_mut().and_then(ConfigurationSource::revisions);
-        if let (Some(revising), Some(gossiping)) = (revisions, &mut self.ends.gossiping) {
-            revising.list_reached(&self.ends.reactor, gossiping, self.list.book.position(), went);
+        if let (Some(revising), Some(gossiping)) = (revisions, &mut self.connections.gossiping) {
+            revising.list_advanced(
+                &self.connections.reactor,
+                gossiping,
+                self.list.streamer_list.position(),
+                removed_streamers,
+            );
         }
-        for (at, token) in std::mem::take(&mut self.ends.reminders) {
-            // In the next round at the earliest: a reminder never fires in the round that set it.
-            self.ends.reactor.due(at.max(now + Duration::from_micros(1)), token + MODULE);
+        for (at, token) in std::mem::take(&mut self.connections.module_timers) {
+            // In the next round at the earliest: a timer never fires in the round that set it.
+            self.connections.reactor.due(at.max(now + Duration::from_micros(1)), token + FIRST_MODULE_TIMER);
         }
-        histogram!(watch::ROUND_TIME).record(begun.elapsed().as_secs_f64());
+        histogram!(telemetry::ROUND_TIME).record(started.elapsed().as_secs_f64());
     }
 
-    /// Reads the catalogue anew. One that is not in order changes nothing.
-    fn read_catalogue(&mut self) {
-        if self.ends.deployment.titles_go_with_configuration() {
+    /// Reloads the catalogue. An invalid file changes nothing.
+    fn reload_catalogue(&mut self) {
+        if self.connections.deployment.titles_go_with_configuration() {
             return tracing::warn!(
-                "the titles go with the configuration and are not read from their file: push them"
+                "the titles are part of the revisions, so the catalogue file is not reloaded: push the titles as a revision"
             );
         }
-        let path = &self.ends.deployment.place.catalogue;
+        let path = &self.connections.deployment.place.catalogue;
         let catalogue = match Catalogue::read(path) {
             Ok(catalogue) => catalogue,
-            Err(faults) => return tracing::warn!("{faults}; the catalogue read before goes on counting"),
+            Err(faults) => return tracing::warn!("{faults}; keeping the previous catalogue"),
         };
-        let shared = &self.ends.deployment.shared;
-        let strange = catalogue.titles().find(|(_, title)| shared.room_type(&title.room_type).is_none());
-        if let Some((id, title)) = strange {
-            let (at, name) = (path.display(), &title.room_type);
+        let shared = &self.connections.deployment.shared;
+        let unknown_type = catalogue.titles().find(|(_, title)| shared.room_type(&title.room_type).is_none());
+        if let Some((id, title)) = unknown_type {
+            let (path, name) = (path.display(), &title.room_type);
             return tracing::warn!(
-                "{at}: [title {id:x}] room_type = {name}: there is none; the catalogue read before goes on counting"
+                "{path}: [title {id:x}] room_type = {name}: there is none; keeping the previous catalogue"
             );
         }
-        tracing::info!(titles = catalogue.len(), "the catalogue was read anew");
-        self.configuration.iter().for_each(|source| source.titles_read(&catalogue));
-        self.ends.catalogue = catalogue;
-        // What it takes away, or puts elsewhere, is taken from what is held as by a revision.
-        self.changing.begins();
+        tracing::info!(titles = catalogue.len(), "the catalogue was reloaded");
+        self.configuration.iter().for_each(|source| source.catalogue_reloaded(&catalogue));
+        self.connections.catalogue = catalogue;
+        // Titles that were removed or placed on other cells are applied to existing subscriptions, as for a
+        // revision.
+        self.changes.mark_pending();
     }
 
-    fn sweep(&mut self) {
-        let now = self.ends.now;
-        self.ends.reactor.due(now + SWEEP_EVERY, SWEEP);
-        self.ends.sweep();
+    /// Checks time-outs, stores what is due and sets gauges.
+    fn run_periodic_work(&mut self) {
+        let now = self.connections.now;
+        self.connections.reactor.due(now + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
+        self.connections.close_expired_viewers();
         self.list.store(now);
-        if self.ends.accounting.is_due(now) {
-            self.ends.settle_accounts(false);
-            self.show_accounts();
+        if self.connections.accounting.is_due(now) {
+            self.connections.account_traffic(false);
+            self.export_accounts();
         }
-        gauge!(watch::HELD).set(self.exchange.book().len() as f64);
-        gauge!(watch::PLAYING).set(self.exchange.book().playing() as f64);
-        gauge!(watch::CONNECTIONS).set(self.ends.reactor.connections() as f64);
-        gauge!(watch::STREAMERS).set(self.list.book.entries().count() as f64);
-        let media = std::mem::take(&mut self.ends.media);
-        counter!(watch::MEDIA_PACKETS).increment(media.packets);
-        counter!(watch::MEDIA_BYTES).increment(media.bytes);
-        counter!(watch::LOST_PACKETS).increment(media.lost);
-        let costs = self.ends.reactor.costs();
-        counter!(watch::SYSTEM_CALLS).absolute(costs.system_calls);
-        counter!(watch::COPIED_BYTES).absolute(costs.copied_bytes);
+        gauge!(telemetry::SUBSCRIPTIONS_HELD).set(self.exchange.book().len() as f64);
+        gauge!(telemetry::SUBSCRIPTIONS_PLAYING).set(self.exchange.book().playing() as f64);
+        gauge!(telemetry::CONNECTIONS).set(self.connections.reactor.connections() as f64);
+        gauge!(telemetry::STREAMERS_LISTED).set(self.list.streamer_list.entries().count() as f64);
+        let relay_counts = std::mem::take(&mut self.connections.relay_counts);
+        counter!(telemetry::MEDIA_PACKETS).increment(relay_counts.packets);
+        counter!(telemetry::MEDIA_BYTES).increment(relay_counts.bytes);
+        counter!(telemetry::LOST_PACKETS).increment(relay_counts.lost);
+        let costs = self.connections.reactor.costs();
+        counter!(telemetry::SYSTEM_CALLS).absolute(costs.system_calls);
+        counter!(telemetry::COPIED_BYTES).absolute(costs.copied_bytes);
     }
 
-    /// The accounts as metrics.
-    fn show_accounts(&mut self) {
-        let span = self.accounts_shown.replace(self.ends.now).map(|at| (self.ends.now - at).as_secs_f64());
-        for (key, amount) in self.ends.accounting.whole() {
-            let before = self.crossed_before.insert(key.clone(), amount.bytes()).unwrap_or(0);
-            let rate = span.map_or(0.0, |span| amount.bytes().saturating_sub(before) as f64 / span.max(1e-3));
+    /// Exports the accounts as metrics.
+    fn export_accounts(&mut self) {
+        let elapsed_s = self
+            .accounts_exported_at
+            .replace(self.connections.now)
+            .map(|at| (self.connections.now - at).as_secs_f64());
+        for (key, amount) in self.connections.accounting.whole() {
+            let before = self.exported_bytes.insert(key.clone(), amount.bytes()).unwrap_or(0);
+            let rate = elapsed_s
+                .map_or(0.0, |elapsed_s| amount.bytes().saturating_sub(before) as f64 / elapsed_s.max(1e-3));
             let labels = [("from", key.from), ("to", key.to), ("room_type", key.room_type)];
-            gauge!(watch::CROSSED_RATE, &labels).set(rate);
-            counter!(watch::CROSSED_BYTES, &labels).absolute(amount.bytes());
-            counter!(watch::CROSSED_SECONDS, &labels).absolute(amount.subscription_ms / 1000);
-            counter!(watch::CROSSED_SET_UPS, &labels).absolute(amount.set_ups);
+            gauge!(telemetry::CROSSED_RATE, &labels).set(rate);
+            counter!(telemetry::CROSSED_BYTES, &labels).absolute(amount.bytes());
+            counter!(telemetry::CROSSED_SECONDS, &labels).absolute(amount.subscription_ms / 1000);
+            counter!(telemetry::CROSSED_SET_UPS, &labels).absolute(amount.set_ups);
         }
     }
 
-    /// Any request is answered once its head has come: with the accounts if it asks for them, else with the metrics.
-    fn show_metrics(&mut self, line: Line) {
-        let input = self.ends.reactor.input(line);
+    /// Answers any request once its head is complete: with the accounts if it requests them, else with the
+    /// metrics.
+    fn answer_metrics_request(&mut self, connection: Line) {
+        let input = self.connections.reactor.input(connection);
         if input.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             let answer = match input.starts_with(b"GET /accounts ") {
-                true => watch::answer("application/json", &self.ends.accounting.page()),
-                false => watch::page(&self.page),
+                true => telemetry::http_response("application/json", &self.connections.accounting.page()),
+                false => telemetry::metrics_response(&self.metrics_handle),
             };
-            self.ends.reactor.send(line, &[&answer]);
-            self.ends.reactor.finish(line);
+            self.connections.reactor.send(connection, &[&answer]);
+            self.connections.reactor.finish(connection);
         }
     }
 }
 
-fn seed_of_the_day() -> u64 {
-    let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    day.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(32)
+/// A seed for processes whose settings name none: it differs by time and by process.
+fn seed_from_clock() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(32)
 }
--- a/crates/controller/tests/it/rig.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -1,4 +1,4 @@
-//! A controller process between a list service, streamers and viewers that a test scripts.
+//! Test harness: a controller process between a list service, streamers and viewers that a test scripts.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -17,8 +17,8 @@
 use badgerledge_witness::Witness;
 use tempfile::TempDir;
 
-/// Nothing on loopback takes this long.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Time limit of every wait; nothing on loopback takes this long.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const SHARED: &str = "\
 [fleet]
@@ -42,73 +42,74 @@
 drain_grace_ms = 200
 ";
 
-/// Title 7 lies everywhere, title 8 on the first cell alone, title 9 on the last.
+/// Title 7 has copies on all cells, title 8 on the first cell only, title 9 on the last only.
 pub const CATALOGUE: &str = "[title 7]\nroom_type = clip\nfirst_cell = 0\ncopies = 4\n\
                          [title 8]\nroom_type = clip\nfirst_cell = 0\ncopies = 1\n\
                          [title 9]\nroom_type = clip\nfirst_cell = 3\ncopies = 1\n";
 
-/// What a test has the list service learn: a streamer's cell and address, and its health.
-type Word = (u32, SocketAddrV4, Health);
+/// An update of the list service: a streamer's cell, address and health.
+type StreamerUpdate = (u32, SocketAddrV4, Health);
 
-/// The list service, and where wanted four good streamers, in a thread of their own.
-pub struct Backdrop {
+/// The list service, and optionally working streamers, in a thread of their own.
+pub struct Environment {
     pub list: SocketAddr,
-    words: Sender<Option<Word>>,
+    updates: Sender<Option<StreamerUpdate>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Backdrop {
-    pub fn new(good_streamers: bool) -> Self {
-        Self::on_cells(if good_streamers { 4 } else { 0 })
+impl Environment {
+    pub fn new(with_streamers: bool) -> Self {
+        Self::on_cells(if with_streamers { 4 } else { 0 })
     }
 
-    /// With a good streamer on each of the first cells.
+    /// Starts a working streamer on each of the first cells.
     pub fn on_cells(count: u32) -> Self {
-        let (words, heard) = channel();
+        let (updates, received_updates) = channel();
         let (ready, list) = channel();
-        let thread = std::thread::spawn(move || serve(count, &heard, &ready));
-        Self { list: list.recv().unwrap(), words, thread: Some(thread) }
+        let thread = std::thread::spawn(move || serve(count, &received_updates, &ready));
+        Self { list: list.recv().unwrap(), updates, thread: Some(thread) }
     }
 
-    pub fn learn(&self, cell: u32, at: SocketAddrV4, health: Health) {
-        self.words.send(Some((cell, at, health))).unwrap();
+    /// Has the list service publish a streamer.
+    pub fn publish(&self, cell: u32, at: SocketAddrV4, health: Health) {
+        self.updates.send(Some((cell, at, health))).unwrap();
     }
 }
 
-impl Drop for Backdrop {
+impl Drop for Environment {
     fn drop(&mut self) {
-        let _ = self.words.send(None);
+        let _ = self.updates.send(None);
         self.thread.take().map(JoinHandle::join);
     }
 }
 
-fn serve(good_cells: u32, words: &Receiver<Option<Word>>, ready: &Sender<SocketAddr>) {
+fn serve(cells: u32, updates: &Receiver<Option<StreamerUpdate>>, ready: &Sender<SocketAddr>) {
     let shared = Shared::of(&Sheet::parse("shared.ini", SHARED).unwrap()).unwrap();
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
-    let mut witness = Witness::new(shared.clone());
+    let mut rule_checker = Witness::new(shared.clone());
     let mut list = ListService::new(&mut reactor, (Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let mut streamers = Streamers::new(shared, 1);
     let now = reactor.now();
-    for cell in 0..good_cells {
+    for cell in 0..cells {
         streamers.add(&mut reactor, Told { zone: 0, kind: 0, cell, weight: 1.0 }, None).unwrap();
         let at = streamers.at(cell as usize);
         list.learn(now, Duration::ZERO, at, 0, 0, cell, Health::Ready, 1.0, 1, None);
     }
-    list.tend(&mut reactor, now, &mut witness);
+    list.tend(&mut reactor, now, &mut rule_checker);
     ready.send(list.at()).unwrap();
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     loop {
-        reactor.wait(Some(reactor.clock() + Duration::from_millis(5)), &mut told).unwrap();
+        reactor.wait(Some(reactor.clock() + Duration::from_millis(5)), &mut events).unwrap();
         let now = reactor.now();
-        while let Ok(word) = words.try_recv() {
-            let Some((cell, at, health)) = word else { return };
+        while let Ok(update) = updates.try_recv() {
+            let Some((cell, at, health)) = update else { return };
             list.learn(now, Duration::ZERO, at, 0, 0, cell, health, 1.0, 1, None);
         }
-        for happening in told.drain(..) {
-            let _ = streamers.take(&mut reactor, now, &happening, &mut witness)
-                || list.take(&mut reactor, now, &happening, &mut witness);
+        for event in events.drain(..) {
+            let _ = streamers.take(&mut reactor, now, &event, &mut rule_checker)
+                || list.take(&mut reactor, now, &event, &mut rule_checker);
         }
-        list.tend(&mut reactor, now, &mut witness);
+        list.tend(&mut reactor, now, &mut rule_checker);
         streamers.tend(&mut reactor, now);
         reactor.flush();
     }
@@ -118,18 +119,18 @@
 pub struct Controller {
     pub at: SocketAddr,
     pub metrics: SocketAddr,
-    /// Settings, state and log.
+    /// Holds the settings, the state and the log.
     pub folder: TempDir,
     child: Child,
 }
 
 impl Controller {
-    /// `more` are further lines of its `[controller]` section.
+    /// Starts a controller; `more` holds further lines of its `[controller]` section.
     pub fn start(list: SocketAddr, more: &str) -> Self {
         Self::start_with_titles(list, more, CATALOGUE)
     }
 
-    /// The same with other titles.
+    /// Starts a controller with these titles.
     pub fn start_with_titles(list: SocketAddr, more: &str, titles: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let (at, metrics) = (free_port().unwrap(), free_port().unwrap());
@@ -145,50 +146,50 @@
     }
 
     fn wait_ready(&self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(self.at).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "no controller:\n{}", self.log());
+            assert!(started.elapsed() < TIMEOUT, "the controller does not listen; log:\n{}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Waits until it has so many streamers on its list.
+    /// Waits until this many streamers are on the controller's list.
     pub fn wait_listed(&self, count: usize) {
         self.wait_metric("badgerledge_streamers_listed", |value| value == count as f64);
     }
 
-    pub fn wait_metric(&self, name: &str, wanted: impl Fn(f64) -> bool) {
-        let begun = Instant::now();
-        while !self.metric(name).is_some_and(&wanted) {
-            assert!(begun.elapsed() < PATIENCE, "{name} is {:?}; log:\n{}", self.metric(name), self.log());
+    pub fn wait_metric(&self, name: &str, condition: impl Fn(f64) -> bool) {
+        let started = Instant::now();
+        while !self.metric(name).is_some_and(&condition) {
+            assert!(started.elapsed() < TIMEOUT, "{name} is {:?}; log:\n{}", self.metric(name), self.log());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn page(&self, path: &str) -> Option<String> {
-        let mut page = TcpStream::connect(self.metrics).ok()?;
-        page.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).ok()?;
+    fn fetch_page(&self, path: &str) -> Option<String> {
+        let mut fetch_page = TcpStream::connect(self.metrics).ok()?;
+        fetch_page.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).ok()?;
         let mut text = String::new();
-        page.read_to_string(&mut text).ok()?;
+        fetch_page.read_to_string(&mut text).ok()?;
         Some(text)
     }
 
-    /// Waits until the accounts that it shows are as wanted.
-    pub fn wait_accounts(&self, wanted: impl Fn(&Accounts) -> bool) {
-        let begun = Instant::now();
+    /// Waits until the accounts that the controller exports satisfy a condition.
+    pub fn wait_accounts(&self, condition: impl Fn(&Accounts) -> bool) {
+        let started = Instant::now();
         loop {
-            let page = self.page("/accounts").unwrap_or_default();
-            let body = page.split_once("\r\n\r\n").map_or("", |page| page.1);
-            if Accounts::read(body).is_ok_and(|accounts| wanted(&accounts)) {
+            let fetch_page = self.fetch_page("/accounts").unwrap_or_default();
+            let body = fetch_page.split_once("\r\n\r\n").map_or("", |fetch_page| fetch_page.1);
+            if Accounts::read(body).is_ok_and(|accounts| condition(&accounts)) {
                 return;
             }
-            assert!(begun.elapsed() < PATIENCE, "{page}");
+            assert!(started.elapsed() < TIMEOUT, "{fetch_page}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     pub fn metric(&self, name: &str) -> Option<f64> {
-        let text = self.page("/metrics")?;
+        let text = self.fetch_page("/metrics")?;
         let line = text
             .lines()
             .find(|line| line.strip_prefix(name).is_some_and(|rest| rest.starts_with([' ', '{'])));
@@ -215,7 +216,7 @@
         rustix::process::kill_process(pid, signal).unwrap();
     }
 
-    pub fn wait_end(&mut self) -> bool {
+    pub fn exits_successfully(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 
@@ -227,10 +228,10 @@
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    pub fn wait_log(&self, words: &str) {
-        let begun = Instant::now();
-        while !self.log().contains(words) {
-            assert!(begun.elapsed() < PATIENCE, "not in the log: {words}\n{}", self.log());
+    pub fn wait_log(&self, text: &str) {
+        let started = Instant::now();
+        while !self.log().contains(text) {
+            assert!(started.elapsed() < TIMEOUT, "not in the log: {text}\n{}", self.log());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -244,9 +245,9 @@
 }
 
 fn write_settings(folder: &Path, at: SocketAddr, list: SocketAddr, metrics: SocketAddr, more: &str) {
-    let one = if more.contains("controllers = ") { "" } else { "controllers = 1\n" };
+    let count = if more.contains("controllers = ") { "" } else { "controllers = 1\n" };
     let text = format!(
-        "[controller]\n{one}zone = a\nlisten = {at}\nlist = {list}\nmetrics = {metrics}\n\
+        "[controller]\n{count}zone = a\nlisten = {at}\nlist = {list}\nmetrics = {metrics}\n\
          catalogue = titles.ini\nstate = {}\nseed = 3\n{more}{SHARED}",
         folder.join("state").display()
     );
@@ -254,8 +255,8 @@
     std::fs::write(folder.join("titles.ini"), CATALOGUE).unwrap();
 }
 
-/// What a controller says that does not begin with these settings.
-pub fn not_begun(more: &str) -> String {
+/// The log of a controller that must fail to start with these settings.
+pub fn startup_failure(more: &str) -> String {
     let folder = tempfile::tempdir().unwrap();
     let (at, metrics) = (free_port().unwrap(), free_port().unwrap());
     write_settings(folder.path(), at, at, metrics, more);
@@ -275,81 +276,85 @@
         .unwrap()
 }
 
-/// One end of a connection that a test scripts, at a viewer or at a streamer.
-pub struct Talk {
+/// A scripted RTSP peer: one side of a connection, as a viewer or as a streamer.
+pub struct RtspPeer {
     pub stream: TcpStream,
-    held: Vec<u8>,
+    buffered: Vec<u8>,
 }
 
-impl Talk {
+impl RtspPeer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Self { stream, held: Vec::new() }
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        Self { stream, buffered: Vec::new() }
     }
 
     pub fn to(at: SocketAddr) -> Self {
         Self::new(TcpStream::connect(at).unwrap())
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
     }
 
-    /// The next message's head, or a frame as `$CHANNEL LENGTH`; empty at the connection's end.
-    pub fn hear(&mut self) -> String {
+    /// Receives the next message's head, or a frame as `$CHANNEL LENGTH`; empty when the connection is
+    /// closed.
+    pub fn receive(&mut self) -> String {
         loop {
-            if let Some(text) = self.whole() {
+            if let Some(text) = self.take_complete() {
                 return text;
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return String::new(),
-                Ok(count) => self.held.extend_from_slice(&bytes[..count]),
+                Ok(count) => self.buffered.extend_from_slice(&bytes[..count]),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return String::new(),
-                Err(e) => panic!("{e} after {:?}", String::from_utf8_lossy(&self.held)),
+                Err(e) => panic!("{e} after {:?}", String::from_utf8_lossy(&self.buffered)),
             }
         }
     }
 
-    fn whole(&mut self) -> Option<String> {
-        if self.held.first() == Some(&b'$') {
-            let length = usize::from(u16::from_be_bytes([*self.held.get(2)?, *self.held.get(3)?]));
-            let text = format!("${} {length}", self.held[1]);
-            (self.held.len() >= 4 + length).then(|| self.held.drain(..4 + length))?;
+    /// Takes the next complete message or frame from the buffer.
+    fn take_complete(&mut self) -> Option<String> {
+        if self.buffered.first() == Some(&b'$') {
+            let length = usize::from(u16::from_be_bytes([*self.buffered.get(2)?, *self.buffered.get(3)?]));
+            let text = format!("${} {length}", self.buffered[1]);
+            (self.buffered.len() >= 4 + length).then(|| self.buffered.drain(..4 + length))?;
             return Some(text);
         }
-        let end = self.held.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
-        let text = String::from_utf8(self.held.drain(..end).collect()).unwrap();
+        let end = self.buffered.windows(4).position(|bytes| bytes == b"\r\n\r\n")? + 4;
+        let text = String::from_utf8(self.buffered.drain(..end).collect()).unwrap();
         let length = text.lines().find_map(|line| line.strip_prefix("Content-Length: "));
         let length: usize = length.map_or(0, |length| length.parse().unwrap());
-        self.held.drain(..length.min(self.held.len()));
+        self.buffered.drain(..length.min(self.buffered.len()));
         Some(text)
     }
 
-    /// The next message, media passed over.
-    pub fn hear_message(&mut self) -> String {
+    /// Receives the next message, skipping media.
+    pub fn receive_message(&mut self) -> String {
         loop {
-            let text = self.hear();
+            let text = self.receive();
             if !text.starts_with('$') {
                 return text;
             }
         }
     }
 
+    /// Sends a SETUP, as a viewer.
     pub fn set_up(&mut self, cseq: u32, title: u64, viewer: u64, more: &str) {
-        self.say(&format!(
+        self.send(&format!(
             "SETUP rtsp://h/{title:x}/stream RTSP/1.0\nCSeq: {cseq}\nTransport: RTP/AVP/TCP;interleaved=0-1\n\
              Viewer: {viewer:x}\n{more}\n"
         ));
     }
 
-    /// Answers the request that was heard last, as a streamer.
-    pub fn answer(&mut self, asked: &str, status: &str) {
-        let cseq = header(asked, "CSeq");
-        self.say(&format!("RTSP/1.0 {status}\nCSeq: {cseq}\nSession: 5\n\n"));
+    /// Answers a received request, as a streamer.
+    pub fn answer(&mut self, request: &str, status: &str) {
+        let cseq = header(request, "CSeq");
+        self.send(&format!("RTSP/1.0 {status}\nCSeq: {cseq}\nSession: 5\n\n"));
     }
 
-    pub fn media(&mut self, bytes: &[u8]) {
+    /// Sends a packet of media, as a streamer.
+    pub fn send_media(&mut self, bytes: &[u8]) {
         let length = (bytes.len() as u16).to_be_bytes();
         self.stream.write_all(&[b'$', 0, length[0], length[1]]).unwrap();
         self.stream.write_all(bytes).unwrap();
@@ -365,13 +370,13 @@
     found.unwrap_or_else(|| panic!("no {name} in {message:?}")).to_owned()
 }
 
-/// A streamer that a test scripts: it listens, and the list names it.
-pub struct Scripted {
+/// A scripted streamer: a listener whose joins the test answers.
+pub struct ScriptedStreamer {
     listener: TcpListener,
     pub at: SocketAddrV4,
 }
 
-impl Scripted {
+impl ScriptedStreamer {
     pub fn new() -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         match listener.local_addr().unwrap() {
@@ -380,58 +385,58 @@
         }
     }
 
-    /// The next join, with its SETUP.
-    pub fn join(&self) -> (Talk, String) {
+    /// Waits for the next join, and returns it with its SETUP.
+    pub fn join(&self) -> (RtspPeer, String) {
         first_join(std::slice::from_ref(self)).1
     }
 
-    fn try_join(&self) -> Option<(Talk, String)> {
+    fn try_join(&self) -> Option<(RtspPeer, String)> {
         self.listener.set_nonblocking(true).unwrap();
         let (stream, _) = self.listener.accept().ok()?;
         stream.set_nonblocking(false).unwrap();
-        let mut talk = Talk::new(stream);
-        let asked = talk.hear();
-        Some((talk, asked))
+        let mut peer = RtspPeer::new(stream);
+        let request = peer.receive();
+        Some((peer, request))
     }
 
-    /// Whether no join comes within that time.
-    pub fn is_left_alone(&self, span: Duration) -> bool {
-        std::thread::sleep(span);
+    /// Whether no join arrives within that time.
+    pub fn receives_no_join(&self, duration: Duration) -> bool {
+        std::thread::sleep(duration);
         self.try_join().is_none()
     }
 }
 
-/// The next join at any of these streamers, and at which.
-pub fn first_join(streamers: &[Scripted]) -> (usize, (Talk, String)) {
-    let begun = Instant::now();
+/// Waits for the next join at any of these streamers, and returns the streamer's index with it.
+pub fn first_join(streamers: &[ScriptedStreamer]) -> (usize, (RtspPeer, String)) {
+    let started = Instant::now();
     loop {
-        for (n, streamer) in streamers.iter().enumerate() {
+        for (index, streamer) in streamers.iter().enumerate() {
             if let Some(join) = streamer.try_join() {
-                return (n, join);
+                return (index, join);
             }
         }
-        assert!(begun.elapsed() < PATIENCE, "no join came");
+        assert!(started.elapsed() < TIMEOUT, "no join arrived");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A controller with scripted streamers on the first cells.
-pub fn with_streamers(count: usize, more: &str) -> (Backdrop, Controller, Vec<Scripted>) {
-    let backdrop = Backdrop::new(false);
-    let streamers: Vec<Scripted> = (0..count).map(|_| Scripted::new()).collect();
+/// Starts a controller with scripted streamers on the first cells.
+pub fn with_streamers(count: usize, more: &str) -> (Environment, Controller, Vec<ScriptedStreamer>) {
+    let environment = Environment::new(false);
+    let streamers: Vec<ScriptedStreamer> = (0..count).map(|_| ScriptedStreamer::new()).collect();
     for (cell, streamer) in streamers.iter().enumerate() {
-        backdrop.learn(cell as u32, streamer.at, Health::Ready);
+        environment.publish(cell as u32, streamer.at, Health::Ready);
     }
-    let controller = Controller::start(backdrop.list, more);
+    let controller = Controller::start(environment.list, more);
     controller.wait_listed(count);
-    (backdrop, controller, streamers)
+    (environment, controller, streamers)
 }
 
-/// Plays a join out to where media flows.
-pub fn flow(join: &mut Talk, asked: &str) {
-    join.answer(asked, "200 OK");
-    let play = join.hear();
+/// Completes a join as its streamer, up to the first packet of media.
+pub fn complete_join(join: &mut RtspPeer, request: &str) {
+    join.answer(request, "200 OK");
+    let play = join.receive();
     assert!(play.starts_with("PLAY"), "{play}");
     join.answer(&play, "200 OK");
-    join.media(b"first packet");
+    join.send_media(b"first packet");
 }
--- a/crates/controller/tests/it/main.rs
+++ b/crates/controller/tests/it/main.rs
@@ -1,17 +1,18 @@
-//! The controller as a process on loopback: hard cases, bad input, bounds, and a client library of others.
+//! Runs the controller as a process on loopback: life cycles of subscriptions, invalid input, limits, and a
+//! client library of another project.
 
 mod bad_input;
 mod changes;
-mod crossings;
 mod gossip;
 mod hard_cases;
+mod harness;
 mod other_client;
 mod platform;
-mod platform_rig;
+mod platform_harness;
+mod races;
 mod revisions;
-mod rig;
 
-/// The program that is tested.
+/// The program under test.
 fn controller_program() -> std::process::Command {
     std::process::Command::new(env!("CARGO_BIN_EXE_badgerledge-controller"))
 }
