--- a/crates/controller/tests/it/platform_rig.rs
+++ b/crates/controller/tests/it/platform_harness.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins of viewers, streamers and the name service, and the platform's way in as a process between them.
+//! Test harness of the controller on the platform: small stand-ins for viewers, streamers and the name
+//! service, and the process between them.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream, UdpSocket};
@@ -15,24 +16,27 @@
 use simple_dns::{Name, Packet, ResourceRecord, CLASS};
 use tempfile::TempDir;
 
-use crate::rig::PATIENCE;
+use crate::harness::TIMEOUT;
 
-pub const GOOD: u8 = 0;
-pub const GARBLES: u8 = 1;
+/// The streamer accepts offers.
+pub const ACCEPTING: u8 = 0;
+/// The streamer answers with truncated messages.
+pub const TRUNCATING: u8 = 1;
+/// The streamer does not answer.
 pub const SILENT: u8 = 2;
-/// Its process ends: the next connection is taken and cut, and all later ones are turned down.
-pub const ENDS: u8 = 3;
+/// The streamer's process has ended: the next connection is accepted and dropped, later ones are refused.
+pub const EXITED: u8 = 3;
 
-pub type Lines = Arc<Mutex<Vec<TcpStream>>>;
+pub type Connections = Arc<Mutex<Vec<TcpStream>>>;
 
-/// A streamer: answers as its mode says, and tells all that it heard.
+/// A stand-in streamer: answers as its mode says, and forwards all messages that it receives to the test.
 pub struct Streamer {
     pub id: u32,
     pub at: SocketAddrV4,
     pub mode: Arc<AtomicU8>,
-    heard: Receiver<Value>,
-    pub lines: Lines,
-    /// When each offer came.
+    received: Receiver<Value>,
+    pub connections: Connections,
+    /// When each offer arrived.
     pub offers: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -41,46 +45,47 @@
         Self::at(id, TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap())
     }
 
-    /// One that takes its connections from this listener.
+    /// Starts a streamer on this listener.
     pub fn at(id: u32, listener: TcpListener) -> Self {
         let at = v4(&listener);
-        let (mode, lines) = (Arc::new(AtomicU8::new(GOOD)), Lines::default());
-        let (tell, heard) = channel();
+        let (mode, connections) = (Arc::new(AtomicU8::new(ACCEPTING)), Connections::default());
+        let (forward, received) = channel();
         let offers = Arc::new(Mutex::new(Vec::new()));
-        let (its_mode, its_lines, its_offers) = (mode.clone(), lines.clone(), offers.clone());
+        let (shared_mode, shared_connections, shared_offers) =
+            (mode.clone(), connections.clone(), offers.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if its_mode.load(Ordering::SeqCst) == ENDS {
+                if shared_mode.load(Ordering::SeqCst) == EXITED {
                     break;
                 }
-                its_lines.lock().unwrap().push(stream.try_clone().unwrap());
-                let (mode, tell, offers) = (its_mode.clone(), tell.clone(), its_offers.clone());
-                std::thread::spawn(move || serve(stream, &mode, &tell, &offers));
+                shared_connections.lock().unwrap().push(stream.try_clone().unwrap());
+                let (mode, forward, offers) = (shared_mode.clone(), forward.clone(), shared_offers.clone());
+                std::thread::spawn(move || serve(stream, &mode, &forward, &offers));
             }
         });
-        Self { id, at, mode, heard, lines, offers }
+        Self { id, at, mode, received, connections, offers }
     }
 
-    /// Says something on its newest connection.
-    pub fn say(&self, message: &Value) {
-        let mut lines = self.lines.lock().unwrap();
-        lines.last_mut().unwrap().write_all(format!("{message}\n").as_bytes()).unwrap();
+    /// Sends a message on its newest connection.
+    pub fn send(&self, message: &Value) {
+        let mut connections = self.connections.lock().unwrap();
+        connections.last_mut().unwrap().write_all(format!("{message}\n").as_bytes()).unwrap();
     }
 
-    /// The same on one of its connections, in the order in which they came.
-    pub fn say_on(&self, line: usize, message: &Value) {
-        self.lines.lock().unwrap()[line].write_all(format!("{message}\n").as_bytes()).unwrap();
+    /// Sends a message on one of its connections, by the order in which they arrived.
+    pub fn send_on(&self, connection: usize, message: &Value) {
+        self.connections.lock().unwrap()[connection].write_all(format!("{message}\n").as_bytes()).unwrap();
     }
 
-    /// All that it has heard and nobody asked for yet, once nothing came for that long.
-    pub fn rest(&self, quiet: Duration) -> Vec<Value> {
-        std::iter::from_fn(|| self.heard.recv_timeout(quiet).ok()).collect()
+    /// All messages received and not taken yet, once nothing has arrived for that long.
+    pub fn take_received(&self, quiet: Duration) -> Vec<Value> {
+        std::iter::from_fn(|| self.received.recv_timeout(quiet).ok()).collect()
     }
 
     /// Waits for a message of that kind on that subscription.
-    pub fn hears(&self, op: &str, wire_id: u64) -> Value {
+    pub fn wait_for(&self, op: &str, wire_id: u64) -> Value {
         loop {
-            let message = self.heard.recv_timeout(PATIENCE).expect("it is told in time");
+            let message = self.received.recv_timeout(TIMEOUT).expect("a message in time");
             if message["op"] == op && message["call"] == format!("{wire_id:016x}") {
                 return message;
             }
@@ -92,7 +97,7 @@
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap().port())
 }
 
-fn serve(stream: TcpStream, mode: &AtomicU8, tell: &Sender<Value>, offers: &Mutex<Vec<Instant>>) {
+fn serve(stream: TcpStream, mode: &AtomicU8, forward: &Sender<Value>, offers: &Mutex<Vec<Instant>>) {
     let mut out = stream.try_clone().unwrap();
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let message: Value = serde_json::from_str(&line).expect("a message");
@@ -100,42 +105,45 @@
             offers.lock().unwrap().push(Instant::now());
         }
         let answer = match (mode.load(Ordering::SeqCst), message["op"].as_str()) {
-            (GOOD, Some("offer")) => {
+            (ACCEPTING, Some("offer")) => {
                 let desc = format!("by {}\r\n{}", message["call"], message["desc"]);
                 json!({"op": "accept", "call": message["call"], "with": {}, "desc": desc}).to_string()
             }
-            (GARBLES, Some("offer")) => "{\"op\":\"accept\",\"call\":\"9b1f03aa".to_owned(),
+            (TRUNCATING, Some("offer")) => "{\"op\":\"accept\",\"call\":\"9b1f03aa".to_owned(),
             _ => String::new(),
         };
-        let _ = tell.send(message);
+        let _ = forward.send(message);
         if !answer.is_empty() && out.write_all(format!("{answer}\n").as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// Its serial, and each streamer with the Unix time of its late start in milliseconds.
+/// The list's serial, and for each streamer its id, its address and the Unix time of its last start in
+/// milliseconds.
 pub type List = Arc<Mutex<(u32, Vec<(u32, SocketAddrV4, u64)>)>>;
 
-/// A list of streamers that have been there for long.
+/// A list of streamers that started long ago.
 pub fn list(serial: u32, streamers: &[&Streamer]) -> List {
     let members = streamers.iter().map(|streamer| (streamer.id, streamer.at, 0));
     Arc::new(Mutex::new((serial, members.collect())))
 }
 
-/// A name service that answers from this list.
+/// Starts a name service that answers from this list.
 pub fn name_service(list: List) -> SocketAddrV4 {
     counted_name_service(list, Arc::default(), Arc::default())
 }
 
-/// One that counts what it was asked, and says nothing while it is silent.
-pub fn counted_name_service(list: List, asked: Arc<AtomicUsize>, silent: Arc<AtomicBool>) -> SocketAddrV4 {
+/// Starts a name service that counts the queries, and does not answer while `silent` is set.
+pub fn counted_name_service(
+    list: List, query_count: Arc<AtomicUsize>, silent: Arc<AtomicBool>,
+) -> SocketAddrV4 {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let at = SocketAddrV4::new(Ipv4Addr::LOCALHOST, socket.local_addr().unwrap().port());
     std::thread::spawn(move || {
         let mut bytes = [0; 512];
         while let Ok((count, from)) = socket.recv_from(&mut bytes) {
-            asked.fetch_add(1, Ordering::SeqCst);
+            query_count.fetch_add(1, Ordering::SeqCst);
             if !silent.load(Ordering::SeqCst) {
                 let answer = answer(&bytes[..count], &list.lock().unwrap());
                 let _ = socket.send_to(&answer, from);
@@ -159,7 +167,8 @@
         answer.additional_records.push(record(RData::A(A { address: u32::from(*at.ip()) })));
         let started = format!("started={started}");
         let text = ["kind=std", "cell=0", &started];
-        let text = text.iter().fold(TXT::new(), |t, s| t.with_string(s).unwrap().into_owned());
+        let text =
+            text.iter().fold(TXT::new(), |record, value| record.with_string(value).unwrap().into_owned());
         answer.additional_records.push(record(RData::TXT(text)));
     }
     let name = Name::new_unchecked("fleet.local");
@@ -169,7 +178,7 @@
     answer.build_bytes_vec_compressed().unwrap()
 }
 
-/// The controller's process between them, killed when dropped.
+/// The controller process under test, killed when dropped.
 pub struct Controller {
     pub child: Child,
     pub at: SocketAddrV4,
@@ -177,66 +186,66 @@
 }
 
 impl Controller {
-    /// Starts one, and waits until it passes a test.
+    /// Starts a controller, and waits until it passes a test.
     pub fn start(names: SocketAddrV4, known: &[&Streamer]) -> Self {
         Self::start_with(names, known, |_| {})
     }
 
-    /// The same with a changed configuration.
+    /// Starts a controller with a changed configuration.
     pub fn start_with(names: SocketAddrV4, known: &[&Streamer], change: impl FnOnce(&mut Value)) -> Self {
-        let controller = Self::begin(names, known, change);
-        controller.ready_within(PATIENCE);
+        let controller = Self::spawn(names, known, change);
+        controller.wait_ready(TIMEOUT);
         controller
     }
 
-    /// Begins one, which may not be ready yet.
-    pub fn begin(names: SocketAddrV4, known: &[&Streamer], change: impl FnOnce(&mut Value)) -> Self {
+    /// Starts a controller without waiting until it is ready.
+    pub fn spawn(names: SocketAddrV4, known: &[&Streamer], change: impl FnOnce(&mut Value)) -> Self {
         let folder = TempDir::new().unwrap();
         let at = SocketAddrV4::new(Ipv4Addr::LOCALHOST, free_port().unwrap().port());
         let config = folder.path().join("config.json");
-        let mut told = told(at, names, known);
-        change(&mut told);
-        std::fs::write(&config, told.to_string()).unwrap();
+        let mut configuration = configuration(at, names, known);
+        change(&mut configuration);
+        std::fs::write(&config, configuration.to_string()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_badgerledge-controller"));
         let log = std::fs::File::create(folder.path().join("log")).unwrap();
         command.arg("platform").env("GW_CONFIG", config).stderr(log);
         Self { child: command.spawn().unwrap(), at, folder }
     }
 
-    /// Tests it until it passes, and tells how long that took.
-    pub fn ready_within(&self, patience: Duration) -> Duration {
-        let begun = Instant::now();
+    /// Tests the controller until it passes, and returns how long that took.
+    pub fn wait_ready(&self, timeout: Duration) -> Duration {
+        let started = Instant::now();
         while !self.passes_a_test() {
-            assert!(begun.elapsed() < patience, "it is ready within {patience:?}");
+            assert!(started.elapsed() < timeout, "not ready within {timeout:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
     pub fn passes_a_test(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.at) else { return false };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let mut tester = Viewer(stream);
-        tester.send(52, 1, &[(75, "\0")]);
-        tester.hears() == (53, 1, vec![1])
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        let mut test_connection = Viewer(stream);
+        test_connection.send(52, 1, &[(75, "\0")]);
+        test_connection.receive() == (53, 1, vec![1])
     }
 
-    /// Waits for its end, which must be a good one.
-    pub fn ends_within(&mut self, patience: Duration) {
-        let begun = Instant::now();
+    /// Waits for the process to exit successfully.
+    pub fn exits_within(&mut self, timeout: Duration) {
+        let started = Instant::now();
         while self.child.try_wait().unwrap().is_none() {
-            assert!(begun.elapsed() < patience, "it ends within {patience:?}");
+            assert!(started.elapsed() < timeout, "not ended within {timeout:?}");
             std::thread::sleep(Duration::from_millis(20));
         }
         assert!(self.child.wait().unwrap().success());
     }
 
-    /// How many descriptors it holds.
+    /// The number of its open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Writes its configuration anew.
+    /// Replaces its configuration file.
     pub fn write_config(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).unwrap();
     }
@@ -245,22 +254,22 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits for a line of the log that holds all of these words.
-    pub fn logs(&self, words: &[&str]) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for a line of the log that contains all of these texts.
+    pub fn wait_log(&self, texts: &[&str]) {
+        let end = Instant::now() + TIMEOUT;
         loop {
             let log = std::fs::read_to_string(self.folder.path().join("log")).unwrap();
-            if log.lines().any(|line| words.iter().all(|word| line.contains(word))) {
+            if log.lines().any(|line| texts.iter().all(|text| line.contains(text))) {
                 return;
             }
-            assert!(Instant::now() < end, "{words:?} in the log:\n{log}");
+            assert!(Instant::now() < end, "no line with {texts:?} in the log:\n{log}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     pub fn viewer(&self) -> Viewer {
         let stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Viewer(stream)
     }
 }
@@ -272,7 +281,8 @@
     }
 }
 
-pub fn told(at: SocketAddrV4, names: SocketAddrV4, known: &[&Streamer]) -> Value {
+/// The configuration of a controller.
+pub fn configuration(at: SocketAddrV4, names: SocketAddrV4, known: &[&Streamer]) -> Value {
     let members = known.iter().map(|streamer| {
         json!({"id": format!("s-{:08x}", streamer.id), "host_port": streamer.at, "locality": "a", "flavor": "std",
             "cell": 0, "phase": "active", "size": 4, "up_since_ms": 0})
@@ -313,7 +323,7 @@
     frame(1, wire_id, &[(33, "tour"), (36, waits_ms), (45, title), (48, figures), (78, description)])
 }
 
-/// A connection of viewers.
+/// A connection of a front that carries viewers.
 pub struct Viewer(pub TcpStream);
 
 impl Viewer {
@@ -329,18 +339,18 @@
         self.0.write_all(&set_up(wire_id, waits_ms, description)).unwrap();
     }
 
-    /// Gives a set-up up, or ends its subscription.
-    pub fn ends(&mut self, wire_id: u64) {
+    /// Cancels a set-up, or ends its subscription.
+    pub fn cancel(&mut self, wire_id: u64) {
         self.send(12, wire_id, &[(75, "\x10")]);
     }
 
-    /// Has its connection reset when it is dropped.
-    pub fn resets(&self) {
+    /// Has the connection reset when it is dropped.
+    pub fn reset_on_drop(&self) {
         socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// The next frame: its kind, its subscription, and its first parameter's value.
-    pub fn hears(&mut self) -> (u8, u64, Vec<u8>) {
+    /// Receives the next frame: its kind, its subscription, and its first parameter's value.
+    pub fn receive(&mut self) -> (u8, u64, Vec<u8>) {
         let mut length = [0; 2];
         self.0.read_exact(&mut length).expect("a frame in time");
         let mut frame = vec![0; usize::from(u16::from_be_bytes(length))];
@@ -350,17 +360,17 @@
         (frame[0], wire_id, value)
     }
 
-    /// Sets a subscription up, and tells whether it came to stand before its connection was closed.
-    pub fn tries(&mut self, wire_id: u64) -> bool {
+    /// Sets a subscription up, and returns whether it was accepted before its connection was closed.
+    pub fn try_establish(&mut self, wire_id: u64) -> bool {
         let mut kind = [0; 3];
         let sent = self.0.write_all(&set_up(wire_id, "2000", "v=0"));
         sent.and_then(|()| self.0.read_exact(&mut kind)).is_ok() && kind[2] == 9
     }
 
-    /// Sets a subscription up, which must come to stand.
-    pub fn plays(&mut self, wire_id: u64) {
+    /// Sets a subscription up, which must be accepted.
+    pub fn establish(&mut self, wire_id: u64) {
         self.set_up(wire_id);
         let by = format!("by \"{wire_id:016x}\"\r\n\"v=0\"").into_bytes();
-        assert_eq!(self.hears(), (9, wire_id, by), "the streamer's description, unchanged");
+        assert_eq!(self.receive(), (9, wire_id, by), "the streamer's description, unchanged");
     }
 }
--- a/crates/controller/tests/it/revisions.rs
+++ b/crates/controller/tests/it/revisions.rs
@@ -1,5 +1,5 @@
-//! Orders of revisions at a controller that is a fleet of its own: what is not in order is refused with its reason, and
-//! what was acted on is found again.
+//! Requests about revisions at a controller that is the only one of its fleet: invalid ones are refused with
+//! a reason, and the active revision is found again after a restart.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,11 +11,11 @@
 use badgerledge_settings::Sheet;
 use badgerledge_standins::free_port;
 
-use crate::rig::{Backdrop, Controller, PATIENCE, SHARED};
+use crate::harness::{Controller, Environment, SHARED, TIMEOUT};
 
-fn asks(at: SocketAddr, bytes: &[u8]) -> Answer {
+fn request(at: SocketAddr, bytes: &[u8]) -> Answer {
     let mut stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut line = Vec::new();
     BufReader::new(&stream).read_until(b'\n', &mut line).unwrap();
@@ -23,30 +23,30 @@
 }
 
 pub fn report(at: SocketAddr) -> Report {
-    match asks(at, &order::write(&Order::Status)) {
+    match request(at, &order::write(&Order::Status)) {
         Answer::Status(report) => *report,
         other => panic!("{other:?}"),
     }
 }
 
-pub fn pushes(at: SocketAddr, author: &PrivateKey, number: u32, text: &str) -> Answer {
+pub fn push(at: SocketAddr, author: &PrivateKey, number: u32, text: &str) -> Answer {
     let before = hex::decode(report(at).digest).unwrap().try_into().unwrap();
     let head = Head::new(number, before, 0, text.as_bytes());
     let signed = Signed { head, signature: author.sign(&head.signed_bytes()) };
     let order = Order::Push { head: order::to_hex(&signed), bytes: text.len() };
-    asks(at, &[order::write(&order), text.as_bytes().to_vec()].concat())
+    request(at, &[order::write(&order), text.as_bytes().to_vec()].concat())
 }
 
-/// The keys of a fleet of one controller that is its own keeper, and what its settings say of it.
-pub struct Alone {
+/// The keys of a fleet of one controller that is its own acceptor, and its settings.
+pub struct SingleControllerFleet {
     pub author: PrivateKey,
-    /// Where it takes orders.
+    /// The address for requests about revisions.
     pub at: SocketAddr,
     pub settings: String,
     _folder: tempfile::TempDir,
 }
 
-impl Alone {
+impl SingleControllerFleet {
     pub fn new(revisions: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let key = |role: Role, name: &str| {
@@ -55,8 +55,10 @@
             key
         };
         let (member, author) = (key(Role::Member(0), "key-0"), key(Role::Author(0), "author"));
-        let (own, signs) = (member.public(), author.public());
-        let ring = format!("[member 0]\nkeys = {own}\n[author 0]\nkeys = {signs}\n[keepers]\nmembers = 0\n");
+        let (member_key, author_key) = (member.public(), author.public());
+        let ring = format!(
+            "[member 0]\nkeys = {member_key}\n[author 0]\nkeys = {author_key}\n[keepers]\nmembers = 0\n"
+        );
         std::fs::write(folder.path().join("ring.ini"), ring).unwrap();
         let (at, path) = (free_port().unwrap(), folder.path().display());
         let settings = format!(
@@ -67,38 +69,38 @@
 }
 
 #[test]
-fn orders_are_refused_with_reasons_and_a_revision_outlives_a_kill() {
-    let backdrop = Backdrop::new(true);
-    let alone = Alone::new("");
-    let (author, at) = (&alone.author, alone.at);
-    let thief = PrivateKey::make(Role::Author(0)).unwrap();
-    let mut controller = Controller::start(backdrop.list, &alone.settings);
+fn invalid_requests_are_refused_with_reasons_and_a_revision_survives_a_kill() {
+    let environment = Environment::new(true);
+    let fleet = SingleControllerFleet::new("");
+    let (author, at) = (&fleet.author, fleet.at);
+    let impostor = PrivateKey::make(Role::Author(0)).unwrap();
+    let mut controller = Controller::start(environment.list, &fleet.settings);
     controller.wait_metric("badgerledge_revision_active", |active| active == 0.0);
 
     let shared = canonical(&Sheet::parse("shared", SHARED).unwrap());
-    let longer = shared.replace("client_timeout_ms = 2000", "client_timeout_ms = 2500");
-    assert_ne!(longer, shared);
-    let refused = |answer: Answer, why: &str| match answer {
-        Answer::Refused(said) => assert!(said.contains(why), "{said}"),
-        other => panic!("{why}: {other:?}"),
+    let with_longer_timeout = shared.replace("client_timeout_ms = 2000", "client_timeout_ms = 2500");
+    assert_ne!(with_longer_timeout, shared);
+    let refused = |answer: Answer, reason: &str| match answer {
+        Answer::Refused(message) => assert!(message.contains(reason), "{message}"),
+        other => panic!("{reason}: {other:?}"),
     };
-    refused(asks(at, b"what is this\n"), "expected value");
-    refused(asks(at, &[b'x'; 70_000]), "a line of over");
-    let headless = Order::Push { head: "00".to_owned(), bytes: 4 };
-    refused(asks(at, &order::write(&headless)), "a head that can't be read");
-    refused(pushes(at, &thief, 1, &longer), "not that of author 0");
-    refused(pushes(at, author, 3, &longer), "number 3");
-    refused(pushes(at, author, 1, &longer.replace("2500", "900")), "client_timeout_ms");
-    refused(pushes(at, author, 1, &longer.replace("clip", "film")), "no room type clip");
-    refused(pushes(at, author, 1, &longer.replace(" = ", "=")), "not in the one form");
-    refused(asks(at, &order::write(&Order::Text { text: "ab".repeat(32), from: 0 })), "no such text");
+    refused(request(at, b"what is this\n"), "expected value");
+    refused(request(at, &[b'x'; 70_000]), "a line of over");
+    let invalid_head = Order::Push { head: "00".to_owned(), bytes: 4 };
+    refused(request(at, &order::write(&invalid_head)), "a head that can't be read");
+    refused(push(at, &impostor, 1, &with_longer_timeout), "not that of author 0");
+    refused(push(at, author, 3, &with_longer_timeout), "number 3");
+    refused(push(at, author, 1, &with_longer_timeout.replace("2500", "900")), "client_timeout_ms");
+    refused(push(at, author, 1, &with_longer_timeout.replace("clip", "film")), "no room type clip");
+    refused(push(at, author, 1, &with_longer_timeout.replace(" = ", "=")), "not in the one form");
+    refused(request(at, &order::write(&Order::Text { text: "ab".repeat(32), from: 0 })), "no such text");
     assert_eq!((report(at).active, report(at).held), (0, None));
 
-    assert_eq!(pushes(at, author, 1, &longer), Answer::Taken);
+    assert_eq!(push(at, author, 1, &with_longer_timeout), Answer::Taken);
     controller.wait_metric("badgerledge_revision_active", |active| active == 1.0);
     controller.kill_and_restart();
     controller.wait_metric("badgerledge_revision_active", |active| active == 1.0);
     let found = report(at);
     assert_eq!((found.active, found.source.as_str(), found.held), (1, "store", None));
-    assert_eq!(asks(at, &order::write(&Order::Active)), Answer::Bytes(longer.len()));
+    assert_eq!(request(at, &order::write(&Order::Active)), Answer::Bytes(with_longer_timeout.len()));
 }
