--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -96,6 +96,7 @@
         }
     }
 
+    /// Stores the counts; all windows only when the window changes or the process stops.
     fn try_store(&mut self, is_last: bool) -> std::io::Result<()> {
         let latest = self.accounts.write_last(LATEST_WINDOWS);
         let current_window = wall().as_secs() / WINDOW.as_secs();
@@ -123,7 +124,13 @@
     let bytes = std::fs::read(path).ok()?;
     let text = open(&bytes).map_err(|error| error.to_string());
     let accounts = text.and_then(|text| Accounts::read(text).map_err(|error| error.to_string()));
-    accounts.map_err(|error| tracing::warn!(path = %path.display(), "a file of stored accounts is invalid and skipped: {error}")).ok()
+    accounts
+        .map_err(|error| {
+            tracing::warn!(
+        path = %path.display(),
+        "a file of stored accounts is invalid and skipped: {error}")
+        })
+        .ok()
 }
 
 /// Reads all accounts that a controller stored in a folder. Torn files are skipped, as a restarted controller
--- a/crates/controller/src/connections/joins.rs
+++ b/crates/controller/src/connections/joins.rs
@@ -30,7 +30,11 @@
                 self.join_ids.insert(connection, (job, number));
             }
             Err(error) => {
-                tracing::warn!(target: "badgerledge_controller::ends::joins", %streamer, "join failed: no connection to the streamer could be begun: {error}");
+                tracing::warn!(
+                    target: "badgerledge_controller::ends::joins",
+                    %streamer,
+                    "join failed: no connection to the streamer could be begun: {error}"
+                );
                 self.queue_join_event(move |steps| steps.join_ends(job, number, Ending::ConnectFailed, &[]));
             }
         }
@@ -125,7 +129,11 @@
                 Ok(Some((_, used))) => used,
                 Ok(None) => break,
                 Err(error) => {
-                    tracing::warn!(target: "badgerledge_controller::ends::joins", streamer = %join.streamer, "invalid input from a streamer, whose join ends: {error}");
+                    tracing::warn!(
+                        target: "badgerledge_controller::ends::joins",
+                        streamer = %join.streamer,
+                        "invalid input from a streamer, whose join ends: {error}"
+                    );
                     counter!(telemetry::INPUT_FAULTS).increment(1);
                     self.queue_join_event(move |steps| steps.join_ends(id.0, id.1, Ending::Error, &[]));
                     let length = input.len();
--- a/crates/controller/src/connections/requests.rs
+++ b/crates/controller/src/connections/requests.rs
@@ -33,7 +33,11 @@
         if !viewer.pending_setups.is_empty() && !is_further_setup {
             let is_excess = *request.method() == Method::Setup || !viewer.defer(request);
             if is_excess {
-                tracing::info!(target: "badgerledge_controller::ends::requests", line = connection, "viewer connection closed: too many requests behind a pending SETUP");
+                tracing::info!(
+                    target: "badgerledge_controller::ends::requests",
+                    line = connection,
+                    "viewer connection closed: too many requests behind a pending SETUP"
+                );
                 counter!(telemetry::INPUT_FAULTS).increment(1);
                 self.reactor.close(connection);
                 self.drop_viewer(connection);
@@ -117,20 +121,20 @@
             return self.answer(connection, &answer);
         };
         let defaults = (entry.first_cell, entry.copies, entry.room_type.as_str());
-        let subscription = match viewer::subscription_request(
-            request,
-            connection,
-            defaults,
-            &self.deployment.shared,
-        ) {
-            Ok(subscription) => subscription,
-            Err(reason) => {
-                tracing::info!(target: "badgerledge_controller::ends::requests", line = connection, "invalid SETUP of a viewer: {reason}");
-                counter!(telemetry::INPUT_FAULTS).increment(1);
-                let answer = viewer.server.answer(request, StatusCode::BadRequest);
-                return self.answer(connection, &answer);
-            }
-        };
+        let subscription =
+            match viewer::subscription_request(request, connection, defaults, &self.deployment.shared) {
+                Ok(subscription) => subscription,
+                Err(reason) => {
+                    tracing::info!(
+                        target: "badgerledge_controller::ends::requests",
+                        line = connection,
+                        "invalid SETUP of a viewer: {reason}"
+                    );
+                    counter!(telemetry::INPUT_FAULTS).increment(1);
+                    let answer = viewer.server.answer(request, StatusCode::BadRequest);
+                    return self.answer(connection, &answer);
+                }
+            };
         if !viewer.pending_setups.is_empty() && viewer.title != subscription.title {
             let answer = viewer.server.answer(request, StatusCode::AggregateOperationNotAllowed);
             return self.answer(connection, &answer);
--- a/crates/controller/src/connections/viewers.rs
+++ b/crates/controller/src/connections/viewers.rs
@@ -58,7 +58,12 @@
                     break;
                 }
                 Err(error) => {
-                    tracing::info!(target: "badgerledge_controller::ends::viewers", line = connection, status = u16::from(error.status), "input of a viewer: {error}");
+                    tracing::info!(
+                        target: "badgerledge_controller::ends::viewers",
+                        line = connection,
+                        status = u16::from(error.status),
+                        "input of a viewer: {error}"
+                    );
                     counter!(telemetry::INPUT_FAULTS).increment(1);
                     let answer = viewer.server.answer_to(None, error.status);
                     self.answer(connection, &answer);
@@ -71,6 +76,7 @@
         self.reactor.lay_back(connection, input);
     }
 
+    /// Handles a complete message or frame of a viewer.
     fn handle_viewer_input(&mut self, connection: Line, unit: Unit<'_>) {
         match unit {
             Unit::Request(request) => self.handle_request(connection, request),
@@ -88,7 +94,12 @@
         }
         viewer.stray_frames += 1;
         if viewer.stray_frames > MAX_STRAY_FRAMES {
-            tracing::info!(target: "badgerledge_controller::ends::viewers", line = connection, channel, "viewer connection closed: frames on channels that it did not set up");
+            tracing::info!(
+                target: "badgerledge_controller::ends::viewers",
+                line = connection,
+                channel,
+                "viewer connection closed: frames on channels that it did not set up"
+            );
             counter!(telemetry::INPUT_FAULTS).increment(1);
             self.reactor.close(connection);
             self.drop_viewer(connection);
@@ -98,7 +109,11 @@
     /// Sends an answer to a viewer; if its output is full, the connection is closed.
     pub(super) fn answer(&mut self, connection: Line, answer: &Response) {
         if !send(&mut self.reactor, connection, |bytes| answer.write(bytes).is_ok()) {
-            tracing::info!(target: "badgerledge_controller::ends::viewers", line = connection, "viewer connection closed: its output is full, so an answer could not be sent");
+            tracing::info!(
+                target: "badgerledge_controller::ends::viewers",
+                line = connection,
+                "viewer connection closed: its output is full, so an answer could not be sent"
+            );
             self.reactor.close(connection);
             self.drop_viewer(connection);
         }
@@ -150,7 +165,11 @@
             expired.push((*connection, reason));
         }
         for (connection, reason) in expired {
-            tracing::info!(target: "badgerledge_controller::ends::viewers", line = connection, "viewer connection closed: {reason}");
+            tracing::info!(
+                target: "badgerledge_controller::ends::viewers",
+                line = connection,
+                "viewer connection closed: {reason}"
+            );
             if let Some(viewer) =
                 self.viewers.get(&connection).filter(|viewer| viewer.partial_input_since.is_some())
             {
--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -51,6 +51,7 @@
 }
 
 impl Checks {
+    /// Checks whether a state can be applied.
     fn check(&mut self, state: &State) -> Result<(), String> {
         let text = self.reader.read(state)?;
         self.configuration_check.check(&text)
@@ -277,7 +278,7 @@
                 WatcherOutput::Store(request) => {
                     if let Err(error) = self.store.execute(&request) {
                         tracing::error!(
-                            "a revision could not be stored, and no message that depends on it is sent: {error}"
+                            "a revision could not be stored; no message that depends on it is sent: {error}"
                         );
                         all_stored = false;
                     }
--- a/crates/controller/src/distributing/relay_connections.rs
+++ b/crates/controller/src/distributing/relay_connections.rs
@@ -15,6 +15,7 @@
 
 /// Bytes of a frame beside its body, rounded up: its length and mark are shorter.
 const FRAME_OVERHEAD_BYTES: usize = 64;
+/// Buffers of a connection: one frame of the greatest length each way.
 const BUFFERS: Bounds = Bounds {
     input: LONGEST_FROM_RELAY + FRAME_OVERHEAD_BYTES,
     output: LONGEST_FROM_WATCHER + FRAME_OVERHEAD_BYTES,
@@ -61,7 +62,12 @@
                 true
             }
             Err(fault) => {
-                tracing::debug!(target: "badgerledge_controller::distributing::relay_lines", machine = relay.machine, at = %relay.at, "no connection to a relay could be begun: {fault}");
+                tracing::debug!(
+                    target: "badgerledge_controller::distributing::relay_lines",
+                    machine = relay.machine,
+                    at = %relay.at,
+                    "no connection to a relay could be begun: {fault}"
+                );
                 false
             }
         }
--- a/crates/controller/src/distributing/ring_file.rs
+++ b/crates/controller/src/distributing/ring_file.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// When a file was last modified; `None` if it cannot be read.
 fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
--- a/crates/controller/src/distributing/store.rs
+++ b/crates/controller/src/distributing/store.rs
@@ -55,6 +55,7 @@
     }
 }
 
+/// Appends to a file; the bytes are on the disk when this returns.
 fn append_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = File::options().append(true).open(path)?;
     file.write_all(bytes)?;
--- a/crates/controller/src/distributing/store_tests.rs
+++ b/crates/controller/src/distributing/store_tests.rs
@@ -4,6 +4,7 @@
 
 use super::store::WatcherStore;
 
+/// A request to replace the file by a confirmed state without any revision.
 fn replace_request() -> StoreRequest {
     StoreRequest::Replace(Stored { sure: true, ..Stored::default() }.write())
 }
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -102,7 +102,12 @@
             Gossip::new(place.number as Member, keys, incarnation, advertised, seeds.collect(), now, seed);
         let stored = place.state.as_deref().map(stored_records).unwrap_or_default();
         gossip.restore_records(now, stored, &mut Vec::new());
-        tracing::info!(life = incarnation, at = %advertised, known = gossip.view().taking_part(), "gossip begins");
+        tracing::info!(
+            life = incarnation,
+            at = %advertised,
+            known = gossip.view().taking_part(),
+            "gossip begins"
+        );
         Ok(Self {
             gossip,
             failure_reports: FailureReports::default(),
@@ -235,7 +240,9 @@
         }
     }
 
-    /// Takes a streamer's progress report on the rate that it delivers, or on its link.
+    /// Takes a streamer's progress report. Kind 1 is the fraction of a stream's rate that is delivered,
+    /// kind 3 the rate that its link is asked for as a multiple of the link's capacity; other kinds are
+    /// ignored.
     pub fn observe_progress_report(&mut self, now: Duration, streamer: StreamerId, kind: u8, value: f64) {
         let strained = match kind {
             1 => value < STRAINED_DELIVERY,
@@ -294,6 +301,7 @@
         }
     }
 
+    /// Sets the gauges and counters of gossip.
     fn export_metrics(&self) {
         let count = |state: MemberState| {
             let all = self.gossip.view().members();
@@ -319,6 +327,7 @@
         }
     }
 
+    /// Stores the records of members.
     fn store(&self) {
         let Some(state) = &self.state else { return };
         let mut bytes = Vec::new();
@@ -351,6 +360,7 @@
     })
 }
 
+/// When a file was last modified; `None` if it cannot be read.
 fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
@@ -361,7 +371,9 @@
     let file = state.map(|state| state.join(INCARNATION_FILE));
     let incarnation = files::next_life(file.as_deref());
     if let Some(Err(error)) = file.map(|file| std::fs::write(file, files::written_life(incarnation))) {
-        tracing::warn!("the incarnation number could not be stored: {error}; the next process derives its own from the clock");
+        tracing::warn!(
+            "the incarnation number could not be stored: {error}; the next one comes from the clock"
+        );
     }
     incarnation
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -86,6 +86,7 @@
     }
 }
 
+/// Runs a subcommand.
 fn execute(what: What) -> Result<()> {
     match what {
         What::Check { settings } => {
@@ -135,6 +136,7 @@
     Ok((deployment, catalogue))
 }
 
+/// Installs the logger, which writes to standard error.
 fn start_log(format: LogForm, level: &str) -> Result<()> {
     let filter = EnvFilter::try_new(level).with_context(|| format!("--log-level {level}"))?;
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -135,6 +135,7 @@
         reactor.consume(connection, end + 1);
     }
 
+    /// Sends a request to the list service, if connected.
     fn send(&self, reactor: &mut Reactor, text: &str) {
         if let Some(connection) = self.connection {
             reactor.send(connection, &[text.as_bytes()]);
@@ -178,7 +179,10 @@
         }
         (self.stored_at, self.is_dirty) = (now, false);
         if let Err(error) = files::replace(path, self.streamer_list.store(now, wall()).as_ref()) {
-            tracing::warn!(path = %path.display(), "the list could not be stored: {error}; continuing without a stored copy");
+            tracing::warn!(
+                path = %path.display(),
+                "the list could not be stored: {error}; continuing without a stored copy"
+            );
         }
     }
 }
@@ -189,14 +193,20 @@
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return None,
         Err(error) => {
-            tracing::warn!(path = %path.display(), "the stored list could not be read: {error}; starting without a list");
+            tracing::warn!(
+                path = %path.display(),
+                "the stored list could not be read: {error}; starting without a list"
+            );
             return None;
         }
     };
     ListBook::restore(&text, now, wall())
-        .map_err(
-            |error| tracing::warn!(path = %path.display(), "the stored list is invalid: {error}; starting without a list"),
-        )
+        .map_err(|error| {
+            tracing::warn!(
+                path = %path.display(),
+                "the stored list is invalid: {error}; starting without a list"
+            )
+        })
         .ok()
 }
 
@@ -257,7 +267,7 @@
                 false
             }
             Err(fault) => {
-                tracing::warn!("invalid line from the list service: {fault}; keeping the previous list and requesting the whole one");
+                tracing::warn!("invalid line from the list service: {fault}; requesting the whole list");
                 true
             }
         }
--- a/crates/controller/src/request_streams.rs
+++ b/crates/controller/src/request_streams.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// The next complete request on a stream. A text is received only behind a head that `accepts_text` accepts:
-    /// whoever can reach the port must not be able to fill this process's memory.
+    /// The next complete request on a stream. A text is received only behind a head that `accepts_text`
+    /// accepts: whoever can reach the port must not be able to fill this process's memory.
     pub fn readable(
         &mut self, reactor: &mut Reactor, connection: Line, now: Duration,
         accepts_text: &dyn Fn(&Signed) -> Result<(), String>,
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -313,22 +313,25 @@
                         let piece = rest[..rest.len().min(order::PIECE)].to_vec();
                         (Answer::Bytes(piece.len()), piece)
                     }
-                    None => {
-                        (Answer::Refused("no such text is held here, or it ends before that offset".to_owned()), Vec::new())
-                    }
+                    None => (
+                        Answer::Refused("no such text here, or it ends before that offset".to_owned()),
+                        Vec::new(),
+                    ),
                 }
             }
             ReceivedRequest::Order(Order::Active) => {
                 let text = self.revisions.active_text().to_vec();
                 (Answer::Bytes(text.len()), text)
             }
-            ReceivedRequest::Order(Order::Latest) => match self.revisions.latest_text().map(|text| text.to_vec()) {
-                Some(text) => (Answer::Bytes(text.len()), text),
-                None => {
-                    let why = "the text of the certified revision is not here yet".to_owned();
-                    (Answer::Refused(why), Vec::new())
+            ReceivedRequest::Order(Order::Latest) => {
+                match self.revisions.latest_text().map(|text| text.to_vec()) {
+                    Some(text) => (Answer::Bytes(text.len()), text),
+                    None => {
+                        let why = "the text of the certified revision is not here yet".to_owned();
+                        (Answer::Refused(why), Vec::new())
+                    }
                 }
-            },
+            }
             ReceivedRequest::Order(Order::Gone { gone }) => match order::gone_of(&gone) {
                 Some(gone) if self.revisions.take_gone(now, gone, out) => {
                     tracing::info!(
@@ -340,7 +343,7 @@
                     (Answer::Taken, Vec::new())
                 }
                 _ => refuse(
-                    "the statement on the member is not signed by an author, or is older than the one that is held"
+                    "the statement on the member is not signed by an author, or is older than the one held"
                         .to_owned(),
                 ),
             },
@@ -475,6 +478,7 @@
         }
     }
 
+    /// Stores a revision text under its digest, unless it is stored already. Returns whether it is stored.
     fn store_text(&self, digest: &Digest, text: &[u8]) -> bool {
         let folder = self.state.join(TEXTS_FOLDER);
         let path = folder.join(hex::encode(digest));
@@ -484,6 +488,7 @@
             )
     }
 
+    /// Sets the gauges of revisions.
     fn export_metrics(&self) {
         let revisions = &self.revisions;
         gauge!(telemetry::REVISION_ACTIVE).set(f64::from(revisions.acting(self.now).active));
@@ -504,6 +509,7 @@
     result.is_ok()
 }
 
+/// Parses a digest from hexadecimal.
 fn parse_digest(text: &str) -> Option<Digest> {
     hex::decode(text).ok()?.try_into().ok()
 }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -325,7 +325,10 @@
                         let is_current =
                             |entry: &Entry| entry.start == off.start && entry.health == Health::Ready;
                         if self.list.streamer_list.entry(&id).is_some_and(is_current) {
-                            tracing::info!(streamer = %id, "peers report that this streamer left their lists");
+                            tracing::info!(
+                                streamer = %id,
+                                "peers report that this streamer left their lists"
+                            );
                             counter!(telemetry::STREAMERS_REPORTED_OFF_LIST).increment(1);
                             self.connections
                                 .round_events
@@ -351,6 +354,7 @@
         self.configuration.as_mut().is_some_and(|source| source.accept(reactor, connection, listener))
     }
 
+    /// Passes an event on a connection of the configuration source to it.
     fn handle_configuration_event(&mut self, connection: Line, event: &Happening) {
         let Some(source) = &mut self.configuration else { return };
         let connections = &mut self.connections;
@@ -457,7 +461,7 @@
     fn reload_catalogue(&mut self) {
         if self.connections.deployment.titles_go_with_configuration() {
             return tracing::warn!(
-                "the titles are part of the revisions, so the catalogue file is not reloaded: push the titles as a revision"
+                "the titles are part of the revisions, so the catalogue file is not reloaded: push a revision"
             );
         }
         let path = &self.connections.deployment.place.catalogue;
--- a/crates/controller/tests/it/changes.rs
+++ b/crates/controller/tests/it/changes.rs
@@ -13,6 +13,7 @@
 };
 use crate::revisions::{push, SingleControllerFleet};
 
+/// Settings in the canonical form in which revisions are pushed.
 fn canonical_text(settings: &str) -> String {
     canonical(&Sheet::parse("text", settings).unwrap())
 }
--- a/crates/controller/tests/it/gossip.rs
+++ b/crates/controller/tests/it/gossip.rs
@@ -24,6 +24,7 @@
     public
 }
 
+/// Replaces the ring in one step.
 fn write_ring(folder: &Path, public: &[String], revoked: &[usize]) {
     let line = |(member, key): (usize, &String)| {
         let revoked = if revoked.contains(&member) { format!("revoked = {key}\n") } else { String::new() };
@@ -34,6 +35,7 @@
     std::fs::rename(folder.join("fresh"), folder.join("ring.ini")).unwrap();
 }
 
+/// Starts a controller that gossips.
 fn start(list: SocketAddr, folder: &Path, member: usize, at: SocketAddr, seed: SocketAddr) -> Controller {
     let folder = folder.display();
     let more = format!(
@@ -87,6 +89,7 @@
     assert!(log.contains("the key of member 1, not of this controller, 0"), "{log}");
 }
 
+/// Settings of a member whose ring and key are in a folder.
 fn gossip_section(folder: &Path, member: usize) -> String {
     let folder = folder.display();
     format!(
--- a/crates/controller/tests/it/harness.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -20,6 +20,7 @@
 /// Time limit of every wait; nothing on loopback takes this long.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
+/// The settings that all controllers of a test share.
 pub const SHARED: &str = "\
 [fleet]
 zones = a
@@ -58,6 +59,7 @@
 }
 
 impl Environment {
+    /// Starts the list service, and four working streamers if wanted.
     pub fn new(with_streamers: bool) -> Self {
         Self::on_cells(if with_streamers { 4 } else { 0 })
     }
@@ -83,6 +85,7 @@
     }
 }
 
+/// Runs the list service and the streamers until the test ends.
 fn serve(cells: u32, updates: &Receiver<Option<StreamerUpdate>>, ready: &Sender<SocketAddr>) {
     let shared = Shared::of(&Sheet::parse("shared.ini", SHARED).unwrap()).unwrap();
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
@@ -158,6 +161,7 @@
         self.wait_metric("badgerledge_streamers_listed", |value| value == count as f64);
     }
 
+    /// Waits until a metric satisfies a condition.
     pub fn wait_metric(&self, name: &str, condition: impl Fn(f64) -> bool) {
         let started = Instant::now();
         while !self.metric(name).is_some_and(&condition) {
@@ -166,11 +170,12 @@
         }
     }
 
+    /// The response of the metrics address to a GET request.
     fn fetch_page(&self, path: &str) -> Option<String> {
-        let mut fetch_page = TcpStream::connect(self.metrics).ok()?;
-        fetch_page.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).ok()?;
+        let mut stream = TcpStream::connect(self.metrics).ok()?;
+        stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).ok()?;
         let mut text = String::new();
-        fetch_page.read_to_string(&mut text).ok()?;
+        stream.read_to_string(&mut text).ok()?;
         Some(text)
     }
 
@@ -178,16 +183,17 @@
     pub fn wait_accounts(&self, condition: impl Fn(&Accounts) -> bool) {
         let started = Instant::now();
         loop {
-            let fetch_page = self.fetch_page("/accounts").unwrap_or_default();
-            let body = fetch_page.split_once("\r\n\r\n").map_or("", |fetch_page| fetch_page.1);
+            let response = self.fetch_page("/accounts").unwrap_or_default();
+            let body = response.split_once("\r\n\r\n").map_or("", |parts| parts.1);
             if Accounts::read(body).is_ok_and(|accounts| condition(&accounts)) {
                 return;
             }
-            assert!(started.elapsed() < TIMEOUT, "{fetch_page}");
+            assert!(started.elapsed() < TIMEOUT, "{response}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
+    /// The value of a metric, by its name and optionally its labels.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let text = self.fetch_page("/metrics")?;
         let line = text
@@ -201,11 +207,13 @@
         self.restart();
     }
 
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
+    /// Starts the process again with its settings and state.
     pub fn restart(&mut self) {
         self.child = spawn(self.folder.path());
         self.wait_ready();
@@ -216,18 +224,22 @@
         rustix::process::kill_process(pid, signal).unwrap();
     }
 
+    /// Waits for the process to exit, and returns whether it succeeded.
     pub fn exits_successfully(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 
+    /// Writes a file in the folder of the settings.
     pub fn write(&self, file: &str, text: &str) {
         std::fs::write(self.folder.path().join(file), text).unwrap();
     }
 
+    /// The log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
+    /// Waits until the log contains a text.
     pub fn wait_log(&self, text: &str) {
         let started = Instant::now();
         while !self.log().contains(text) {
@@ -244,6 +256,7 @@
     }
 }
 
+/// Writes the settings and the catalogue of a controller.
 fn write_settings(folder: &Path, at: SocketAddr, list: SocketAddr, metrics: SocketAddr, more: &str) {
     let count = if more.contains("controllers = ") { "" } else { "controllers = 1\n" };
     let text = format!(
@@ -265,6 +278,7 @@
     std::fs::read_to_string(folder.path().join("log")).unwrap()
 }
 
+/// Starts the program with the settings in a folder.
 fn spawn(folder: &Path) -> Child {
     let log = std::fs::File::options().create(true).append(true).open(folder.join("log")).unwrap();
     crate::controller_program()
@@ -288,10 +302,12 @@
         Self { stream, buffered: Vec::new() }
     }
 
+    /// Connects to an address.
     pub fn to(at: SocketAddr) -> Self {
         Self::new(TcpStream::connect(at).unwrap())
     }
 
+    /// Sends a text with its line ends as CRLF.
     pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.replace('\n', "\r\n").as_bytes()).unwrap();
     }
@@ -361,10 +377,12 @@
     }
 }
 
+/// The status code of a response; 0 if it has none.
 pub fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
+/// The value of a header, which must be present.
 pub fn header(message: &str, name: &str) -> String {
     let found = message.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     found.unwrap_or_else(|| panic!("no {name} in {message:?}")).to_owned()
--- a/crates/controller/tests/it/main.rs
+++ b/crates/controller/tests/it/main.rs
@@ -4,13 +4,13 @@
 mod bad_input;
 mod changes;
 mod gossip;
-mod hard_cases;
 mod harness;
 mod other_client;
 mod platform;
 mod platform_harness;
 mod races;
 mod revisions;
+mod subscriptions;
 
 /// The program under test.
 fn controller_program() -> std::process::Command {
--- a/crates/controller/tests/it/platform_harness.rs
+++ b/crates/controller/tests/it/platform_harness.rs
@@ -27,6 +27,7 @@
 /// The streamer's process has ended: the next connection is accepted and dropped, later ones are refused.
 pub const EXITED: u8 = 3;
 
+/// A streamer's accepted connections, in the order in which they arrived.
 pub type Connections = Arc<Mutex<Vec<TcpStream>>>;
 
 /// A stand-in streamer: answers as its mode says, and forwards all messages that it receives to the test.
@@ -41,6 +42,7 @@
 }
 
 impl Streamer {
+    /// Starts a streamer on a free port.
     pub fn new(id: u32) -> Self {
         Self::at(id, TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap())
     }
@@ -93,10 +95,12 @@
     }
 }
 
+/// The address of a listener on loopback.
 pub fn v4(listener: &TcpListener) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap().port())
 }
 
+/// Serves one connection of a streamer.
 fn serve(stream: TcpStream, mode: &AtomicU8, forward: &Sender<Value>, offers: &Mutex<Vec<Instant>>) {
     let mut out = stream.try_clone().unwrap();
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
@@ -153,6 +157,7 @@
     at
 }
 
+/// The answer of the name service to a query.
 fn answer(query: &[u8], (serial, members): &(u32, Vec<(u32, SocketAddrV4, u64)>)) -> Vec<u8> {
     let query = Packet::parse(query).unwrap();
     let mut answer = Packet::new_reply(query.id());
@@ -222,6 +227,7 @@
         started.elapsed()
     }
 
+    /// Whether the controller answers a test as ready.
     pub fn passes_a_test(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.at) else { return false };
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -267,6 +273,7 @@
         }
     }
 
+    /// Connects as a front that carries viewers.
     pub fn viewer(&self) -> Viewer {
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -306,6 +313,7 @@
             "report": {"fields": ["x0"], "how": "answers"}}})
 }
 
+/// A frame of the viewers' protocol.
 fn frame(kind: u8, wire_id: u64, parameters: &[(u8, &str)]) -> Vec<u8> {
     let mut frame = vec![kind];
     frame.extend(wire_id.to_be_bytes());
@@ -317,6 +325,7 @@
     [&(frame.len() as u16).to_be_bytes()[..], &frame].concat()
 }
 
+/// A set-up frame.
 fn set_up(wire_id: u64, waits_ms: &str, description: &str) -> Vec<u8> {
     let figures = "home:0;copies:1;top:1;viewer:00000000b4d65521";
     let title = "7f3a9c21e0b4d655";
@@ -327,14 +336,17 @@
 pub struct Viewer(pub TcpStream);
 
 impl Viewer {
+    /// Sends a frame.
     pub fn send(&mut self, kind: u8, wire_id: u64, parameters: &[(u8, &str)]) {
         self.0.write_all(&frame(kind, wire_id, parameters)).unwrap();
     }
 
+    /// Sends a set-up.
     pub fn set_up(&mut self, wire_id: u64) {
         self.set_up_with(wire_id, "2000", "v=0");
     }
 
+    /// Sends a set-up with this waiting time and description.
     pub fn set_up_with(&mut self, wire_id: u64, waits_ms: &str, description: &str) {
         self.0.write_all(&set_up(wire_id, waits_ms, description)).unwrap();
     }
--- a/crates/controller/tests/it/races.rs
+++ b/crates/controller/tests/it/races.rs
@@ -23,6 +23,7 @@
     Duration::from_millis(count)
 }
 
+/// The number of offers among these messages.
 fn offers(received: &[Value]) -> usize {
     received.iter().filter(|message| message["op"] == "offer").count()
 }
--- a/crates/controller/tests/it/revisions.rs
+++ b/crates/controller/tests/it/revisions.rs
@@ -13,6 +13,7 @@
 
 use crate::harness::{Controller, Environment, SHARED, TIMEOUT};
 
+/// Sends a request, and returns the answer to it.
 fn request(at: SocketAddr, bytes: &[u8]) -> Answer {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -22,6 +23,7 @@
     order::line(&line).unwrap().expect("an answer").0
 }
 
+/// The status of a controller's revisions.
 pub fn report(at: SocketAddr) -> Report {
     match request(at, &order::write(&Order::Status)) {
         Answer::Status(report) => *report,
@@ -29,6 +31,7 @@
     }
 }
 
+/// Pushes a revision that is signed by this author.
 pub fn push(at: SocketAddr, author: &PrivateKey, number: u32, text: &str) -> Answer {
     let before = hex::decode(report(at).digest).unwrap().try_into().unwrap();
     let head = Head::new(number, before, 0, text.as_bytes());
@@ -47,6 +50,7 @@
 }
 
 impl SingleControllerFleet {
+    /// Makes the keys; `revisions` holds the lines of the `[revisions]` section.
     pub fn new(revisions: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let key = |role: Role, name: &str| {
