--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -275,7 +275,8 @@
         }
         loop {
             let revisions = &self.revisions;
-            let accepts_text = |signed: &Signed| revisions.may_be_next(signed).map_err(|why| why.to_string());
+            let accepts_text =
+                |signed: &Signed| revisions.may_be_next(signed).map_err(|reason| reason.to_string());
             let Some(request) = self.request_streams.readable(reactor, connection, self.now, &accepts_text)
             else {
                 return;
@@ -291,20 +292,20 @@
     /// Answers a request; returns the answer and the bytes that follow it.
     fn answer(&mut self, request: ReceivedRequest, out: &mut Vec<Given>) -> (Answer, Vec<u8>) {
         let now = self.now;
-        let refuse = |why: String| {
+        let refuse = |reason: String| {
             counter!(telemetry::REVISIONS_REFUSED).increment(1);
-            tracing::warn!("a request is refused: {why}");
-            (Answer::Refused(why), Vec::new())
+            tracing::warn!("a request is refused: {reason}");
+            (Answer::Refused(reason), Vec::new())
         };
         match request {
-            ReceivedRequest::Invalid(why) => refuse(why),
+            ReceivedRequest::Invalid(reason) => refuse(reason),
             ReceivedRequest::Push(signed, text) => match self.revisions.push(now, signed, text, out) {
                 Ok(()) => {
                     let (number, author) = (signed.head.number, signed.head.author);
                     tracing::info!(number, author, "a revision was pushed to this controller");
                     (Answer::Taken, Vec::new())
                 }
-                Err(why) => refuse(why.to_string()),
+                Err(reason) => refuse(reason.to_string()),
             },
             ReceivedRequest::Order(Order::Text { text, from }) => {
                 let whole_text = parse_digest(&text).and_then(|digest| self.revisions.text_of(&digest));
@@ -327,8 +328,8 @@
                 match self.revisions.latest_text().map(|text| text.to_vec()) {
                     Some(text) => (Answer::Bytes(text.len()), text),
                     None => {
-                        let why = "the text of the certified revision is not here yet".to_owned();
-                        (Answer::Refused(why), Vec::new())
+                        let reason = "the text of the certified revision is not here yet".to_owned();
+                        (Answer::Refused(reason), Vec::new())
                     }
                 }
             }
--- a/crates/controller/tests/it/bad_input.rs
+++ b/crates/controller/tests/it/bad_input.rs
@@ -145,7 +145,7 @@
 #[test]
 fn viewers_over_the_limits_of_subscriptions_and_connections_are_throttled() {
     let (_list, controller) = with_working_streamers("subscriptions = 4\n");
-    let mut held: Vec<RtspPeer> = (1..=4).map(|viewer| playing(&controller, viewer)).collect();
+    let mut within_limit: Vec<RtspPeer> = (1..=4).map(|viewer| playing(&controller, viewer)).collect();
     let mut over_subscriptions = RtspPeer::to(controller.at);
     over_subscriptions.set_up(1, 7, 50, "");
     let answer = over_subscriptions.receive();
@@ -159,9 +159,9 @@
     let answer = over_limit.receive();
     assert_eq!((status(&answer), header(&answer, "CSeq")), (503, "1".into()));
     assert_eq!(over_limit.receive(), "");
-    held.iter_mut().for_each(assert_media_continues);
+    within_limit.iter_mut().for_each(assert_media_continues);
     // A viewer that leaves makes room for another.
-    held.pop();
+    within_limit.pop();
     controller.wait_metric("badgerledge_subscriptions_held", |held| held == 3.0);
     drop(over_subscriptions);
     std::thread::sleep(Duration::from_millis(50));
--- a/crates/controller/tests/it/platform.rs
+++ b/crates/controller/tests/it/platform.rs
@@ -18,9 +18,10 @@
 
 #[test]
 fn subscriptions_survive_faulty_peers_discovery_changes_and_shutdown() {
-    let (one, two, three) = (Streamer::new(1), Streamer::new(2), Streamer::new(3));
-    let listed = list(1, &[&one, &two]);
-    let mut controller = Controller::start(name_service(listed.clone()), &[&one]);
+    let (first_streamer, second_streamer, third_streamer) =
+        (Streamer::new(1), Streamer::new(2), Streamer::new(3));
+    let listed = list(1, &[&first_streamer, &second_streamer]);
+    let mut controller = Controller::start(name_service(listed.clone()), &[&first_streamer]);
     let mut viewer = controller.viewer();
     viewer.send(52, 1, &[(75, "\0")]);
     assert_eq!(viewer.receive(), (53, 1, vec![1]));
@@ -28,26 +29,26 @@
     // Normal operation: a subscription is accepted; its end is passed on from its streamer, and from a viewer
     // on whatever connection.
     viewer.establish(10);
-    let offer = one.wait_for("offer", 10);
+    let offer = first_streamer.wait_for("offer", 10);
     assert_eq!(
         (&offer["with"]["class"], &offer["with"]["key"]),
         (&json!("tour"), &json!("7f3a9c21e0b4d655"))
     );
-    one.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
+    first_streamer.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
     assert_eq!(viewer.receive(), (12, 10, vec![16]));
     viewer.establish(11);
     controller.viewer().send(12, 11, &[(75, "\x10")]);
-    one.wait_for("end", 11);
+    first_streamer.wait_for("end", 11);
 
     // A streamer is added by DNS. The first one sends truncated answers, then none: all set-ups still reach
     // the second.
     listed.lock().unwrap().0 = 2;
-    one.mode.store(TRUNCATING, Ordering::SeqCst);
+    first_streamer.mode.store(TRUNCATING, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(500));
     (20..24).for_each(|wire_id| viewer.establish(wire_id));
-    one.mode.store(SILENT, Ordering::SeqCst);
+    first_streamer.mode.store(SILENT, Ordering::SeqCst);
     (24..28).for_each(|wire_id| viewer.establish(wire_id));
-    two.wait_for("offer", 27);
+    second_streamer.wait_for("offer", 27);
 
     // Unreadable input and silence are closed within three seconds, and no other connection is affected.
     let started = Instant::now();
@@ -63,18 +64,18 @@
     std::fs::write(&config, "{").unwrap();
     controller.signal(Signal::HUP);
     viewer.establish(30);
-    let moved = name_service(list(3, &[&three]));
+    let moved = name_service(list(3, &[&third_streamer]));
     std::fs::write(&config, configuration(controller.at, moved, &[]).to_string()).unwrap();
     controller.signal(Signal::HUP);
     std::thread::sleep(Duration::from_millis(500));
     viewer.establish(31);
-    three.wait_for("offer", 31);
+    third_streamer.wait_for("offer", 31);
 
     // SIGTERM with a set-up pending: it is answered, tests fail from then on, and the process exits once no
     // subscription is held.
-    three.mode.store(SILENT, Ordering::SeqCst);
+    third_streamer.mode.store(SILENT, Ordering::SeqCst);
     viewer.set_up(40);
-    three.wait_for("offer", 40);
+    third_streamer.wait_for("offer", 40);
     controller.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(100));
     viewer.send(52, 2, &[(75, "\0")]);
@@ -91,20 +92,20 @@
 /// allowed.
 #[test]
 fn a_subscription_outlives_its_connection_but_not_its_streamer() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     let mut viewer = controller.viewer();
     let cut = || {
-        for connection in one.connections.lock().unwrap().drain(..) {
+        for connection in streamer.connections.lock().unwrap().drain(..) {
             connection.shutdown(Shutdown::Both).unwrap();
         }
     };
     (10..13).for_each(|wire_id| viewer.establish(wire_id));
     cut();
     std::thread::sleep(Duration::from_millis(600));
-    one.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 41}));
+    streamer.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 41}));
     assert_eq!(viewer.receive(), (12, 10, vec![41]));
-    one.mode.store(EXITED, Ordering::SeqCst);
+    streamer.mode.store(EXITED, Ordering::SeqCst);
     let started = Instant::now();
     cut();
     assert_eq!([viewer.receive(), viewer.receive()], [(12, 11, vec![41]), (12, 12, vec![41])]);
@@ -116,8 +117,8 @@
 /// viewers' connections exist, or the release waits for one.
 #[test]
 fn a_release_whose_connection_is_closed_goes_to_viewers_and_not_to_testers() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     let (mut viewer, mut other, mut tester) = (controller.viewer(), controller.viewer(), controller.viewer());
     other.establish(11);
     viewer.establish(10);
@@ -125,7 +126,7 @@
     assert_eq!(tester.receive(), (53, 1, vec![1]));
     drop(viewer);
     std::thread::sleep(Duration::from_millis(100));
-    one.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
+    streamer.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
     assert_eq!(other.receive(), (12, 10, vec![16]));
 }
 
@@ -133,12 +134,12 @@
 /// connection, and the step that the set-up was at.
 #[test]
 fn a_set_up_whose_connection_ends_is_logged_with_its_step() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     let mut viewer = controller.viewer();
-    one.mode.store(SILENT, Ordering::SeqCst);
+    streamer.mode.store(SILENT, Ordering::SeqCst);
     viewer.set_up(0x51);
-    one.wait_for("offer", 0x51);
+    streamer.wait_for("offer", 0x51);
     drop(viewer);
     controller.wait_log(&["WARN", "0000000000000051", "by=Viewer", "with a join out"]);
 }
--- a/crates/controller/tests/it/races.rs
+++ b/crates/controller/tests/it/races.rs
@@ -33,10 +33,10 @@
 /// no CPU for a while then began the attempts of all viewers that had left meanwhile.
 #[test]
 fn no_attempt_begins_for_a_viewer_that_closes_behind_an_unread_set_up() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     controller.viewer().establish(9);
-    one.take_received(LEFT_FOR);
+    streamer.take_received(LEFT_FOR);
     let mut viewers: Vec<_> = (0..30).map(|_| controller.viewer()).collect();
     // Waits until all connections are accepted.
     viewers.iter_mut().for_each(|viewer| viewer.send(52, 2, &[(75, "\0")]));
@@ -58,7 +58,7 @@
     }
     std::thread::sleep(LEFT_FOR * 2);
     controller.signal(Signal::CONT);
-    assert_eq!(offers(&one.take_received(millis(500))), 0, "an attempt for a viewer that had left");
+    assert_eq!(offers(&streamer.take_received(millis(500))), 0, "an attempt for a viewer that had left");
     controller.viewer().establish(10);
 }
 
@@ -82,12 +82,12 @@
 fn an_attempt_waiting_for_its_connection_is_cancelled_when_its_viewer_leaves() {
     let (listener, queued) = full_listener();
     let taken = listener.try_clone().unwrap();
-    let mut one = Streamer::new(1);
-    one.at = v4(&listener);
+    let mut streamer = Streamer::new(1);
+    streamer.at = v4(&listener);
     let slow = |configuration: &mut Value| {
         configuration["settings"]["permissions"]["connectTimeoutUs"] = json!(20_000_000)
     };
-    let controller = Controller::start_with(name_service(list(1, &[])), &[&one], slow);
+    let controller = Controller::start_with(name_service(list(1, &[])), &[&streamer], slow);
     let mut viewers: Vec<_> = (0..4).map(|_| controller.viewer()).collect();
     for (viewer, wire_id) in viewers.iter_mut().zip(10..) {
         viewer.set_up_with(wire_id, "8000", "v=0");
@@ -124,46 +124,46 @@
 /// own connection must get a final answer, so that a viewer whose set-up a stranger cancels still gets one.
 #[test]
 fn a_set_up_cancelled_on_another_connection_makes_no_further_attempt() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
-    one.mode.store(SILENT, Ordering::SeqCst);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
+    streamer.mode.store(SILENT, Ordering::SeqCst);
     let mut viewer = controller.viewer();
     viewer.set_up(10);
-    one.wait_for("offer", 10);
+    streamer.wait_for("offer", 10);
     controller.viewer().cancel(10);
     assert_eq!(viewer.receive(), (12, 10, vec![41]));
-    assert_eq!(one.wait_for("end", 10)["why"], 16);
+    assert_eq!(streamer.wait_for("end", 10)["why"], 16);
     // A further attempt would follow after three quarters of a second.
-    assert_eq!(offers(&one.take_received(millis(1500))), 0);
+    assert_eq!(offers(&streamer.take_received(millis(1500))), 0);
 }
 
 /// Guards against a late answer ending the wrong join: an answer that arrived after its join had ended was
 /// matched by its id, and ended the further join to the same streamer that had that id by then.
 #[test]
 fn a_late_answer_does_not_end_a_later_join_to_the_same_streamer() {
-    let one = Streamer::new(1);
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
-    one.mode.store(SILENT, Ordering::SeqCst);
+    let streamer = Streamer::new(1);
+    let controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
+    streamer.mode.store(SILENT, Ordering::SeqCst);
     let mut viewer = controller.viewer();
     viewer.set_up_with(10, "4000", "v=0");
-    one.wait_for("offer", 10);
-    one.wait_for("end", 10);
-    one.wait_for("offer", 10);
+    streamer.wait_for("offer", 10);
+    streamer.wait_for("end", 10);
+    streamer.wait_for("offer", 10);
     let answer = |by| json!({"op": "accept", "call": format!("{:016x}", 10), "with": {}, "desc": by});
-    one.send_on(0, &answer("late"));
+    streamer.send_on(0, &answer("late"));
     std::thread::sleep(millis(100));
-    assert_eq!(one.take_received(millis(200)), Vec::<Value>::new(), "nothing is ended");
-    one.send_on(1, &answer("in time"));
+    assert_eq!(streamer.take_received(millis(200)), Vec::<Value>::new(), "nothing is ended");
+    streamer.send_on(1, &answer("in time"));
     assert_eq!(viewer.receive(), (9, 10, b"in time".to_vec()));
-    assert_eq!(one.take_received(millis(300)), Vec::<Value>::new(), "nothing is ended");
+    assert_eq!(streamer.take_received(millis(300)), Vec::<Value>::new(), "nothing is ended");
 }
 
 /// Guards against a process that exits as soon as it holds no subscription, while answers that a slow viewer
 /// has not read are still unwritten.
 #[test]
 fn a_stopping_process_delivers_its_answers_before_it_exits() {
-    let one = Streamer::new(1);
-    let mut controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let mut controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     let mut slow = controller.viewer();
     // Each answer carries a long description, until the connection takes no answer of a whole batch.
     let long = "v".repeat(12_000);
@@ -172,7 +172,7 @@
         assert!(request_count < 2000, "the viewer's connection is full at some time");
         (request_count..request_count + 40).for_each(|wire_id| slow.set_up_with(wire_id, "8000", &long));
         request_count += 40;
-        let batch = one.take_received(millis(300));
+        let batch = streamer.take_received(millis(300));
         ended = batch.iter().filter(|message| message["op"] == "end").count();
         received.extend(batch);
     }
@@ -202,9 +202,9 @@
 /// successfully.
 #[test]
 fn a_process_stopped_before_its_first_list_still_answers() {
-    let one = Streamer::new(1);
+    let streamer = Streamer::new(1);
     let silent = Arc::new(AtomicBool::new(true));
-    let names = counted_name_service(list(2, &[&one]), Arc::default(), silent.clone());
+    let names = counted_name_service(list(2, &[&streamer]), Arc::default(), silent.clone());
     let mut controller = Controller::spawn(names, &[], |configuration| {
         configuration["known"] = json!({"pos": 0, "entries": []})
     });
@@ -227,14 +227,14 @@
 /// Guards against a process that exits while a release still waits for a connection of viewers.
 #[test]
 fn a_stopping_process_keeps_a_release_until_its_viewers_connect() {
-    let one = Streamer::new(1);
-    let mut controller = Controller::start(name_service(list(1, &[])), &[&one]);
+    let streamer = Streamer::new(1);
+    let mut controller = Controller::start(name_service(list(1, &[])), &[&streamer]);
     let mut viewer = controller.viewer();
     viewer.establish(10);
     drop(viewer);
     std::thread::sleep(millis(100));
     controller.signal(Signal::TERM);
-    one.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
+    streamer.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
     // Neither a second SIGTERM nor a reload of the configuration changes this.
     std::thread::sleep(millis(1000));
     controller.signal(Signal::TERM);
@@ -255,24 +255,24 @@
 #[test]
 fn idle_clients_at_the_descriptor_limit_do_not_block_others_while_discovery_is_down() {
     const SOCKETS: usize = 64;
-    let (one, two) = (Streamer::new(1), Streamer::new(2));
+    let (first_streamer, second_streamer) = (Streamer::new(1), Streamer::new(2));
     let (query_count, silent) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
     silent.store(true, Ordering::SeqCst);
-    let names = counted_name_service(list(2, &[&two]), query_count.clone(), silent.clone());
+    let names = counted_name_service(list(2, &[&second_streamer]), query_count.clone(), silent.clone());
     let few = |configuration: &mut Value| configuration["limits"]["sockets"] = json!(SOCKETS);
     for start in 0..2 {
-        let controller = Controller::start_with(names, &[&one], few);
+        let controller = Controller::start_with(names, &[&first_streamer], few);
         let stop = Arc::new(AtomicBool::new(false));
         // Crowds of clients connect at once, keep their connections, and reconnect as they are closed.
         let crowds: Vec<_> = (0..4)
             .map(|_| {
                 let (at, stop) = (controller.at, stop.clone());
                 std::thread::spawn(move || {
-                    let mut held = Vec::new();
+                    let mut connections = Vec::new();
                     while !stop.load(Ordering::SeqCst) {
-                        held.extend(TcpStream::connect_timeout(&at.into(), millis(100)).ok());
-                        if held.len() > 200 {
-                            held.drain(..100);
+                        connections.extend(TcpStream::connect_timeout(&at.into(), millis(100)).ok());
+                        if connections.len() > 200 {
+                            connections.drain(..100);
                         }
                     }
                 })
@@ -294,13 +294,13 @@
         std::thread::sleep(millis(1000));
         assert!(query_count.load(Ordering::SeqCst) > queries_before + 3, "the name service is still asked");
         // A new configuration is read nevertheless, and the list comes from the name service that it names.
-        let moved = name_service(list(3, &[&two]));
+        let moved = name_service(list(3, &[&second_streamer]));
         let mut config = configuration(controller.at, moved, &[]);
         few(&mut config);
         controller.write_config(&config.to_string());
         controller.signal(Signal::HUP);
         let until = Instant::now() + TIMEOUT;
-        while two.offers.lock().unwrap().len() <= start as usize {
+        while second_streamer.offers.lock().unwrap().len() <= start as usize {
             let mut viewer = Viewer(TcpStream::connect(controller.at).unwrap());
             viewer.0.set_read_timeout(Some(millis(3000))).unwrap();
             viewer.try_establish(1000 * start + 500);
@@ -318,10 +318,10 @@
 fn a_crowd_of_connections_does_not_lose_the_end_of_a_playing_subscription() {
     const SOCKETS: usize = 64;
     const CROWD: u64 = 200;
-    let one = Streamer::new(1);
+    let streamer = Streamer::new(1);
     let few = |configuration: &mut Value| configuration["limits"]["sockets"] = json!(SOCKETS);
     for refused in [true, false] {
-        let controller = Controller::start_with(name_service(list(1, &[])), &[&one], few);
+        let controller = Controller::start_with(name_service(list(1, &[])), &[&streamer], few);
         let mut viewer = controller.viewer();
         viewer.establish(10);
         // Waits for the crowd's answers, so that all are accepted; of those that send nothing many may wait
@@ -337,7 +337,7 @@
             })
             .collect();
         std::thread::sleep(millis(300));
-        one.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
+        streamer.send(&json!({"op": "end", "call": format!("{:016x}", 10), "with": {}, "why": 16}));
         assert_eq!(viewer.receive(), (12, 10, vec![16]), "refused: {refused}");
     }
 }
@@ -346,18 +346,18 @@
 /// them at once and with a configuration that holds no list.
 #[test]
 fn restarted_processes_are_ready_within_ten_seconds_while_discovery_is_down_or_slow() {
-    let one = Streamer::new(1);
+    let streamer = Streamer::new(1);
     let (query_count, silent) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
     silent.store(true, Ordering::SeqCst);
-    let names = counted_name_service(list(2, &[&one]), query_count, silent.clone());
+    let names = counted_name_service(list(2, &[&streamer]), query_count, silent.clone());
     let without_list = |configuration: &mut Value| configuration["known"] = json!({"pos": 0, "entries": []});
     let with_invalid_list = |configuration: &mut Value| {
         configuration["known"]["entries"][0]["hosts"]["members"][0]["phase"] = json!("odd")
     };
     let started = Instant::now();
-    let mut processes: Vec<_> = (0..20).map(|_| Controller::spawn(names, &[&one], |_| {})).collect();
-    processes.push(Controller::spawn(names, &[&one], without_list));
-    processes.push(Controller::spawn(names, &[&one], with_invalid_list));
+    let mut processes: Vec<_> = (0..20).map(|_| Controller::spawn(names, &[&streamer], |_| {})).collect();
+    processes.push(Controller::spawn(names, &[&streamer], without_list));
+    processes.push(Controller::spawn(names, &[&streamer], with_invalid_list));
     let last = processes.iter().map(|controller| controller.wait_ready(TIMEOUT)).max();
     assert!(started.elapsed() < TIMEOUT, "the last one took {last:?}");
     // A process without a list refuses viewers with a retry delay; with the list it serves.
@@ -374,21 +374,21 @@
 /// discovery kept its old address.
 #[test]
 fn a_configuration_half_written_at_sighup_is_read_once_it_is_complete() {
-    let (one, two) = (Streamer::new(1), Streamer::new(2));
-    let controller = Controller::start(name_service(list(1, &[])), &[&one]);
-    let moved = name_service(list(3, &[&two]));
+    let (first_streamer, second_streamer) = (Streamer::new(1), Streamer::new(2));
+    let controller = Controller::start(name_service(list(1, &[])), &[&first_streamer]);
+    let moved = name_service(list(3, &[&second_streamer]));
     let whole = configuration(controller.at, moved, &[]).to_string();
     controller.write_config(&whole[..whole.len() / 2]);
     controller.signal(Signal::HUP);
     controller.wait_log(&["WARN", "config.json"]);
     let mut viewer = controller.viewer();
     viewer.establish(10);
-    one.wait_for("offer", 10);
+    first_streamer.wait_for("offer", 10);
     controller.write_config(&whole);
     controller.wait_log(&["read anew"]);
     std::thread::sleep(millis(500));
     viewer.establish(11);
-    two.wait_for("offer", 11);
+    second_streamer.wait_for("offer", 11);
 }
 
 /// The warm-up budget of a cold streamer is shared by all processes. Each of 24 has more requests than it may
@@ -411,8 +411,8 @@
     const WARM_UP: Duration = Duration::from_secs(6);
     const WINDOW: Duration = Duration::from_secs(1);
     const PLACES: f64 = 30.0;
-    let one = Streamer::new(1);
-    let listed = list(1, &[&one]);
+    let streamer = Streamer::new(1);
+    let listed = list(1, &[&streamer]);
     let names = name_service(listed.clone());
     let change = |number: u64| {
         move |settings: &mut Value| {
@@ -425,11 +425,11 @@
         }
     };
     let mut started = Instant::now();
-    let start = |number| Controller::spawn(names, &[&one], change(number));
+    let start = |number| Controller::spawn(names, &[&streamer], change(number));
     let report_start = || {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - started.elapsed();
         let mut listed = listed.lock().unwrap();
-        *listed = (listed.0 + 1, vec![(1, one.at, unix.as_millis() as u64)]);
+        *listed = (listed.0 + 1, vec![(1, streamer.at, unix.as_millis() as u64)]);
     };
     let processes: Vec<_> = (0..process_count).map(start).collect();
     if report_delay.is_zero() {
@@ -438,7 +438,7 @@
         }
         started = Instant::now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-        *listed.lock().unwrap() = (2, vec![(1, one.at, unix.as_millis() as u64)]);
+        *listed.lock().unwrap() = (2, vec![(1, streamer.at, unix.as_millis() as u64)]);
         std::thread::sleep(millis(600));
     } else {
         let until = started + report_delay;
@@ -471,7 +471,7 @@
         }
     });
     let arrivals: Vec<_> =
-        one.offers.lock().unwrap().iter().filter(|at| **at < warm_up_end).copied().collect();
+        streamer.offers.lock().unwrap().iter().filter(|at| **at < warm_up_end).copied().collect();
     assert!(arrivals.len() >= 8, "only {} joins in a warm-up", arrivals.len());
     for last in &arrivals {
         let joins_in_window =
@@ -485,5 +485,5 @@
             *last - started
         );
     }
-    assert_eq!(one.mode.load(Ordering::SeqCst), ACCEPTING);
+    assert_eq!(streamer.mode.load(Ordering::SeqCst), ACCEPTING);
 }
