--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -141,7 +141,7 @@
             checks.configuration_check.set_current(deployment.shared.clone());
         }
         let machines: Vec<_> = relays.iter().map(|relay| relay.machine).collect();
-        tracing::info!(active, ?bound, machines = ?machines, "distribution begins");
+        tracing::info!(active, ?bound, ?machines, "distribution begins");
         Ok(Some(Self {
             watcher,
             relay_connections: RelayConnections::new(relays, settings.from),
