--- a/crates/controller/src/changing.rs
+++ b/crates/controller/src/changing.rs
@@ -5,8 +5,8 @@
 
 use badgerledge_catalogue::Catalogue;
 use badgerledge_changes::{outcome, Action, Configuration, MoveSchedule, Outcome, Stage, Subscription};
-use badgerledge_core::chance::Chance;
 use badgerledge_core::interface::{JobId, StreamerId};
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::Shared;
 use badgerledge_exchange::book::{Book, Held};
 use badgerledge_exchange::Floor;
@@ -40,13 +40,13 @@
     pending: bool,
     moves: MoveSchedule,
     move_within: Duration,
-    rng: Chance,
+    rng: Rng,
 }
 
 impl ConfigurationChanges {
     /// `move_within` is the time over which moves are spread.
     pub fn new(move_within: Duration, seed: u64) -> Self {
-        Self { pending: false, moves: MoveSchedule::default(), move_within, rng: Chance(seed) }
+        Self { pending: false, moves: MoveSchedule::default(), move_within, rng: Rng(seed) }
     }
 
     /// Records that the connections use a new configuration, which the next round reports to the module.
@@ -85,7 +85,7 @@
         }
         // In random order, or the oldest subscriptions would always be the first to move.
         for last in (1..to_move.len()).rev() {
-            to_move.swap(last, (self.rng.share() * (last + 1) as f64) as usize);
+            to_move.swap(last, (self.rng.unit_interval() * (last + 1) as f64) as usize);
         }
         self.moves.spread(connections.now, self.move_within, &to_move);
         let count = |action: Action| outcomes.iter().filter(|(_, outcome)| outcome.action == action).count();
--- a/crates/controller/src/connections/carrier.rs
+++ b/crates/controller/src/connections/carrier.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, JobId, StreamerId};
+use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
 use badgerledge_exchange::Carrier;
 use badgerledge_reactor::Line;
 
@@ -26,7 +26,7 @@
         self.connect_join(job, number, streamer);
     }
 
-    fn set_up(&mut self, job: JobId, number: u16, request: &Asked, rung: Option<u8>) {
+    fn set_up(&mut self, job: JobId, number: u16, request: &SubscriptionRequest, rung: Option<u8>) {
         self.request_set_up(job, number, request, rung);
     }
 
--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -128,7 +128,7 @@
         let config = WatcherConfig {
             controller: place.number,
             relays: relays.len(),
-            late: Duration::from_millis(2 * place.tick_ms),
+            activation_delay: Duration::from_millis(2 * place.tick_ms),
             regional: settings.apart,
             check: check_function(checks.clone()),
             nonce: nonces::from_system(randomness_failed.clone()),
@@ -166,7 +166,7 @@
     /// When [`Self::poll`] has work to do next.
     pub fn next_due(&self) -> Duration {
         if self.failed_relays.is_empty() && self.relays_with_input.is_empty() {
-            self.watcher.next_due().min(self.check_at)
+            self.watcher.next_poll_at().min(self.check_at)
         } else {
             self.now
         }
@@ -182,7 +182,7 @@
         self.now = now;
         let mut out = Vec::new();
         for relay_index in std::mem::take(&mut self.failed_relays) {
-            self.watcher.closed(now, relay_index, &mut out);
+            self.watcher.on_closed(now, relay_index, &mut out);
         }
         self.execute(reactor, out);
         for relay_index in std::mem::take(&mut self.relays_with_input) {
@@ -190,12 +190,15 @@
         }
         if now >= self.check_at {
             self.check_at = now + CHECK_INTERVAL;
-            self.ring.reload_if_changed().into_iter().for_each(|verifier| self.watcher.take_hand(verifier));
+            self.ring
+                .reload_if_changed()
+                .into_iter()
+                .for_each(|verifier| self.watcher.replace_signer(verifier));
             self.export_metrics();
         }
-        if now >= self.watcher.next_due() {
+        if now >= self.watcher.next_poll_at() {
             let mut out = Vec::new();
-            self.watcher.tend(now, &mut out);
+            self.watcher.poll(now, &mut out);
             self.execute(reactor, out);
         }
     }
@@ -209,7 +212,7 @@
     pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
         let Some(relay_index) = self.relay_connections.index_of(connection) else { return };
         let mut out = Vec::new();
-        self.watcher.opened(self.now, relay_index, &mut out);
+        self.watcher.on_connected(self.now, relay_index, &mut out);
         self.execute(reactor, out);
     }
 
@@ -221,7 +224,7 @@
         // Unless handling one of these messages closed the connection.
         if let Some(relay_index) = self.relay_connections.remove_closed(connection) {
             let mut out = Vec::new();
-            self.watcher.closed(self.now, relay_index, &mut out);
+            self.watcher.on_closed(self.now, relay_index, &mut out);
             self.execute(reactor, out);
         }
     }
@@ -238,13 +241,13 @@
         for _ in 0..MAX_MESSAGES_AT_ONCE {
             let mut out = Vec::new();
             match self.relay_connections.next_message(reactor, relay_index) {
-                Ok(Some(message)) => self.watcher.heard(self.now, relay_index, message, &mut out),
+                Ok(Some(message)) => self.watcher.on_message(self.now, relay_index, message, &mut out),
                 Ok(None) => return,
                 Err(error) => {
                     let machine = self.relay_connections.relay(relay_index).map(|relay| relay.machine);
                     tracing::warn!(machine, "the connection to a relay is closed: {error}");
                     self.relay_connections.close(reactor, relay_index);
-                    self.watcher.closed(self.now, relay_index, &mut out);
+                    self.watcher.on_closed(self.now, relay_index, &mut out);
                 }
             }
             self.execute(reactor, out);
@@ -300,7 +303,7 @@
         if self.apply_failed {
             return Some(HoldCause::NotCarriedOut);
         }
-        self.watcher.acting(now).held.map(HoldCause::Watcher)
+        self.watcher.acting(now).hold_reason.map(HoldCause::Watcher)
     }
 
     /// Whether new joins are held back at this time, and if so the retry delay for viewers.
--- a/crates/controller/src/distributing/relay_connections.rs
+++ b/crates/controller/src/distributing/relay_connections.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_deployment::RelayPlace;
 use badgerledge_distribution::message::{
-    decode, encode, FrameFault, ToRelay, ToWatcher, LONGEST_FROM_RELAY, LONGEST_FROM_WATCHER,
+    decode, encode, FrameFault, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
 use badgerledge_reactor::{Bounds, Line, Reactor};
 use metrics::counter;
@@ -17,8 +17,8 @@
 const FRAME_OVERHEAD_BYTES: usize = 64;
 /// Buffers of a connection: one frame of the greatest length each way.
 const BUFFERS: Bounds = Bounds {
-    input: LONGEST_FROM_RELAY + FRAME_OVERHEAD_BYTES,
-    output: LONGEST_FROM_WATCHER + FRAME_OVERHEAD_BYTES,
+    input: MAX_RELAY_BODY_BYTES + FRAME_OVERHEAD_BYTES,
+    output: MAX_WATCHER_BODY_BYTES + FRAME_OVERHEAD_BYTES,
 };
 /// A relay in another region answers within some tenths of a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -102,7 +102,7 @@
     /// If the input is not a frame of the protocol.
     pub fn next_message(&self, reactor: &mut Reactor, index: usize) -> Result<Option<ToWatcher>, FrameFault> {
         let Some(connection) = self.connection(index) else { return Ok(None) };
-        let Some((message, frame_length)) = decode(reactor.input(connection), LONGEST_FROM_RELAY)? else {
+        let Some((message, frame_length)) = decode(reactor.input(connection), MAX_RELAY_BODY_BYTES)? else {
             return Ok(None);
         };
         reactor.consume(connection, frame_length);
--- a/crates/controller/src/distributing/ring_file.rs
+++ b/crates/controller/src/distributing/ring_file.rs
@@ -22,7 +22,7 @@
         // The time is read first: a change during the read is then noticed by the next check.
         let modified_at = modified_at(path);
         let ring = Ring::read(path)?;
-        let acceptors = ring.keepers().len();
+        let acceptors = ring.acceptors().len();
         Ok((Self { path: path.to_owned(), modified_at, acceptors }, Verifier::new(ring)))
     }
 
--- a/crates/controller/src/distributing/store_tests.rs
+++ b/crates/controller/src/distributing/store_tests.rs
@@ -6,7 +6,7 @@
 
 /// A request to replace the file by a confirmed state without any revision.
 fn replace_request() -> StoreRequest {
-    StoreRequest::Replace(Stored { sure: true, ..Stored::default() }.write())
+    StoreRequest::Replace(Stored { confirmed: true, ..Stored::default() }.write())
 }
 
 #[test]
@@ -15,7 +15,7 @@
     let mut store = WatcherStore::new(folder.path());
     assert_eq!(store.read(), None);
     store.execute(&replace_request()).unwrap();
-    assert_eq!(store.read(), Some(Stored { sure: true, ..Stored::default() }));
+    assert_eq!(store.read(), Some(Stored { confirmed: true, ..Stored::default() }));
     std::fs::write(folder.path().join("distribution-state"), b"bdw1 torn").unwrap();
     assert_eq!(store.read(), None);
 }
--- a/crates/controller/src/fetching.rs
+++ b/crates/controller/src/fetching.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_revisions::order::{self, Answer, Order, LONGEST_LINE, PIECE};
+use badgerledge_revisions::requests::{self, Request, Response, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::{Digest, Signed};
 
 /// Buffers of the stream: a piece with its answer line, and one request.
-const BUFFERS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: LONGEST_LINE };
+const BUFFERS: Bounds = Bounds { input: MAX_CHUNK_BYTES + MAX_LINE_BYTES, output: MAX_LINE_BYTES };
 /// Time limit for connecting to a member.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time limit for a piece; after it another member is asked, and the bytes received so far are kept.
@@ -73,8 +73,8 @@
         let Some(fetch) = &self.current else { return };
         let digest = fetch.signed.head.text;
         let offset = self.partial_texts.get(&digest).map_or(0, Vec::len);
-        let request = Order::Text { text: hex::encode(digest), from: offset };
-        reactor.send(fetch.connection, &[&order::write(&request)]);
+        let request = Request::Text { text: hex::encode(digest), from: offset };
+        reactor.send(fetch.connection, &[&requests::encode_line(&request)]);
     }
 
     /// Ends the fetch whose connection was lost.
@@ -94,13 +94,13 @@
         let fetch = self.current.as_mut()?;
         let (digest, length) = (fetch.signed.head.text, fetch.signed.head.length as usize);
         if fetch.piece_bytes_left == 0 {
-            match order::line::<Answer>(reactor.input(connection)) {
+            match requests::parse_line::<Response>(reactor.input(connection)) {
                 Ok(None) => return None,
-                Ok(Some((Answer::Bytes(count), used))) => {
+                Ok(Some((Response::Bytes(count), used))) => {
                     reactor.consume(connection, used);
                     let received = self.partial_texts.get(&digest).map_or(0, Vec::len);
                     // A member that sends more than the author signed for is faulty.
-                    if count == 0 && length > 0 || count > PIECE || received + count > length {
+                    if count == 0 && length > 0 || count > MAX_CHUNK_BYTES || received + count > length {
                         return self.give_up(reactor);
                     }
                     fetch.piece_bytes_left = count;
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_deployment::{ControllerPlace, GossipPlace};
-use badgerledge_failure_reports::{FailureReports, Kind};
+use badgerledge_failure_reports::{FailureKind, FailureReports};
 use badgerledge_gossip::statement::Statement;
 use badgerledge_gossip::{Event, Gossip, Member, MemberState, Transport, MAX_DATAGRAM_BYTES};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
@@ -105,7 +105,7 @@
         tracing::info!(
             life = incarnation,
             at = %advertised,
-            known = gossip.view().taking_part(),
+            known = gossip.view().active_count(),
             "gossip begins"
         );
         Ok(Self {
@@ -142,7 +142,7 @@
 
     /// This process's incarnation number.
     pub fn incarnation(&self) -> u32 {
-        self.gossip.life()
+        self.gossip.process_incarnation()
     }
 
     /// The address that a member announces.
@@ -263,8 +263,8 @@
     }
 
     /// Whether failure reports of a kind are used here.
-    fn uses_kind(&self, kind: Kind) -> bool {
-        kind == Kind::Lost || self.settings.strain
+    fn uses_kind(&self, kind: FailureKind) -> bool {
+        kind == FailureKind::Lost || self.settings.strain
     }
 
     /// Publishes this controller's failure reports, at once when they include a streamer that was not among
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_core::interface::{Health, Listing, Start, StreamerId};
 use badgerledge_deployment::ControllerPlace;
-use badgerledge_discovery::{Backoff, ListBook, Sink, LONGEST_LINE};
+use badgerledge_discovery::{Backoff, Sink, StreamerList, MAX_LINE_BYTES};
 use badgerledge_exchange::{Carrier, Floor};
 use badgerledge_reactor::{Line, Reactor};
 
@@ -30,7 +30,7 @@
     is_open: bool,
     retry_at: Option<Duration>,
     backoff: Backoff,
-    pub streamer_list: ListBook,
+    pub streamer_list: StreamerList,
     /// Whether changes are subscribed to on every connection, without a request of the module.
     subscribes_automatically: bool,
     /// What the module requested while there was no connection: whether to be sent changes, and whether to be
@@ -90,7 +90,7 @@
             return;
         }
         let Some(address) = self.address else { return };
-        let bounds = badgerledge_reactor::Bounds { input: LONGEST_LINE, output: 4096 };
+        let bounds = badgerledge_reactor::Bounds { input: MAX_LINE_BYTES, output: 4096 };
         match reactor.connect(address, CONNECT_TIMEOUT, bounds) {
             Ok(connection) => self.connection = Some(connection),
             Err(_) => self.retry_at = Some(now + self.backoff.wait()),
@@ -102,10 +102,10 @@
         self.is_open = true;
         let (observe, whole) = std::mem::take(&mut self.pending_requests);
         if self.subscribes_automatically || observe == Some(true) {
-            self.send(reactor, &self.streamer_list.ask_changes(true, self.controller));
+            self.send(reactor, &self.streamer_list.changes_request(true, self.controller));
         }
         if whole {
-            self.send(reactor, &ListBook::ask_whole(self.controller));
+            self.send(reactor, &StreamerList::full_list_request(self.controller));
         }
     }
 
@@ -123,8 +123,8 @@
         let Some(connection) = self.connection else { return };
         let input = reactor.input(connection);
         let Some(end) = input.iter().rposition(|byte| *byte == b'\n') else {
-            if input.len() >= LONGEST_LINE {
-                tracing::warn!(most = LONGEST_LINE, "a line of the list service is too long; reconnecting");
+            if input.len() >= MAX_LINE_BYTES {
+                tracing::warn!(most = MAX_LINE_BYTES, "a line of the list service is too long; reconnecting");
                 reactor.close(connection);
                 self.closed(now);
             }
@@ -155,7 +155,7 @@
     /// Requests to be sent changes or not, at once or on the next connection.
     fn request_changes(&mut self, reactor: &mut Reactor, want: bool) {
         if self.is_open {
-            self.send(reactor, &self.streamer_list.ask_changes(want, self.controller));
+            self.send(reactor, &self.streamer_list.changes_request(want, self.controller));
         } else {
             self.pending_requests.0 = Some(want);
         }
@@ -164,7 +164,7 @@
     /// Requests the whole list, at once or on the next connection.
     fn request_whole_list(&mut self, reactor: &mut Reactor) {
         if self.is_open {
-            self.send(reactor, &ListBook::ask_whole(self.controller));
+            self.send(reactor, &StreamerList::full_list_request(self.controller));
         } else {
             self.pending_requests.1 = true;
         }
@@ -188,7 +188,7 @@
 }
 
 /// The stored list; `None` if there is none that can be used.
-fn read_stored(path: &Path, now: Duration) -> Option<ListBook> {
+fn read_stored(path: &Path, now: Duration) -> Option<StreamerList> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return None,
@@ -200,7 +200,7 @@
             return None;
         }
     };
-    ListBook::restore(&text, now, wall())
+    StreamerList::restore(&text, now, wall())
         .map_err(|error| {
             tracing::warn!(
                 path = %path.display(),
@@ -237,7 +237,7 @@
     /// Streamers that accept joins, with their start times.
     fn ready(&self) -> Vec<(StreamerId, u64)> {
         let ready_entries = self.streamer_list.entries().filter(|(_, entry)| entry.health == Health::Ready);
-        ready_entries.map(|(id, entry)| (id, entry.start)).collect()
+        ready_entries.map(|(id, entry)| (id, entry.start_number)).collect()
     }
 
     /// Records the streamers that were ready before a line and are not any more.
@@ -246,7 +246,7 @@
         let is_removed = |(id, start): &(StreamerId, u64)| {
             self.streamer_list
                 .entry(id)
-                .is_none_or(|entry| entry.health != Health::Ready || entry.start != *start)
+                .is_none_or(|entry| entry.health != Health::Ready || entry.start_number != *start)
         };
         removed_streamers.extend(ready_before.into_iter().filter(is_removed));
     }
@@ -256,9 +256,9 @@
     pub fn handle_line<C: Carrier>(
         &mut self, line: &[u8], now: Duration, floor: &mut Floor<'_, '_, C>,
     ) -> bool {
-        let known = self.streamer_list.known();
+        let known = self.streamer_list.streamers();
         let ready_before = self.removed_streamers.as_ref().map(|_| self.ready());
-        match self.streamer_list.take(line, now, &mut ListSink { floor, known }) {
+        match self.streamer_list.apply(line, now, &mut ListSink { floor, known }) {
             Ok(how) => {
                 self.is_dirty |= how != Listing::Failed;
                 self.record_removed(ready_before.unwrap_or_default());
--- a/crates/controller/src/request_streams.rs
+++ b/crates/controller/src/request_streams.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_revisions::order::{self, Order, LONGEST_LINE, PIECE};
+use badgerledge_revisions::requests::{self, Request, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::Signed;
 
 /// Streams open at a time: operators are few, and a member fetches from one other.
@@ -18,11 +18,12 @@
 /// A stream without a complete request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Buffers of a stream: a piece of a text, or of two, beside a request or answer line.
-const BUFFERS: Bounds = Bounds { input: PIECE + LONGEST_LINE, output: 2 * PIECE + LONGEST_LINE };
+const BUFFERS: Bounds =
+    Bounds { input: MAX_CHUNK_BYTES + MAX_LINE_BYTES, output: 2 * MAX_CHUNK_BYTES + MAX_LINE_BYTES };
 
 /// A complete request from a stream.
 pub enum ReceivedRequest {
-    Order(Order),
+    Request(Request),
     Push(Signed, Arc<[u8]>),
     Invalid(String),
 }
@@ -119,7 +120,7 @@
             }
             return Some(ReceivedRequest::Push(signed, Arc::from(text)));
         }
-        let (order, used) = match order::line(reactor.input(connection)) {
+        let (request, used) = match requests::parse_line(reactor.input(connection)) {
             Ok(found) => found?,
             Err(why) => {
                 // The boundaries of what follows are unknown, so this is the last request answered here.
@@ -129,8 +130,8 @@
         };
         reactor.consume(connection, used);
         stream.last_input_at = now;
-        let Order::Push { head, bytes } = &order else { return Some(ReceivedRequest::Order(order)) };
-        let signed_head = order::head_of(head).filter(|signed| signed.head.length as usize == *bytes);
+        let Request::Push { head, bytes } = &request else { return Some(ReceivedRequest::Request(request)) };
+        let signed_head = requests::decode_head(head).filter(|signed| signed.head.length as usize == *bytes);
         let signed_head = signed_head
             .ok_or_else(|| "a head that can't be read, or one for a text of another length".to_owned());
         let check_capacity = || match pushes < MAX_PUSHES {
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -11,15 +11,18 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_catalogue::Catalogue;
-use badgerledge_core::chance::Chance;
 use badgerledge_core::interface::StreamerId;
+use badgerledge_core::random::Rng;
 use badgerledge_deployment::{ActedOn, Deployment, Text};
 use badgerledge_keys::Keys;
 use badgerledge_reactor::{Line, Reactor};
-use badgerledge_revisions::lists::{ListPosition, Lists, Off};
-use badgerledge_revisions::order::{self, Answer, Order, Report};
-use badgerledge_revisions::word::Word;
-use badgerledge_revisions::{Digest, Given, Hand, Hold, Member, Regime, Revisions, Signed, Stored, Terms};
+use badgerledge_revisions::lists::{ListPosition, ListPositions, RemovedStreamer};
+use badgerledge_revisions::message::Message;
+use badgerledge_revisions::requests::{self, Report, Request, Response};
+use badgerledge_revisions::{
+    ActivationMode, Digest, HoldReason, Member, MemberConfig, MemberOutput, Revisions, Signed, Signer,
+    StoredState,
+};
 use metrics::{counter, gauge};
 
 use crate::changing::Change;
@@ -50,7 +53,7 @@
     fetcher: TextFetcher,
     /// The state folder.
     state: PathBuf,
-    regime: Regime,
+    mode: ActivationMode,
     configuration_check: Arc<Mutex<ConfigurationCheck>>,
     /// The index of this controller's zone.
     zone: usize,
@@ -64,12 +67,12 @@
     /// Where the active configuration came from: `file`, `store` or `peers`.
     source: &'static str,
     /// The hold that was last logged.
-    logged_hold: Option<Hold>,
+    logged_hold: Option<HoldReason>,
     now: Duration,
     /// `None` where list positions are not exchanged.
-    lists: Option<Lists>,
+    lists: Option<ListPositions>,
     send_position_at: Duration,
-    rng: Chance,
+    rng: Rng,
 }
 
 impl RevisionDriver {
@@ -85,7 +88,7 @@
         let (Some(settings), Some(state)) = (&deployment.revisions, &place.state) else { return Ok(None) };
         let listener = RequestStreams::listen(reactor, gossiping.local_address())?;
         let keys = gossiping.keys().clone();
-        if keys.keepers().is_empty() {
+        if keys.acceptors().is_empty() {
             bail!("[revisions]: the ring names no acceptors; set them with `badgerledge-keys keepers`");
         }
         let mut own_text = deployment.shared_text.clone();
@@ -98,7 +101,7 @@
             Some(stored) if stored.active > 0 => "store",
             _ => "file",
         };
-        let regime = if settings.regime == "hold" { Regime::Hold } else { Regime::Wait };
+        let mode = if settings.regime == "hold" { ActivationMode::Hold } else { ActivationMode::Wait };
         let configuration_check = ConfigurationCheck::new(
             deployment,
             (!settings.catalogue).then_some(titles),
@@ -107,19 +110,21 @@
         let zone = configuration_check.zone();
         let configuration_check = Arc::new(Mutex::new(configuration_check));
         let check_handle = configuration_check.clone();
-        let terms = Terms {
-            me: place.number as Member,
-            life: gossiping.incarnation(),
-            regime,
-            late: Duration::from_millis(2 * place.tick_ms),
+        let terms = MemberConfig {
+            local_id: place.number as Member,
+            incarnation: gossiping.incarnation(),
+            mode,
+            activation_delay: Duration::from_millis(2 * place.tick_ms),
             check: Box::new(move |text| check(text, &check_handle)),
         };
         let now = reactor.now();
         let revisions = Revisions::new(keys, terms, Arc::from(own_text.as_bytes()), stored, texts, now, seed);
-        if let (0, Ok(mut configuration_check)) = (revisions.acting(now).active, configuration_check.lock()) {
+        if let (0, Ok(mut configuration_check)) =
+            (revisions.active_revision(now).active, configuration_check.lock())
+        {
             configuration_check.set_current(deployment.shared.clone());
         }
-        let (active, regime_name) = (revisions.acting(now).active, settings.regime.as_str());
+        let (active, regime_name) = (revisions.active_revision(now).active, settings.regime.as_str());
         let bound = revisions.bound();
         tracing::info!(active, source, regime = regime_name, ?bound, "revisions begin");
         Ok(Some(Self {
@@ -127,7 +132,7 @@
             request_streams: RequestStreams::new(listener),
             fetcher: TextFetcher::default(),
             state: state.clone(),
-            regime,
+            mode,
             configuration_check,
             zone,
             catalogue: settings.catalogue,
@@ -136,15 +141,15 @@
             source,
             logged_hold: None,
             now,
-            lists: settings.lists.then(Lists::default),
+            lists: settings.lists.then(ListPositions::default),
             send_position_at: now,
-            rng: Chance(seed.rotate_left(11)),
+            rng: Rng(seed.rotate_left(11)),
         }))
     }
 
     /// When [`Self::poll`] has work to do next.
     pub fn next_due(&self) -> Duration {
-        let query_due = self.lists.as_ref().and_then(Lists::next_due);
+        let query_due = self.lists.as_ref().and_then(ListPositions::next_due);
         let send_due = self.lists.as_ref().map(|_| self.send_position_at);
         let own_due =
             self.revisions.next_due().min(self.request_streams.next_due()).min(self.fetcher.next_due());
@@ -160,7 +165,7 @@
         }
         if now >= self.revisions.next_due() {
             let mut out = Vec::new();
-            self.revisions.tend(now, &mut out);
+            self.revisions.poll(now, &mut out);
             self.execute(reactor, gossiping, out);
             self.export_metrics();
         }
@@ -170,17 +175,17 @@
     /// lists, or `None` if the message belongs to another subsystem.
     pub fn handle_message(
         &mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, from: Member, bytes: &[u8],
-    ) -> Option<Vec<Off>> {
-        if !Word::is_meant(bytes) {
+    ) -> Option<Vec<RemovedStreamer>> {
+        if !Message::is_meant(bytes) {
             return None;
         }
-        match (Word::read(bytes), &mut self.lists) {
-            (Some(Word::List(statement)), Some(lists)) => {
-                return Some(lists.hears(self.now, from, &statement))
+        match (Message::read(bytes), &mut self.lists) {
+            (Some(Message::ListReport(statement)), Some(lists)) => {
+                return Some(lists.receive_report(self.now, from, &statement))
             }
             (Some(message), _) => {
                 let mut out = Vec::new();
-                self.revisions.heard(self.now, from, message, &mut out);
+                self.revisions.receive(self.now, from, message, &mut out);
                 self.execute(reactor, gossiping, out);
             }
             (None, _) => {}
@@ -200,34 +205,35 @@
     ) {
         let Some(lists) = &mut self.lists else { return };
         let position = ListPosition { epoch, revision };
-        if position == lists.tells(self.now).position {
+        if position == lists.own_report(self.now).position {
             return;
         }
-        let removal = |(id, start): (StreamerId, u64)| Off { ip: id.ip().octets(), port: id.port(), start };
-        lists.reached(self.now, position, removed.into_iter().map(removal));
+        let removal =
+            |(id, start): (StreamerId, u64)| RemovedStreamer { ip: id.ip().octets(), port: id.port(), start };
+        lists.update_own_position(self.now, position, removed.into_iter().map(removal));
         self.send_position(reactor, gossiping, MEMBERS_NOTIFIED_AT_ONCE);
     }
 
     /// Whether to query the list service now, since other members' lists are further ahead.
     pub fn should_query_list(&mut self) -> bool {
-        self.lists.as_mut().is_some_and(|lists| lists.asks(self.now))
+        self.lists.as_mut().is_some_and(|lists| lists.take_refresh(self.now))
     }
 
     /// Sends the list position to this many randomly chosen members.
     fn send_position(&mut self, reactor: &Reactor, gossiping: &mut GossipDriver, count: usize) {
         let Some(lists) = &self.lists else { return };
-        let statement = lists.tells(self.now);
+        let statement = lists.own_report(self.now);
         self.send_position_at = self.now
-            + if statement.off.is_empty() { POSITION_INTERVAL } else { POSITION_INTERVAL_WITH_REMOVALS };
-        let message = Word::List(statement).write();
-        let own_member = self.revisions.hand().member();
-        let others: Vec<Member> = Hand::members(self.revisions.hand())
+            + if statement.removed.is_empty() { POSITION_INTERVAL } else { POSITION_INTERVAL_WITH_REMOVALS };
+        let message = Message::ListReport(statement).write();
+        let own_member = self.revisions.signer().member();
+        let others: Vec<Member> = Signer::members(self.revisions.signer())
             .iter()
             .copied()
             .filter(|member| *member != own_member)
             .collect();
         for _ in 0..count {
-            let index = (self.rng.share() * others.len() as f64) as usize;
+            let index = (self.rng.unit_interval() * others.len() as f64) as usize;
             if let Some(member) = others.get(index) {
                 gossiping.send_message(reactor, self.now, u32::from(*member), &message);
             }
@@ -285,17 +291,17 @@
             let (answer, payload) = self.answer(request, &mut out);
             // The answer depends on what is stored.
             self.execute(reactor, gossiping, out);
-            reactor.send(connection, &[&order::write(&answer), &payload]);
+            reactor.send(connection, &[&requests::encode_line(&answer), &payload]);
         }
     }
 
     /// Answers a request; returns the answer and the bytes that follow it.
-    fn answer(&mut self, request: ReceivedRequest, out: &mut Vec<Given>) -> (Answer, Vec<u8>) {
+    fn answer(&mut self, request: ReceivedRequest, out: &mut Vec<MemberOutput>) -> (Response, Vec<u8>) {
         let now = self.now;
         let refuse = |reason: String| {
             counter!(telemetry::REVISIONS_REFUSED).increment(1);
             tracing::warn!("a request is refused: {reason}");
-            (Answer::Refused(reason), Vec::new())
+            (Response::Refused(reason), Vec::new())
         };
         match request {
             ReceivedRequest::Invalid(reason) => refuse(reason),
@@ -303,76 +309,84 @@
                 Ok(()) => {
                     let (number, author) = (signed.head.number, signed.head.author);
                     tracing::info!(number, author, "a revision was pushed to this controller");
-                    (Answer::Taken, Vec::new())
+                    (Response::Taken, Vec::new())
                 }
                 Err(reason) => refuse(reason.to_string()),
             },
-            ReceivedRequest::Order(Order::Text { text, from }) => {
-                let whole_text = parse_digest(&text).and_then(|digest| self.revisions.text_of(&digest));
+            ReceivedRequest::Request(Request::Text { text, from }) => {
+                let whole_text =
+                    parse_digest(&text).and_then(|digest| self.revisions.text_by_digest(&digest));
                 match whole_text.and_then(|text| text.get(from..)) {
                     Some(rest) => {
-                        let piece = rest[..rest.len().min(order::PIECE)].to_vec();
-                        (Answer::Bytes(piece.len()), piece)
+                        let piece = rest[..rest.len().min(requests::MAX_CHUNK_BYTES)].to_vec();
+                        (Response::Bytes(piece.len()), piece)
                     }
                     None => (
-                        Answer::Refused("no such text here, or it ends before that offset".to_owned()),
+                        Response::Refused("no such text here, or it ends before that offset".to_owned()),
                         Vec::new(),
                     ),
                 }
             }
-            ReceivedRequest::Order(Order::Active) => {
+            ReceivedRequest::Request(Request::Active) => {
                 let text = self.revisions.active_text().to_vec();
-                (Answer::Bytes(text.len()), text)
+                (Response::Bytes(text.len()), text)
             }
-            ReceivedRequest::Order(Order::Latest) => {
+            ReceivedRequest::Request(Request::Latest) => {
                 match self.revisions.latest_text().map(|text| text.to_vec()) {
-                    Some(text) => (Answer::Bytes(text.len()), text),
+                    Some(text) => (Response::Bytes(text.len()), text),
                     None => {
                         let reason = "the text of the certified revision is not here yet".to_owned();
-                        (Answer::Refused(reason), Vec::new())
+                        (Response::Refused(reason), Vec::new())
                     }
                 }
             }
-            ReceivedRequest::Order(Order::Gone { gone }) => match order::gone_of(&gone) {
-                Some(gone) if self.revisions.take_gone(now, gone, out) => {
+            ReceivedRequest::Request(Request::Gone { gone }) => match requests::decode_removal(&gone) {
+                Some(gone) if self.revisions.add_removal(now, gone, out) => {
                     tracing::info!(
                         member = gone.member,
-                        gone = gone.gone,
+                        gone = gone.removed,
                         author = gone.author,
                         "an author's statement on a member is accepted"
                     );
-                    (Answer::Taken, Vec::new())
+                    (Response::Taken, Vec::new())
                 }
                 _ => refuse(
                     "the statement on the member is not signed by an author, or is older than the one held"
                         .to_owned(),
                 ),
             },
-            ReceivedRequest::Order(Order::Status) => (Answer::Status(Box::new(self.report())), Vec::new()),
-            ReceivedRequest::Order(Order::Push { .. }) => (Answer::Refused("no text".to_owned()), Vec::new()),
+            ReceivedRequest::Request(Request::Status) => {
+                (Response::Status(Box::new(self.report())), Vec::new())
+            }
+            ReceivedRequest::Request(Request::Push { .. }) => {
+                (Response::Refused("no text".to_owned()), Vec::new())
+            }
         }
     }
 
     /// The status that programs of operators request.
     pub fn report(&self) -> Report {
         let status = self.revisions.status(self.now);
-        let acceptor_status = status.keeper.as_ref().map(|acceptor| match acceptor.kept().barred {
-            _ if acceptor.is_asking() => "asks what it may have signed".to_owned(),
-            barred if barred > status.certified => format!("votes again after {barred}"),
-            _ => "votes".to_owned(),
-        });
+        let acceptor_status =
+            status.acceptor.as_ref().map(|acceptor| match acceptor.state().no_vote_through {
+                _ if acceptor.is_recovering() => "asks what it may have signed".to_owned(),
+                no_vote_through if no_vote_through > status.certified => {
+                    format!("votes again after {no_vote_through}")
+                }
+                _ => "votes".to_owned(),
+            });
         Report {
-            member: self.revisions.hand().member(),
-            regime: if self.regime == Regime::Hold { "hold" } else { "wait" }.to_owned(),
-            active: status.acting.active,
+            member: self.revisions.signer().member(),
+            regime: if self.mode == ActivationMode::Hold { "hold" } else { "wait" }.to_owned(),
+            active: status.active_revision.active,
             certified: status.certified,
             digest: hex::encode(status.digest),
-            prepared: status.acting.prepared,
+            prepared: status.active_revision.prepared,
             held: self.current_hold(self.now).map(|held| format!("{held:?}")),
             source: self.source.to_owned(),
             bound_ms: status.bound.as_millis() as u64,
             waited_for: status.waited_for,
-            gone: status.gone,
+            gone: status.removed,
             keeper: acceptor_status,
             members: status
                 .positions
@@ -383,11 +397,11 @@
     }
 
     /// Why new joins are held back at this time, if they are.
-    fn current_hold(&self, now: Duration) -> Option<Hold> {
+    fn current_hold(&self, now: Duration) -> Option<HoldReason> {
         // Where no exclusive setting changes, a combination of both revisions, taking the stricter value of
         // each setting, is safe beside either.
-        let is_harmless = self.regime == Regime::Wait && !self.exclusive;
-        self.revisions.acting(now).held.filter(|held| *held != Hold::NoLease || !is_harmless)
+        let is_harmless = self.mode == ActivationMode::Wait && !self.exclusive;
+        self.revisions.active_revision(now).held.filter(|held| *held != HoldReason::NoLease || !is_harmless)
     }
 
     /// Whether new joins are held back at this time, and if so the retry delay for viewers.
@@ -424,8 +438,8 @@
         let ActedOn { shared, titles, exclusive } =
             applied.map_err(|why| tracing::error!("an accepted revision can't be applied: {why}")).ok()?;
         self.exclusive = exclusive;
-        let acting = self.revisions.acting(self.now);
-        let (active, prepared) = (acting.active, acting.prepared);
+        let active_revision = self.revisions.active_revision(self.now);
+        let (active, prepared) = (active_revision.active, active_revision.prepared);
         tracing::info!(active, prepared, exclusive, titles = titles.len(), "applies a revision");
         self.export_metrics();
         Some(Change { shared, titles: self.catalogue.then_some(titles) })
@@ -440,38 +454,38 @@
 
     /// Replaces the keys after the ring was reloaded.
     pub fn replace_keys(&mut self, keys: &Keys) {
-        self.revisions.take_hand(keys.clone());
+        self.revisions.replace_signer(keys.clone());
     }
 
     /// Executes outputs of the protocol.
-    fn execute(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, out: Vec<Given>) {
+    fn execute(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, out: Vec<MemberOutput>) {
         // What could not be stored must not be announced: the outputs after it are dropped, as if they were
         // lost in transit.
         let mut all_stored = true;
         for output in out {
             match output {
-                Given::Send(to, message) if all_stored => {
+                MemberOutput::Send(to, message) if all_stored => {
                     gossiping.send_message(reactor, self.now, u32::from(to), &message)
                 }
-                Given::Send(..) => {}
-                Given::Store(bytes) => {
+                MemberOutput::Send(..) => {}
+                MemberOutput::Store(bytes) => {
                     all_stored &= log_store_result(files::replace_durably(&self.state.join(STORED), &bytes))
                 }
-                Given::StoreText(digest, text) => all_stored &= self.store_text(&digest, &text),
-                Given::Fetch(signed, from) => {
+                MemberOutput::StoreText(digest, text) => all_stored &= self.store_text(&digest, &text),
+                MemberOutput::Fetch(signed, from) => {
                     let address = gossiping.address(from);
                     let local_ip = Some(gossiping.local_address().ip()).filter(|ip| !ip.is_unspecified());
                     address
                         .into_iter()
                         .for_each(|address| self.fetcher.start(reactor, signed, address, local_ip, self.now));
                 }
-                Given::Changed => {
-                    if self.revisions.acting(self.now).active > 0 && self.source == "file" {
+                MemberOutput::Changed => {
+                    if self.revisions.active_revision(self.now).active > 0 && self.source == "file" {
                         self.source = "peers";
                     }
                     self.changed = true;
                 }
-                Given::Unfit(number, why) => {
+                MemberOutput::Unusable(number, why) => {
                     tracing::error!(number, "a certified revision can't be applied here: {why}");
                     counter!(telemetry::REVISIONS_REFUSED).increment(1);
                 }
@@ -492,7 +506,7 @@
     /// Sets the gauges of revisions.
     fn export_metrics(&self) {
         let revisions = &self.revisions;
-        gauge!(telemetry::REVISION_ACTIVE).set(f64::from(revisions.acting(self.now).active));
+        gauge!(telemetry::REVISION_ACTIVE).set(f64::from(revisions.active_revision(self.now).active));
         gauge!(telemetry::REVISION_CERTIFIED).set(f64::from(revisions.next().0 - 1));
         gauge!(telemetry::REVISION_HELD).set(f64::from(u8::from(self.current_hold(self.now).is_some())));
         gauge!(telemetry::REVISION_BOUND).set(revisions.bound().as_secs_f64());
@@ -522,10 +536,12 @@
 }
 
 /// The state that an earlier process stored. An unreadable file is logged and treated as absent.
-fn read_stored(state: &Path) -> Option<Stored> {
+fn read_stored(state: &Path) -> Option<StoredState> {
     let path = state.join(STORED);
     let bytes = std::fs::read(&path).ok()?;
-    Stored::read(&bytes).map_err(|why| tracing::error!("{}: {why}; treated as absent", path.display())).ok()
+    StoredState::read(&bytes)
+        .map_err(|why| tracing::error!("{}: {why}; treated as absent", path.display()))
+        .ok()
 }
 
 /// The stored texts whose contents match the digest in their name.
@@ -550,6 +566,6 @@
     if path.exists() {
         bail!("{}: exists already", path.display());
     }
-    let initial_state = Stored { keeper: Some(Default::default()), ..Stored::default() };
+    let initial_state = StoredState { acceptor: Some(Default::default()), ..StoredState::default() };
     files::replace_durably(&path, &initial_state.write()).with_context(|| path.display().to_string())
 }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -323,7 +323,7 @@
                     for off in off {
                         let id = StreamerId::new(off.ip.into(), off.port);
                         let is_current =
-                            |entry: &Entry| entry.start == off.start && entry.health == Health::Ready;
+                            |entry: &Entry| entry.start_number == off.start && entry.health == Health::Ready;
                         if self.list.streamer_list.entry(&id).is_some_and(is_current) {
                             tracing::info!(
                                 streamer = %id,
@@ -412,7 +412,7 @@
         self.exchange.round(now, &mut self.connections, |floor| {
             changes.apply(pending_changes, floor, now);
             if !cached_list_reported {
-                list.streamer_list.tell_cached(&mut ListSink { floor, known: Vec::new() });
+                list.streamer_list.pass_cached(&mut ListSink { floor, known: Vec::new() });
             }
             // The list first: this round's decisions must take it into account.
             for line in &list_lines {
--- a/crates/controller/src/viewer.rs
+++ b/crates/controller/src/viewer.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, JobId};
+use badgerledge_core::interface::{JobId, SubscriptionRequest};
 use badgerledge_deployment::Shared;
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{Bounds, Framer, Request, Server};
@@ -89,7 +89,7 @@
 /// What is wrong with one of its fields.
 pub fn subscription_request(
     request: &Request, connection: u64, defaults: (u32, u32, &str), shared: &Shared,
-) -> Result<Asked, String> {
+) -> Result<SubscriptionRequest, String> {
     let (first_cell, copies, default_room_type) = defaults;
     let uri = request.request_uri().ok_or("a SETUP names its title")?;
     let room_type_name = request.word(words::ROOM_TYPE).unwrap_or(default_room_type);
@@ -110,7 +110,7 @@
         }
     };
     let client_timeout = parse_number(words::CLIENT_TIMEOUT)?.map_or(default_timeout, Duration::from_millis);
-    Ok(Asked {
+    Ok(SubscriptionRequest {
         title: words::title(uri).ok_or("a SETUP names its title")?,
         path_key,
         room_type,
@@ -118,7 +118,7 @@
         first_cell,
         copies,
         max_rung: parse_number(words::MAX_RUNG)?.unwrap_or(u64::from(u8::MAX)).min(u64::from(u8::MAX)) as u8,
-        hinted: parse_number(words::HINT)?.filter(|hint| *hint > 0).map(Duration::from_millis),
+        duration_hint: parse_number(words::HINT)?.filter(|hint| *hint > 0).map(Duration::from_millis),
         moved: request.marked("moved"),
     })
 }
--- a/crates/controller/tests/it/changes.rs
+++ b/crates/controller/tests/it/changes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_deployment::kinds::canonical;
-use badgerledge_revisions::order::Answer;
+use badgerledge_revisions::requests::Response;
 use badgerledge_settings::Sheet;
 use rustix::process::Signal;
 
@@ -53,7 +53,7 @@
         changed[from..next].to_owned()
     };
     let changed = changed.replace(&section_of("7"), "").replace(&section_of("9"), "");
-    assert_eq!(push(fleet.at, &fleet.author, 1, &canonical_text(&changed)), Answer::Taken);
+    assert_eq!(push(fleet.at, &fleet.author, 1, &canonical_text(&changed)), Response::Taken);
 
     let step = playing_join.receive_message();
     assert!(step.starts_with("SET_PARAMETER") && header(&step, "Rung") == "0", "{step}");
--- a/crates/distribution/src/control/regional.rs
+++ b/crates/distribution/src/control/regional.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::control::{ControlMachine, ControlOutput};
-use crate::message::{ApartStatus, PeerMessage};
+use crate::message::{PartitionStatus, PeerMessage};
 use crate::regional::RegionalGrant;
 use crate::state::{Edit, State};
-use crate::{Digest, Hand, MachineId};
+use crate::{Digest, MachineId, Signer};
 
 /// Tells whether edits of a state change what two controllers must not act on in both ways at once.
 pub type ExclusiveCheck = Box<dyn FnMut(&State, &[Edit]) -> bool + Send>;
@@ -16,17 +16,17 @@
     Box::new(|_, _| true)
 }
 
-impl<H: Hand> ControlMachine<H> {
+impl<H: Signer> ControlMachine<H> {
     /// Has the edits of each revision judged, for regions apart. Without this every revision counts as exclusive.
     pub fn set_exclusive_check(&mut self, check: ExclusiveCheck) {
         self.exclusive_check = check;
     }
 
     /// What an operator is shown of regions apart.
-    pub fn apart_status(&self, now: Duration) -> ApartStatus {
+    pub fn apart_status(&self, now: Duration) -> PartitionStatus {
         let waits = self.revisions.exclusive_waits(now).into_iter();
-        ApartStatus {
-            apart_ms: self.config.apart.as_millis() as u64,
+        PartitionStatus {
+            max_partition_ms: self.config.apart.as_millis() as u64,
             vouches: self.revisions.may_vouch(now).is_some(),
             waits_ms: waits.map(|(machine, left)| (machine, left.as_millis() as u64)).collect(),
             regional_leases: self.relay.regional_leases(),
@@ -61,7 +61,7 @@
         if self.config.apart.is_zero() {
             return;
         }
-        let enough = crate::quorum(self.hand().keepers().len());
+        let enough = crate::quorum(self.hand().acceptors().len());
         let me = self.config.me;
         for (root, vouched) in self.relay.regional_asks(now, enough) {
             if let Some(grant) = self.regional_grant(now, root).filter(|_| !vouched.contains(&me)) {
@@ -71,7 +71,7 @@
             let others: Vec<MachineId> =
                 members.filter(|peer| *peer != me && !vouched.contains(peer)).collect();
             for peer in others.into_iter().filter(|peer| self.peers.is_heard(now, *peer)) {
-                out.push(ControlOutput::ToPeer(peer, PeerMessage::AskRegionalGrant { root }));
+                out.push(ControlOutput::ToPeer(peer, PeerMessage::RequestRegionalGrant { root }));
             }
         }
     }
