--- a/crates/bench/src/accounting.rs
+++ b/crates/bench/src/accounting.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use badgerledge_accounts::{Amount, Key};
-use badgerledge_controller::accounting::{Accounting, STORE_EVERY};
+use badgerledge_controller::accounting::{Accounting, STORE_INTERVAL};
 
 /// Periods measured: a minute of a controller's life, a few windows long.
 const PERIODS: u64 = 120;
@@ -17,7 +17,7 @@
 
 pub fn measure(playing: u64) -> Result<()> {
     let folder = tempfile::tempdir()?;
-    println!("accounting, {playing} subscriptions playing, every {} ms", STORE_EVERY.as_millis());
+    println!("accounting, {playing} subscriptions playing, every {} ms", STORE_INTERVAL.as_millis());
     show("counting alone", period(None, playing));
     show("counting and storing", period(Some(folder.path()), playing));
     Ok(())
@@ -34,7 +34,7 @@
             accounting.count(key, (at as u64).wrapping_mul(7919) % TITLES, &one);
         }
         if folder.is_some() {
-            accounting.store(STORE_EVERY * n as u32, false);
+            accounting.store(STORE_INTERVAL * n as u32, false);
         }
     }
     begun.elapsed() / PERIODS as u32
@@ -46,6 +46,6 @@
 }
 
 fn show(name: &str, period: Duration) {
-    let share = 100.0 * period.as_secs_f64() / STORE_EVERY.as_secs_f64();
+    let share = 100.0 * period.as_secs_f64() / STORE_INTERVAL.as_secs_f64();
     println!("  {name:<22} {:>8.1} µs a period, {share:.2} in 100 of a core", period.as_secs_f64() * 1e6);
 }
--- a/crates/bench/src/capacity/roles/accounts.rs
+++ b/crates/bench/src/capacity/roles/accounts.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use badgerledge_accounts::{Accounts, Amount, Key, Source, WINDOW, WINDOWS as WINDOWS_KEPT};
-use badgerledge_controller::accounting::{Accounting, STORE_EVERY};
+use badgerledge_controller::accounting::{Accounting, STORE_INTERVAL};
 
 use super::{Role, CONNECTIONS_EACH, CONTROLLERS, CORE_SHARE, MEMORY_BYTES};
 use crate::capacity::measure::{processor_ms, with_live_bytes, Reading};
@@ -81,15 +81,15 @@
                 accounting.count(&keys[n as usize % keys.len()], n.wrapping_mul(7919) % TITLES, &ONE);
             }
         });
-        stored_ms += processor_ms(|| accounting.store(STORE_EVERY * period, false));
+        stored_ms += processor_ms(|| accounting.store(STORE_INTERVAL * period, false));
     }
-    let seconds = STORE_EVERY.as_secs_f64() * f64::from(PERIODS);
+    let seconds = STORE_INTERVAL.as_secs_f64() * f64::from(PERIODS);
     let share = |ms: f64| ms / 1000.0 / seconds;
     Ok(vec![
         Reading::new("counting", "of a core", share(counted_ms)),
         Reading::new("storing", "of a core", share(stored_ms)),
         Reading::new("counting and storing", "of a core", share(counted_ms + stored_ms)).limited(CORE_SHARE),
-        Reading::new("page", "bytes", accounting.page().len() as f64),
+        Reading::new("page", "bytes", accounting.stored_text().len() as f64),
     ])
 }
 
--- a/crates/bench/src/fixture.rs
+++ b/crates/bench/src/fixture.rs
@@ -82,7 +82,7 @@
     key.write(&folder.join("key-0"))?;
     let ring = format!("[member 0]\nkeys = {}\n[keepers]\nmembers = 0\n", key.public());
     std::fs::write(folder.join("ring.ini"), ring)?;
-    badgerledge_controller::revising::found(&folder.join("state"))?;
+    badgerledge_controller::revising::create_state(&folder.join("state"))?;
     Ok(format!(
         "state = {}\n[gossip]\nlisten = {}\nring = ring.ini\nkey = key-0\n[revisions]\ncatalogue = true\n",
         folder.join("state").display(),
--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -8,7 +8,7 @@
 use crate::files::{self, wall};
 
 /// Interval at which accounts are stored: half of the second that a killed process may lose at most.
-pub const STORE_EVERY: Duration = Duration::from_millis(500);
+pub const STORE_INTERVAL: Duration = Duration::from_millis(500);
 /// The files of the latest sums, written alternately: if one is torn, the previous one is intact.
 const LATEST_FILES: [&str; 2] = ["accounts-a", "accounts-b"];
 /// The file of all windows, written once per window.
@@ -57,7 +57,7 @@
             .map(|folder| folder.join(ENDED_FILE))
             .is_some_and(|file| std::fs::remove_file(file).is_ok());
         if stored_source.is_some() && !stopped_in_order {
-            accounts.ledger(source).estimate_unseen(wall(), STORE_EVERY);
+            accounts.ledger(source).estimate_unseen(wall(), STORE_INTERVAL);
         }
         accounts.ledger(source);
         let stored = Stored { windows: accounts.write(), latest: String::new() };
@@ -71,12 +71,12 @@
     }
 
     /// The sums of all windows, by account key.
-    pub fn whole(&self) -> std::collections::BTreeMap<Key, Amount> {
+    pub fn totals(&self) -> std::collections::BTreeMap<Key, Amount> {
         self.accounts.whole()
     }
 
     /// The accounts as stored last, as text.
-    pub fn page(&self) -> String {
+    pub fn stored_text(&self) -> String {
         let texts = [&self.stored.windows, &self.stored.latest];
         let mut stored = Accounts::default();
         texts.into_iter().filter_map(|text| Accounts::read(text).ok()).for_each(|part| stored.merge(&part));
@@ -85,7 +85,7 @@
 
     /// Whether storing is due.
     pub fn is_due(&self, now: Duration) -> bool {
-        now >= self.stored_at + STORE_EVERY
+        now >= self.stored_at + STORE_INTERVAL
     }
 
     /// Stores the counts. A failure is logged, and counting goes on.
@@ -135,7 +135,7 @@
 
 /// Reads all accounts that a controller stored in a folder. Torn files are skipped, as a restarted controller
 /// does.
-pub fn stored_in(folder: &Path) -> Accounts {
+pub fn read_stored_accounts(folder: &Path) -> Accounts {
     let mut accounts = Accounts::default();
     let files = LATEST_FILES.iter().chain([&WINDOWS_FILE]);
     files.filter_map(|file| read(&folder.join(file))).for_each(|stored| accounts.merge(&stored));
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -33,7 +33,7 @@
 use crate::{files, telemetry};
 
 /// The file of the durable state, in the state folder.
-pub const STORED: &str = "revision-state";
+pub const STATE_FILE: &str = "revision-state";
 /// The folder of revision texts in the state folder, a file per digest.
 const TEXTS_FOLDER: &str = "revision-texts";
 /// Retry delay for viewers that are throttled while new joins are held back: most holds end within a lease.
@@ -469,7 +469,8 @@
                 }
                 MemberOutput::Send(..) => {}
                 MemberOutput::Store(bytes) => {
-                    all_stored &= log_store_result(files::replace_durably(&self.state.join(STORED), &bytes))
+                    all_stored &=
+                        log_store_result(files::replace_durably(&self.state.join(STATE_FILE), &bytes))
                 }
                 MemberOutput::StoreText(digest, text) => all_stored &= self.store_text(&digest, &text),
                 MemberOutput::Fetch(signed, from) => {
@@ -537,7 +538,7 @@
 
 /// The state that an earlier process stored. An unreadable file is logged and treated as absent.
 fn read_stored(state: &Path) -> Option<StoredState> {
-    let path = state.join(STORED);
+    let path = state.join(STATE_FILE);
     let bytes = std::fs::read(&path).ok()?;
     StoredState::read(&bytes)
         .map_err(|why| tracing::error!("{}: {why}; treated as absent", path.display()))
@@ -560,9 +561,9 @@
 ///
 /// # Errors
 /// If the state exists already or cannot be written.
-pub fn found(state: &Path) -> Result<()> {
+pub fn create_state(state: &Path) -> Result<()> {
     std::fs::create_dir_all(state).with_context(|| state.display().to_string())?;
-    let path = state.join(STORED);
+    let path = state.join(STATE_FILE);
     if path.exists() {
         bail!("{}: exists already", path.display());
     }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -514,7 +514,7 @@
             .accounts_exported_at
             .replace(self.connections.now)
             .map(|at| (self.connections.now - at).as_secs_f64());
-        for (key, amount) in self.connections.accounting.whole() {
+        for (key, amount) in self.connections.accounting.totals() {
             let before = self.exported_bytes.insert(key.clone(), amount.bytes()).unwrap_or(0);
             let rate = elapsed_s
                 .map_or(0.0, |elapsed_s| amount.bytes().saturating_sub(before) as f64 / elapsed_s.max(1e-3));
@@ -532,7 +532,9 @@
         let input = self.connections.reactor.input(connection);
         if input.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             let answer = match input.starts_with(b"GET /accounts ") {
-                true => telemetry::http_response("application/json", &self.connections.accounting.page()),
+                true => {
+                    telemetry::http_response("application/json", &self.connections.accounting.stored_text())
+                }
                 false => telemetry::metrics_response(&self.metrics_handle),
             };
             self.connections.reactor.send(connection, &[&answer]);
--- a/crates/controller/tests/it/harness.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -140,7 +140,7 @@
         write_settings(folder.path(), at, list, metrics, more);
         std::fs::write(folder.path().join("titles.ini"), titles).unwrap();
         if more.contains("[revisions]") {
-            badgerledge_controller::revising::found(&folder.path().join("state")).unwrap();
+            badgerledge_controller::revising::create_state(&folder.path().join("state")).unwrap();
         }
         let child = spawn(folder.path());
         let controller = Self { at, metrics, folder, child };
--- a/crates/replay/src/controllers.rs
+++ b/crates/replay/src/controllers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use anyhow::{bail, Context, Result};
-use badgerledge_controller::revising::{found, STORED};
+use badgerledge_controller::revising::{create_state, STATE_FILE};
 use badgerledge_standins::free_port;
 use rustix::process::{kill_process, Pid, Signal};
 
@@ -83,8 +83,8 @@
                 if told.catalogue {
                     gossip += &format!("catalogue = true\nleave_within_s = {}\n", told.leave_within_s);
                 }
-                if number < usize::from(script.told.keepers) && !state.join(STORED).exists() {
-                    found(&state)?;
+                if number < usize::from(script.told.keepers) && !state.join(STATE_FILE).exists() {
+                    create_state(&state)?;
                 }
             }
             let text = format!(
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_accounts::Accounts;
-use badgerledge_controller::accounting::stored_in;
+use badgerledge_controller::accounting::read_stored_accounts;
 use badgerledge_core::interface::Health;
 use badgerledge_reactor::{raise_descriptors, Happening, Reactor};
 use badgerledge_standins::{Condition, Habits, ListService, Streamers, Told, Viewers};
@@ -264,7 +264,7 @@
     fn crossed(&self) -> Vec<Crossed> {
         let mut accounts = Accounts::default();
         for number in 0..self.controllers.len() {
-            accounts.merge(&stored_in(&self.folder.join(format!("state-{number}"))));
+            accounts.merge(&read_stored_accounts(&self.folder.join(format!("state-{number}"))));
         }
         let places = self.controllers.places();
         let whole = accounts.whole();
--- a/crates/replay/tests/distribution/failures.rs
+++ b/crates/replay/tests/distribution/failures.rs
@@ -7,8 +7,8 @@
 use rustix::process::Signal;
 
 use crate::fleet::{bound, play, Fleet, IN_FORCE, PATIENCE};
+use crate::harness::{status, RtspPeer};
 use crate::old_and_new::{left, old_is_not_served_past_the_bound, push_change, shape, NEW, OLD};
-use crate::rig::{status, Talk};
 
 /// The relay of a controller, and another control machine.
 fn relay_of(fleet: &Fleet, controller: usize) -> (usize, usize) {
@@ -58,16 +58,16 @@
             fleet.network.change_between(false, relay, *peer, |way| way.cut = true);
         }
         cut_from_relays(fleet, 0, &others);
-        let mut plays = Talk::to(fleet.controllers[0].at);
+        let mut plays = RtspPeer::to(fleet.controllers[0].at);
         plays.set_up(1, OLD, 0xfff, "");
-        assert_eq!(status(&plays.hear_message()), 200);
+        assert_eq!(status(&plays.receive_message()), 200);
         let begun = push_change(fleet, other);
         fleet.wait_set_ups(left(begun, IN_FORCE), &[1], NEW, 200);
         let last = old_is_not_served_past_the_bound(fleet, 0, Instant::now());
         eprintln!("served by the old configuration until {last:?} after");
         // What plays plays on while new joins are held back.
-        plays.say("OPTIONS * RTSP/1.0\nCSeq: 2\n\n");
-        assert_eq!(status(&plays.hear_message()), 200);
+        plays.send("OPTIONS * RTSP/1.0\nCSeq: 2\n\n");
+        assert_eq!(status(&plays.receive_message()), 200);
         assert_eq!(fleet.metric(0, "badgerledge_subscriptions_playing"), 1.0);
         fleet.network.heal();
         fleet.wait_set_ups(IN_FORCE, &[0, 1, 2], NEW, 200);
@@ -232,7 +232,7 @@
         std::thread::sleep((bound() + Duration::from_millis(500)).saturating_sub(acted_on.elapsed()));
         fleet.controllers[0].signal(Signal::CONT);
         for mut talk in waiting {
-            let answer = talk.hear_message();
+            let answer = talk.receive_message();
             assert_ne!(status(&answer), 200, "served by the old configuration");
         }
         fleet.network.heal();
@@ -240,8 +240,8 @@
     });
 }
 
-fn ask_without_waiting(fleet: &Fleet, viewer: u64) -> Talk {
-    let mut talk = Talk::to(fleet.controllers[0].at);
+fn ask_without_waiting(fleet: &Fleet, viewer: u64) -> RtspPeer {
+    let mut talk = RtspPeer::to(fleet.controllers[0].at);
     talk.set_up(1, OLD, 0x1000 + viewer, "");
     talk
 }
--- a/crates/replay/tests/distribution/fleet.rs
+++ b/crates/replay/tests/distribution/fleet.rs
@@ -19,8 +19,8 @@
 use rustix::process::Signal;
 use tempfile::TempDir;
 
+use crate::harness::{status, Controller, Environment, RtspPeer, CATALOGUE, SHARED};
 use crate::network::Network;
-use crate::rig::{status, Backdrop, Controller, Talk, CATALOGUE, SHARED};
 use crate::stall::StallWatch;
 
 /// Within this a change is in force everywhere: the plan's bound.
@@ -176,7 +176,7 @@
     authors: Vec<PrivateKey>,
     sequences: Vec<u64>,
     viewer: u64,
-    _backdrop: Backdrop,
+    _environment: Environment,
     folder: TempDir,
 }
 
@@ -212,7 +212,7 @@
                 )
             })
             .collect();
-        let backdrop = Backdrop::on_cells(shape.streamers);
+        let environment = Environment::on_cells(shape.streamers);
         let relays = network.relays_reached.iter().enumerate();
         let zone = if shape.stand_in.is_some() { "elsewhere" } else { "a" };
         let mut relays: Vec<String> = relays.map(|(number, at)| format!("{number} {zone} {at}")).collect();
@@ -228,7 +228,7 @@
             );
             let behind = number + shape.behind >= shape.controllers;
             let titles = if behind { CATALOGUE } else { &titles };
-            Controller::start_with_titles(backdrop.list, &(place + &told), titles)
+            Controller::start_with_titles(environment.list, &(place + &told), titles)
         });
         let controllers: Vec<Controller> = controllers.collect();
         let sequences = vec![0; authors.len()];
@@ -239,7 +239,7 @@
             authors,
             sequences,
             viewer: 1,
-            _backdrop: backdrop,
+            _environment: environment,
             folder,
         };
         fleet.controllers.iter().for_each(|controller| controller.wait_listed(shape.streamers as usize));
@@ -283,9 +283,9 @@
     /// The same with further lines.
     pub fn set_up_with(&mut self, controller: usize, title: u64, more: &str) -> u16 {
         self.viewer += 1;
-        let mut talk = Talk::to(self.controllers[controller].at);
+        let mut talk = RtspPeer::to(self.controllers[controller].at);
         talk.set_up(1, title, self.viewer, more);
-        status(&talk.hear_message())
+        status(&talk.receive_message())
     }
 
     /// Waits until a viewer of each of these controllers is answered so.
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_accounts::Accounts;
-use badgerledge_controller::accounting::stored_in;
+use badgerledge_controller::accounting::read_stored_accounts;
 
 /// A live controller answers at once; one that does not in this time is passed over.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -41,7 +41,7 @@
             if !folder.is_dir() {
                 bail!("neither an address nor a folder");
             }
-            stored_in(folder)
+            read_stored_accounts(folder)
         }
     };
     if accounts.sources().next().is_none() {
--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -166,7 +166,7 @@
         }
         What::Force { at, key, gone, back } => force(at, &key, gone, !back, voice),
         What::Found { state } => {
-            badgerledge_controller::revising::found(&state)?;
+            badgerledge_controller::revising::create_state(&state)?;
             let path = state.display().to_string();
             voice.say(json!({"founded": path}), &format!("{path}: a keeper's state, with nothing signed"));
             Ok(DONE)
