--- a/crates/controller/tests/it/revisions.rs
+++ b/crates/controller/tests/it/revisions.rs
@@ -88,16 +88,19 @@
         Response::Refused(message) => assert!(message.contains(reason), "{message}"),
         other => panic!("{reason}: {other:?}"),
     };
-    refused(asks(at, b"what is this\n"), "expected value");
-    refused(asks(at, &[b'x'; 70_000]), "a line of over");
-    let headless = Request::Push { head: "00".to_owned(), bytes: 4 };
-    refused(asks(at, &requests::encode_line(&headless)), "a head that can't be read");
-    refused(pushes(at, &thief, 1, &longer), "not that of author 0");
-    refused(pushes(at, author, 3, &longer), "number 3");
-    refused(pushes(at, author, 1, &longer.replace("2500", "900")), "client_timeout_ms");
-    refused(pushes(at, author, 1, &longer.replace("clip", "film")), "no room type clip");
-    refused(pushes(at, author, 1, &longer.replace(" = ", "=")), "not in canonical form");
-    refused(asks(at, &order::write(&Order::Text { text: "ab".repeat(32), from: 0 })), "no such text");
+    refused(request(at, b"what is this\n"), "expected value");
+    refused(request(at, &[b'x'; 70_000]), "a line of over");
+    let invalid_head = Request::Push { head: "00".to_owned(), bytes: 4 };
+    refused(request(at, &requests::encode_line(&invalid_head)), "a head that can't be read");
+    refused(push(at, &impostor, 1, &with_longer_timeout), "not that of author 0");
+    refused(push(at, author, 3, &with_longer_timeout), "number 3");
+    refused(push(at, author, 1, &with_longer_timeout.replace("2500", "900")), "client_timeout_ms");
+    refused(push(at, author, 1, &with_longer_timeout.replace("clip", "film")), "no room type clip");
+    refused(push(at, author, 1, &with_longer_timeout.replace(" = ", "=")), "not in canonical form");
+    refused(
+        request(at, &requests::encode_line(&Request::Text { text: "ab".repeat(32), from: 0 })),
+        "no such text",
+    );
     assert_eq!((report(at).active, report(at).held), (0, None));
 
     assert_eq!(push(at, author, 1, &with_longer_timeout), Response::Taken);
