--- a/crates/bench/src/capacity/roles/catalogue.rs
+++ b/crates/bench/src/capacity/roles/catalogue.rs
@@ -4,9 +4,9 @@
 
 use anyhow::Result;
 use badgerledge_deployment::kinds::canonical;
-use badgerledge_deployment::Text;
+use badgerledge_deployment::RevisionText;
 use badgerledge_revisions::MAX_TEXT_BYTES;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use super::{Role, BYTES_A_SECOND, CHANGES_A_SECOND, CORE_SHARE, MEMORY_BYTES, TITLES};
 use crate::capacity::measure::{least_ms, with_live_bytes, Reading};
@@ -30,16 +30,16 @@
         let first = (id + shift * u64::from(id % 100 == 0)) % 40;
         write!(text, "[title {id:x}]\ncopies = 3\nfirst_cell = {first}\nroom_type = clip\n")?;
     }
-    Ok(canonical(&Sheet::parse("text", &text)?))
+    Ok(canonical(&IniFile::parse("text", &text)?))
 }
 
 fn readings(titles: u64) -> Result<Vec<Reading>> {
     let (before, after) = (text_of(titles, 0)?, text_of(titles, 1)?);
-    let read = |text: &str| Text::read(text.as_bytes()).map_err(anyhow::Error::msg);
+    let read = |text: &str| RevisionText::read(text.as_bytes()).map_err(anyhow::Error::msg);
     let (held, live) = with_live_bytes(|| read(&before));
     let (held, next) = (held?, read(&after)?);
     let read_ms = least_ms(RUNS, || drop(std::hint::black_box(read(&after))));
-    let compare_ms = least_ms(RUNS, || drop(std::hint::black_box(held.acted_on(Some(&next)))));
+    let compare_ms = least_ms(RUNS, || drop(std::hint::black_box(held.applied_configuration(Some(&next)))));
     let change_ms = READINGS_OF_A_CHANGE * read_ms + compare_ms;
     let bytes = after.len() as f64;
     // While a change is prepared both texts are held, each as its bytes and as what was read from them.
--- a/crates/bench/src/capacity/roles/signatures.rs
+++ b/crates/bench/src/capacity/roles/signatures.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use badgerledge_gossip::Keyring;
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::capacity::measure::processor_ms;
 
@@ -19,8 +19,9 @@
 
 impl SignatureCost {
     pub fn measure() -> Result<Self> {
-        let private = PrivateKey::make(Role::Member(0))?;
-        let ring = Ring::of(&Sheet::parse("ring", &format!("[member 0]\nkeys = {}\n", private.public()))?)?;
+        let private = PrivateKey::generate(Role::Member(0))?;
+        let ring =
+            Ring::of(&IniFile::parse("ring", &format!("[member 0]\nkeys = {}\n", private.public_hex()))?)?;
         let keys = Keys::new(private, ring).context("its own ring")?;
         let signature = keys.sign(&BYTES);
         let each = |mut work: Box<dyn FnMut() + '_>| {
--- a/crates/bench/src/changes.rs
+++ b/crates/bench/src/changes.rs
@@ -7,11 +7,11 @@
 use anyhow::Result;
 use badgerledge_changes::{outcome, Configuration, Stage, Subscription};
 use badgerledge_core::interface::SubscriptionRequest;
-use badgerledge_deployment::entries::entries_of;
+use badgerledge_deployment::entries::entries_from_text;
 use badgerledge_deployment::kinds::canonical;
-use badgerledge_deployment::{StateReader, Text};
+use badgerledge_deployment::{RevisionText, StateReader};
 use badgerledge_distribution::state::{Edit, State};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 pub const SHARED: &str = "[fleet]\nzones = a\nkinds = k\nkind_streams = 50\ncells = 40\nracks = 2\nlink_unit_kb = 1000\nlinks_kb = 4000\n\
     uplink_kb = 2000\n[ladder]\nrates_kb = 10, 20\nbenefit = 0.5, 1\n[room_type clip]\njoin_objective_ms = 1000\nclient_timeout_ms = 2000\n\
@@ -35,15 +35,15 @@
             let first = (id + shift * u32::from(id % 100 == 0)) % 40;
             let _ = write!(text, "[title {id:x}]\ncopies = 3\nfirst_cell = {first}\nroom_type = clip\n");
         }
-        Ok::<_, anyhow::Error>(canonical(&Sheet::parse("text", &text)?))
+        Ok::<_, anyhow::Error>(canonical(&IniFile::parse("text", &text)?))
     };
     let (old, new) = (text_of(0)?, text_of(1)?);
-    let read = |text: &str| Text::read(text.as_bytes()).map_err(anyhow::Error::msg);
-    let sheet = least(|| Ok(Sheet::parse("text", &new).map(drop)?))?;
+    let read = |text: &str| RevisionText::read(text.as_bytes()).map_err(anyhow::Error::msg);
+    let sheet = least(|| Ok(IniFile::parse("text", &new).map(drop)?))?;
     let parse = least(|| read(&new).map(drop))?;
     let (old, text) = (read(&old)?, read(&new)?);
     let compare = least(|| {
-        std::hint::black_box(old.acted_on(Some(&text)));
+        std::hint::black_box(old.applied_configuration(Some(&text)));
         Ok(())
     })?;
     let (shared, known) = (text.shared(), text.titles());
@@ -71,10 +71,10 @@
 }
 
 /// One title of all is another, in a state that control machines hand down.
-fn measure_one_title(old: &Text, titles: u32) -> Result<()> {
+fn measure_one_title(old: &RevisionText, titles: u32) -> Result<()> {
     let mut text = SHARED.to_owned();
-    text = canonical(&Sheet::parse("text", &text)?) + &old.titles().text();
-    let mut state = State::from_entries(entries_of(&text)?)?;
+    text = canonical(&IniFile::parse("text", &text)?) + &old.titles().text();
+    let mut state = State::from_entries(entries_from_text(&text)?)?;
     let mut reader = StateReader::default();
     reader.read(&state).map_err(anyhow::Error::msg)?;
     let (mut first_cell, mut active) = (0, reader.read(&state).map_err(anyhow::Error::msg)?);
@@ -90,11 +90,11 @@
         };
         read = read.min(once(read_state)?);
         prepared = prepared.min(once(|| {
-            black_box(active.acted_on(Some(&next)));
+            black_box(active.applied_configuration(Some(&next)));
             Ok(())
         })?);
         acted_on = acted_on.min(once(|| {
-            black_box(next.acted_on(None));
+            black_box(next.applied_configuration(None));
             Ok(())
         })?);
         active = next;
--- a/crates/bench/src/fixture.rs
+++ b/crates/bench/src/fixture.rs
@@ -9,7 +9,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_deployment::Shared;
 use badgerledge_keys::{PrivateKey, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use badgerledge_standins::free_port;
 use rustix::process::{kill_process, Pid, Signal};
 use tempfile::TempDir;
@@ -45,7 +45,7 @@
 ";
 
 pub fn shared() -> Result<Shared> {
-    Ok(Shared::of(&Sheet::parse("bench", SHARED)?)?)
+    Ok(Shared::of(&IniFile::parse("bench", SHARED)?)?)
 }
 
 /// Where a controller has its shared configuration from.
@@ -78,9 +78,9 @@
 
 /// The keys of a fleet of one, and what its settings say of gossip and of revisions.
 fn revisions(folder: &Path) -> Result<String> {
-    let key = PrivateKey::make(Role::Member(0))?;
+    let key = PrivateKey::generate(Role::Member(0))?;
     key.write(&folder.join("key-0"))?;
-    let ring = format!("[member 0]\nkeys = {}\n[keepers]\nmembers = 0\n", key.public());
+    let ring = format!("[member 0]\nkeys = {}\n[keepers]\nmembers = 0\n", key.public_hex());
     std::fs::write(folder.join("ring.ini"), ring)?;
     badgerledge_controller::revising::create_state(&folder.join("state"))?;
     Ok(format!(
@@ -92,9 +92,9 @@
 
 /// Starts a control machine that is its own quorum, and tells what a controller's settings say of it.
 fn distribution(folder: &Path, titles: &str) -> Result<(String, Child)> {
-    let key = PrivateKey::make(Role::Member(0))?;
+    let key = PrivateKey::generate(Role::Member(0))?;
     key.write(&folder.join("key-0"))?;
-    let ring = format!("[member 0]\nkeys = {}\n[keepers]\nmembers = 0\n", key.public());
+    let ring = format!("[member 0]\nkeys = {}\n[keepers]\nmembers = 0\n", key.public_hex());
     std::fs::write(folder.join("ring.ini"), ring)?;
     std::fs::write(folder.join("genesis.ini"), SHARED.to_owned() + titles)?;
     let (listen, peer_listen) = (free_port()?, free_port()?);
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
-use badgerledge_rtsp::words::{self, name};
+use badgerledge_rtsp::extension_headers::{self, header_name};
 use badgerledge_rtsp::{Client, Framer, Unit};
 use hdrhistogram::Histogram;
 use rtsp_types::{headers, Method};
@@ -91,11 +91,11 @@
     fn set_up(&mut self, reactor: &mut Reactor, line: Line) {
         let Some(viewer) = self.viewers.get_mut(&line) else { return };
         viewer.asked = reactor.now();
-        let uri = words::uri("bench", line % TITLES);
+        let uri = extension_headers::title_uri("bench", line % TITLES);
         let headers = [
             (headers::TRANSPORT, "RTP/AVP/TCP;unicast;interleaved=0-1".to_owned()),
-            (name(words::VIEWER), format!("{line:x}")),
-            (name(words::ROOM_TYPE), "clip".to_owned()),
+            (header_name(extension_headers::VIEWER), format!("{line:x}")),
+            (header_name(extension_headers::ROOM_TYPE), "clip".to_owned()),
         ];
         self.send(reactor, line, Method::Setup, uri, &headers);
     }
@@ -121,7 +121,7 @@
                     self.media_bytes += carried.len() as u64;
                     self.media_packets += 1;
                 }
-                Unit::Response(answer) if viewer.client.answered(&answer) == Some(Method::Setup) => {
+                Unit::Response(answer) if viewer.client.match_response(&answer) == Some(Method::Setup) => {
                     let took = (reactor.now() - viewer.asked).as_micros() as u64;
                     let _ = self.latency.record(took);
                     self.answered(reactor, line, answer.status().is_success());
@@ -134,7 +134,7 @@
     }
 
     fn answered(&mut self, reactor: &mut Reactor, line: Line, granted: bool) {
-        let uri = words::uri("bench", line % TITLES);
+        let uri = extension_headers::title_uri("bench", line % TITLES);
         if !granted {
             self.turned_away += 1;
             self.viewers.remove(&line);
--- a/crates/bench/src/signatures.rs
+++ b/crates/bench/src/signatures.rs
@@ -5,13 +5,13 @@
 use anyhow::{Context, Result};
 use badgerledge_gossip::{Keyring, MAX_DATAGRAM_BYTES, SIGNATURE_BYTES};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 const ROUNDS: u32 = 3000;
 
 pub fn measure() -> Result<()> {
-    let private = PrivateKey::make(Role::Member(0))?;
-    let ring = Ring::of(&Sheet::parse("ring", &format!("[member 0]\nkeys = {}\n", private.public()))?)?;
+    let private = PrivateKey::generate(Role::Member(0))?;
+    let ring = Ring::of(&IniFile::parse("ring", &format!("[member 0]\nkeys = {}\n", private.public_hex()))?)?;
     let keys = Keys::new(private, ring).context("its own ring")?;
     let bytes = [7; MAX_DATAGRAM_BYTES - SIGNATURE_BYTES];
     let signature = keys.sign(&bytes);
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use badgerledge_settings::{within, Faults, Sheet};
+use badgerledge_settings::{within, Faults, IniFile};
 use garde::Validate;
 use serde::Deserialize;
 
@@ -33,12 +33,12 @@
 impl Catalogue {
     /// Reads a catalogue file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        Self::from_sheet(&Sheet::read(path)?)
+        Self::from_sheet(&IniFile::read(path)?)
     }
 
     /// Reads a catalogue from a sheet with no other sections.
-    pub fn from_sheet(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&["title"])?;
+    pub fn from_sheet(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&["title"])?;
         Self::from_sections(sheet)
     }
 
@@ -46,9 +46,9 @@
     ///
     /// # Errors
     /// Lists each invalid title.
-    pub fn from_sections(sheet: &Sheet) -> Result<Self, Faults> {
+    pub fn from_sections(sheet: &IniFile) -> Result<Self, Faults> {
         let (mut titles, mut faults) = (BTreeMap::new(), Vec::new());
-        for name in sheet.named("title") {
+        for name in sheet.section_names("title") {
             let section = format!("title {name}");
             let id = u64::from_str_radix(name, 16);
             match (id, sheet.section::<Title>(&section)) {
@@ -163,7 +163,7 @@
 
     #[test]
     fn titles_are_read_and_faults_placed() {
-        let read = |text: &str| Sheet::parse("c.ini", text).and_then(|sheet| Catalogue::from_sheet(&sheet));
+        let read = |text: &str| IniFile::parse("c.ini", text).and_then(|sheet| Catalogue::from_sheet(&sheet));
         let catalogue = read("[title 2a]\nroom_type = clip\nfirst_cell = 3\ncopies = 2\n").unwrap();
         assert_eq!(catalogue.title(42).map(|title| (title.first_cell, title.copies)), Some((3, 2)));
         let faults =
--- a/crates/changes/src/tests.rs
+++ b/crates/changes/src/tests.rs
@@ -5,7 +5,7 @@
 use badgerledge_catalogue::Catalogue;
 use badgerledge_core::interface::{StreamerId, SubscriptionRequest};
 use badgerledge_deployment::Shared;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use quickcheck::{Gen, QuickCheck};
 
 use crate::{arrange, outcome, Action, Configuration, MoveSchedule, Stage, Subscription};
@@ -36,11 +36,11 @@
 const TITLE: &str = "[title 7]\nroom_type = clip\nfirst_cell = 0\ncopies = 2\n";
 
 fn shared(text: &str) -> Shared {
-    Shared::of(&Sheet::parse("shared", text).unwrap()).unwrap()
+    Shared::of(&IniFile::parse("shared", text).unwrap()).unwrap()
 }
 
 fn titles(text: &str) -> Catalogue {
-    Catalogue::from_sections(&Sheet::parse("titles", text).unwrap()).unwrap()
+    Catalogue::from_sections(&IniFile::parse("titles", text).unwrap()).unwrap()
 }
 
 fn under(stage: Stage) -> Subscription {
--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_accounts::{open, seal, Accounts, Amount, Key, Source, WINDOW};
 
-use crate::files::{self, wall};
+use crate::files::{self, unix_time};
 
 /// Interval at which accounts are stored: half of the second that a killed process may lose at most.
 pub const STORE_INTERVAL: Duration = Duration::from_millis(500);
@@ -57,7 +57,7 @@
             .map(|folder| folder.join(ENDED_FILE))
             .is_some_and(|file| std::fs::remove_file(file).is_ok());
         if stored_source.is_some() && !stopped_in_order {
-            accounts.ledger(source).estimate_unseen(wall(), STORE_INTERVAL);
+            accounts.ledger(source).estimate_unseen(unix_time(), STORE_INTERVAL);
         }
         accounts.ledger(source);
         let stored = Stored { windows: accounts.write(), latest: String::new() };
@@ -67,7 +67,7 @@
 
     /// Adds traffic of a title to an account.
     pub fn count(&mut self, key: &Key, title: u64, traffic: &Amount) {
-        self.accounts.ledger(self.source).count(wall(), key, title, traffic);
+        self.accounts.ledger(self.source).count(unix_time(), key, title, traffic);
     }
 
     /// The sums of all windows, by account key.
@@ -99,7 +99,7 @@
     /// Stores the counts; all windows only when the window changes or the process stops.
     fn try_store(&mut self, is_last: bool) -> std::io::Result<()> {
         let latest = self.accounts.write_last(LATEST_WINDOWS);
-        let current_window = wall().as_secs() / WINDOW.as_secs();
+        let current_window = unix_time().as_secs() / WINDOW.as_secs();
         let whole = (current_window != self.window || is_last).then(|| self.accounts.write());
         if let Some(folder) = &self.folder {
             self.latest_file = 1 - self.latest_file;
--- a/crates/controller/src/configuration_check.rs
+++ b/crates/controller/src/configuration_check.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_catalogue::Catalogue;
 use badgerledge_changes::arrange;
-use badgerledge_deployment::{ActedOn, Deployment, Shared, Text};
+use badgerledge_deployment::{AppliedConfiguration, Deployment, RevisionText, Shared};
 
 /// What a new configuration must be compatible with on this controller.
 pub struct ConfigurationCheck {
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// The reason why it cannot.
-    pub fn check(&self, text: &Text) -> Result<(), String> {
+    pub fn check(&self, text: &RevisionText) -> Result<(), String> {
         let (shared, titles, key) = (text.shared(), text.titles(), self.titles_key);
         match (&self.catalogue_room_types, titles.is_empty()) {
             (None, true) => return Err(format!("it has no titles, but {key} = true makes them part of it")),
@@ -79,8 +79,10 @@
     ///
     /// # Errors
     /// The reason why it cannot be applied.
-    pub fn apply(&mut self, active: &Text, prepared: Option<&Text>) -> Result<ActedOn, String> {
-        let mut applied = active.acted_on(prepared);
+    pub fn apply(
+        &mut self, active: &RevisionText, prepared: Option<&RevisionText>,
+    ) -> Result<AppliedConfiguration, String> {
+        let mut applied = active.applied_configuration(prepared);
         if let Some(current) = &self.current {
             applied.shared = arrange(current, applied.shared)?;
         }
--- a/crates/controller/src/connections/answers.rs
+++ b/crates/controller/src/connections/answers.rs
@@ -4,8 +4,8 @@
 
 use badgerledge_core::interface::JobId;
 use badgerledge_reactor::Line;
-use badgerledge_rtsp::notes;
-use badgerledge_rtsp::words;
+use badgerledge_rtsp::extension_headers;
+use badgerledge_rtsp::progress_reports;
 use badgerledge_rtsp::{frame_header, Response, State};
 use metrics::{counter, histogram};
 use rand_pcg::rand_core::Rng;
@@ -61,7 +61,7 @@
         client.own_cseq += 1;
         client.must_leave_by = Some(self.now + REDIRECT_GRACE);
         client.job = None;
-        let uri = words::uri(self.listen_address, client.title);
+        let uri = extension_headers::title_uri(self.listen_address, client.title);
         let request = client.server.request(Method::Redirect, uri.clone(), client.own_cseq);
         let request = with_location(request, &uri);
         if !send(&mut self.reactor, viewer, |bytes| request.write(bytes).is_ok()) {
@@ -73,7 +73,7 @@
     /// Sends an RTCP BYE to a viewer that plays, and closes its connection.
     pub(super) fn send_goodbye(&mut self, viewer: Line) {
         let Some(client) = self.viewers.get(&viewer) else { return };
-        let goodbye = notes::bye(0);
+        let goodbye = progress_reports::encode_bye(0);
         let channel = client.channels.1;
         if client.server.state() == State::Playing {
             self.reactor.send(viewer, &[&frame_header(channel, goodbye.len() as u16), &goodbye]);
@@ -88,7 +88,10 @@
     if !delay.is_zero() {
         let seconds = delay.as_millis().div_ceil(1000);
         answer.insert_header(headers::RETRY_AFTER, seconds.to_string());
-        answer.insert_header(words::name(words::COME_BACK_MS), delay.as_millis().to_string());
+        answer.insert_header(
+            extension_headers::header_name(extension_headers::RETRY_AFTER_MS),
+            delay.as_millis().to_string(),
+        );
     }
     answer
 }
--- a/crates/controller/src/connections/joins.rs
+++ b/crates/controller/src/connections/joins.rs
@@ -6,7 +6,7 @@
 use badgerledge_accounts::Key;
 use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
 use badgerledge_reactor::{Bounds, Line};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
 use badgerledge_rtsp::{Response, Unit};
 use metrics::counter;
 use rtsp_types::headers::{self, HeaderName};
@@ -59,12 +59,18 @@
         join.crosses_from_zone = zone.filter(|_| join.account_key.as_ref().is_some_and(Key::crosses));
         let headers: [(HeaderName, String); 5] = [
             (headers::TRANSPORT, "RTP/AVP/TCP;unicast;interleaved=0-1".to_owned()),
-            (words::name(words::VIEWER), format!("{:x}", subscription.path_key)),
-            (words::name(words::ROOM_TYPE), room_type.clone()),
-            (words::name(words::RUNG), rung.unwrap_or(parameters.floor).to_string()),
-            (words::name(words::JOIN), format!("{controller}/{job}/{number}")),
+            (
+                extension_headers::header_name(extension_headers::VIEWER),
+                format!("{:x}", subscription.path_key),
+            ),
+            (extension_headers::header_name(extension_headers::ROOM_TYPE), room_type.clone()),
+            (
+                extension_headers::header_name(extension_headers::RUNG),
+                rung.unwrap_or(parameters.floor).to_string(),
+            ),
+            (extension_headers::header_name(extension_headers::JOIN), format!("{controller}/{job}/{number}")),
         ];
-        let uri = words::uri(join.streamer, subscription.title);
+        let uri = extension_headers::title_uri(join.streamer, subscription.title);
         if let Some(request) = join.client.request(Method::Setup, uri, &headers) {
             send(&mut self.reactor, join.connection, |bytes| request.write(bytes).is_ok());
         }
@@ -73,7 +79,7 @@
     /// Sends a join's first PLAY.
     pub(super) fn request_play(&mut self, job: JobId, number: u16) {
         let Some(join) = self.joins.get_mut(&(job, number)) else { return };
-        let uri = words::uri(join.streamer, join.title);
+        let uri = extension_headers::title_uri(join.streamer, join.title);
         if let Some(request) = join.client.request(Method::Play, uri, &[]) {
             send(&mut self.reactor, join.connection, |bytes| request.write(bytes).is_ok());
         }
@@ -82,8 +88,8 @@
     /// Requests another rung from a join's streamer.
     pub(super) fn request_rung(&mut self, job: JobId, number: u16, rung: u8) {
         let Some(join) = self.joins.get_mut(&(job, number)) else { return };
-        let uri = words::uri(join.streamer, join.title);
-        let header = (words::name(words::RUNG), rung.to_string());
+        let uri = extension_headers::title_uri(join.streamer, join.title);
+        let header = (extension_headers::header_name(extension_headers::RUNG), rung.to_string());
         if let Some(request) = join.client.request(Method::SetParameter, uri, &[header]) {
             send(&mut self.reactor, join.connection, |bytes| request.write(bytes).is_ok());
         }
@@ -92,7 +98,7 @@
     /// Forwards PAUSE, or the PLAY after it, to the streamer.
     pub(super) fn forward_to_streamer(&mut self, job: Option<JobId>, method: Method) {
         let Some(join) = job.and_then(|job| self.join_of(job)) else { return };
-        let (connection, uri) = (join.connection, words::uri(join.streamer, join.title));
+        let (connection, uri) = (join.connection, extension_headers::title_uri(join.streamer, join.title));
         if let Some(request) = join.client.request(method, uri, &[]) {
             send(&mut self.reactor, connection, |bytes| request.write(bytes).is_ok());
         }
@@ -103,8 +109,8 @@
         let Some(mut join) = self.joins.remove(&(job, number)) else { return };
         self.join_ids.remove(&join.connection);
         self.account_join_traffic(&mut join);
-        join.client.forget();
-        let uri = words::uri(join.streamer, join.title);
+        join.client.forget_pending();
+        let uri = extension_headers::title_uri(join.streamer, join.title);
         let set_up = join.client.session().is_some();
         if let Some(request) = join.client.request(Method::Teardown, uri, &[]).filter(|_| set_up) {
             send(&mut self.reactor, join.connection, |bytes| request.write(bytes).is_ok());
@@ -153,7 +159,7 @@
         let Some(join) = self.joins.get_mut(&id) else { return };
         join.uncounted_traffic.control_bytes += response.write_len();
         let (status, usage) = (u16::from(response.status()), response.load());
-        match join.client.answered(response) {
+        match join.client.match_response(response) {
             Some(Method::Setup) => {
                 self.queue_join_event(move |steps| steps.join_set_up(id.0, id.1, status, &usage));
             }
--- a/crates/controller/src/connections/probing.rs
+++ b/crates/controller/src/connections/probing.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_reactor::{Bounds, Line};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
 use badgerledge_rtsp::Unit;
 use rtsp_types::{headers, Method};
 
@@ -31,7 +31,7 @@
     pub(super) fn probe_opened(&mut self, connection: Line) {
         let Some(probe) = self.probes.get(connection) else { return };
         let options = rtsp_types::Request::builder(Method::Options, rtsp_types::Version::V1_0)
-            .request_uri(words::uri(probe.streamer, 0))
+            .request_uri(extension_headers::title_uri(probe.streamer, 0))
             .header(headers::CSEQ, "1")
             .empty();
         send(&mut self.reactor, connection, |bytes| options.write(bytes).is_ok());
--- a/crates/controller/src/connections/relay.rs
+++ b/crates/controller/src/connections/relay.rs
@@ -2,7 +2,7 @@
 
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_reactor::Line;
-use badgerledge_rtsp::notes::{self, Note};
+use badgerledge_rtsp::progress_reports::{self, ProgressReport};
 use badgerledge_rtsp::{frame_header, State};
 
 use super::{Connections, JoinId};
@@ -50,7 +50,7 @@
     /// Handles an RTCP packet: progress reports are for the controller, anything else is for the viewer.
     fn handle_rtcp(&mut self, id: JoinId, streamer: StreamerId, payload: &[u8]) {
         let mut for_controller = false;
-        for report in notes::notes(payload) {
+        for report in progress_reports::decode_reports(payload) {
             for_controller = true;
             self.handle_progress_report(id, streamer, report);
         }
@@ -60,15 +60,17 @@
     }
 
     /// Handles a progress report or BYE from a streamer.
-    fn handle_progress_report(&mut self, id: JoinId, streamer: StreamerId, report: Note) {
+    fn handle_progress_report(&mut self, id: JoinId, streamer: StreamerId, report: ProgressReport) {
         match report {
-            Note::Told(kind, value) => {
+            ProgressReport::Value(kind, value) => {
                 if let Some(gossiping) = &mut self.gossiping {
                     gossiping.observe_progress_report(self.now, streamer, kind, value);
                 }
                 self.queue_for_round(move |floor| floor.join_note(id.0, id.1, kind, value));
             }
-            Note::Bye => self.queue_join_event(move |steps| steps.join_ends(id.0, id.1, Ending::Served, &[])),
+            ProgressReport::Bye => {
+                self.queue_join_event(move |steps| steps.join_ends(id.0, id.1, Ending::Served, &[]))
+            }
         }
     }
 
--- a/crates/controller/src/connections/requests.rs
+++ b/crates/controller/src/connections/requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_reactor::Line;
-use badgerledge_rtsp::words;
+use badgerledge_rtsp::extension_headers;
 use badgerledge_rtsp::{describe, interleaved, Request, State};
 use metrics::counter;
 use rand_pcg::rand_core::Rng;
@@ -88,7 +88,7 @@
     /// Answers DESCRIBE with the description of a title.
     fn describe(&mut self, connection: Line, request: &Request) {
         let Some(viewer) = self.viewers.get(&connection) else { return };
-        let title = request.request_uri().and_then(words::title);
+        let title = request.request_uri().and_then(extension_headers::title_in_uri);
         let Some(title) = title.filter(|title| self.catalogue.title(*title).is_some()) else {
             let answer = viewer.server.answer(request, StatusCode::NotFound);
             return self.answer(connection, &answer);
@@ -105,7 +105,7 @@
     /// Handles SETUP: requests a subscription, which a later round answers.
     fn handle_setup(&mut self, connection: Line, request: &Request) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
-        let title = request.request_uri().and_then(words::title);
+        let title = request.request_uri().and_then(extension_headers::title_in_uri);
         if viewer.server.state() == State::Ready {
             // Setting the same stream up again changes nothing; another one needs a connection of its own.
             let is_same = title == Some(viewer.title);
--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -17,9 +17,9 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_catalogue::Catalogue;
-use badgerledge_deployment::entries::entries_of;
+use badgerledge_deployment::entries::entries_from_text;
 use badgerledge_deployment::{
-    ActedOn, ControllerPlace, Deployment, DistributionPlace, RelayPlace, StateReader,
+    AppliedConfiguration, ControllerSection, Deployment, DistributionSection, RelayAddress, StateReader,
 };
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::{
@@ -334,7 +334,7 @@
             tracing::error!("a revision can't be applied, and new joins are held back: {why}")
         });
         self.apply_failed = to_apply.is_err();
-        let ActedOn { shared, titles, exclusive } = to_apply.ok()?;
+        let AppliedConfiguration { shared, titles, exclusive } = to_apply.ok()?;
         let acting = self.watcher.acting(self.now);
         let (active, prepared) = (acting.active, acting.prepared);
         tracing::info!(active, prepared, exclusive, titles = titles.len(), "applies a revision");
@@ -343,7 +343,7 @@
     }
 
     /// Reads the active and the prepared state and derives the configuration to apply.
-    fn configuration_to_apply(&self) -> Result<ActedOn, String> {
+    fn configuration_to_apply(&self) -> Result<AppliedConfiguration, String> {
         let mut checks = self.checks.lock().map_err(|error| error.to_string())?;
         let active = checks.reader.read(self.watcher.active_state())?;
         let prepared = self.watcher.prepared_state().map(|state| checks.reader.read(state)).transpose()?;
@@ -403,12 +403,12 @@
 fn state_of_files(deployment: &Deployment, titles: Option<&Catalogue>) -> Result<State> {
     let mut text = deployment.shared_text.clone();
     titles.into_iter().for_each(|titles| text += &titles.text());
-    let entries = entries_of(&text).context("[distribution]: the settings of this file")?;
+    let entries = entries_from_text(&text).context("[distribution]: the settings of this file")?;
     State::from_entries(entries).context("[distribution]: the settings of this file")
 }
 
 /// The relays in the order of this controller's preference.
-fn relays_by_preference(place: &ControllerPlace, settings: &DistributionPlace) -> Vec<RelayPlace> {
+fn relays_by_preference(place: &ControllerSection, settings: &DistributionSection) -> Vec<RelayAddress> {
     let relays: Vec<_> =
         settings.relays.iter().map(|relay| (relay.machine, relay.zone == place.zone)).collect();
     let relays = relay_order(place.number, &relays);
--- a/crates/controller/src/distributing/relay_connections.rs
+++ b/crates/controller/src/distributing/relay_connections.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use badgerledge_deployment::RelayPlace;
+use badgerledge_deployment::RelayAddress;
 use badgerledge_distribution::message::{
     decode, encode, FrameFault, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
@@ -25,7 +25,7 @@
 
 /// A watcher's connections to relays. Relays are identified by their index in its order of preference.
 pub struct RelayConnections {
-    relays: Vec<RelayPlace>,
+    relays: Vec<RelayAddress>,
     /// The local address that connections go out from; the system chooses where none is set.
     from: Option<IpAddr>,
     connections: BTreeMap<usize, Line>,
@@ -33,12 +33,12 @@
 
 impl RelayConnections {
     /// Starts without any connection.
-    pub fn new(relays: Vec<RelayPlace>, from: Option<IpAddr>) -> Self {
+    pub fn new(relays: Vec<RelayAddress>, from: Option<IpAddr>) -> Self {
         Self { relays, from, connections: BTreeMap::new() }
     }
 
     /// The relay at an index.
-    pub fn relay(&self, index: usize) -> Option<&RelayPlace> {
+    pub fn relay(&self, index: usize) -> Option<&RelayAddress> {
         self.relays.get(index)
     }
 
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_core::interface::{Ending, StreamerId};
-use badgerledge_deployment::{ControllerPlace, GossipPlace};
+use badgerledge_deployment::{ControllerSection, GossipSection};
 use badgerledge_failure_reports::{FailureKind, FailureReports};
 use badgerledge_gossip::statement::Statement;
 use badgerledge_gossip::{Event, Gossip, Member, MemberState, Transport, MAX_DATAGRAM_BYTES};
@@ -46,7 +46,7 @@
     gossip: Gossip<Keys>,
     failure_reports: FailureReports,
     connection: Line,
-    settings: GossipPlace,
+    settings: GossipSection,
     state: Option<PathBuf>,
     ring_modified: Option<SystemTime>,
     ring_check_at: Duration,
@@ -83,7 +83,7 @@
     /// # Errors
     /// If the keys are not usable or the address cannot be bound.
     pub fn new(
-        reactor: &mut Reactor, place: &ControllerPlace, settings: &GossipPlace, seed: u64,
+        reactor: &mut Reactor, place: &ControllerSection, settings: &GossipSection, seed: u64,
     ) -> Result<Self> {
         let keys = read_keys(settings, place.number)?;
         let ring_modified = modified_at(&settings.ring);
@@ -347,7 +347,7 @@
 }
 
 /// Reads this controller's private key and the ring.
-fn read_keys(settings: &GossipPlace, number: u32) -> Result<Keys> {
+fn read_keys(settings: &GossipSection, number: u32) -> Result<Keys> {
     let private = PrivateKey::read(&settings.key)?;
     if private.role() != Role::Member(number as Member) {
         let (key, role) = (settings.key.display(), private.role());
@@ -369,8 +369,8 @@
 /// message is sent with it.
 fn next_incarnation(state: Option<&Path>) -> u32 {
     let file = state.map(|state| state.join(INCARNATION_FILE));
-    let incarnation = files::next_life(file.as_deref());
-    if let Some(Err(error)) = file.map(|file| std::fs::write(file, files::written_life(incarnation))) {
+    let incarnation = files::next_incarnation(file.as_deref());
+    if let Some(Err(error)) = file.map(|file| std::fs::write(file, files::format_incarnation(incarnation))) {
         tracing::warn!(
             "the incarnation number could not be stored: {error}; the next one comes from the clock"
         );
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Health, Listing, Start, StreamerId};
-use badgerledge_deployment::ControllerPlace;
+use badgerledge_deployment::ControllerSection;
 use badgerledge_discovery::{Backoff, Sink, StreamerList, MAX_LINE_BYTES};
 use badgerledge_exchange::{Carrier, Floor};
 use badgerledge_reactor::{Line, Reactor};
 
-use crate::files::{self, wall};
+use crate::files::{self, unix_time};
 
 /// The first and the longest delay before reconnecting to the list service. A list that is some seconds old
 /// does little harm, while hundreds of controllers that query the service in step do.
@@ -50,7 +50,7 @@
 
 impl ListConnection {
     /// Starts with the stored list; the connection is begun by the first [`Self::poll`].
-    pub fn new(place: &ControllerPlace, subscribes_automatically: bool, now: Duration, seed: u64) -> Self {
+    pub fn new(place: &ControllerSection, subscribes_automatically: bool, now: Duration, seed: u64) -> Self {
         let (address, state) = (place.list, place.state.as_deref());
         let store_path = state.map(|folder| folder.join("list.json"));
         let streamer_list = store_path.as_deref().and_then(|path| read_stored(path, now)).unwrap_or_default();
@@ -178,7 +178,7 @@
             return;
         }
         (self.stored_at, self.is_dirty) = (now, false);
-        if let Err(error) = files::replace(path, self.streamer_list.store(now, wall()).as_ref()) {
+        if let Err(error) = files::replace(path, self.streamer_list.store(now, unix_time()).as_ref()) {
             tracing::warn!(
                 path = %path.display(),
                 "the list could not be stored: {error}; continuing without a stored copy"
@@ -200,7 +200,7 @@
             return None;
         }
     };
-    StreamerList::restore(&text, now, wall())
+    StreamerList::restore(&text, now, unix_time())
         .map_err(|error| {
             tracing::warn!(
                 path = %path.display(),
--- a/crates/controller/src/probes.rs
+++ b/crates/controller/src/probes.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_core::interface::StreamerId;
 use badgerledge_reactor::Line;
-use badgerledge_rtsp::{Bounds, Framer};
+use badgerledge_rtsp::{FrameLimits, Framer};
 
 /// Probes in progress at a time; a further one is reported as not sent. At 40 ms a probe this is over a
 /// thousand a second.
@@ -35,7 +35,7 @@
     /// Records a probe whose connection was begun.
     pub fn insert(&mut self, connection: Line, streamer: StreamerId, sent_at: Duration) {
         self.in_progress
-            .insert(connection, Probe { streamer, sent_at, framer: Framer::new(Bounds::default()) });
+            .insert(connection, Probe { streamer, sent_at, framer: Framer::new(FrameLimits::default()) });
     }
 
     /// The probe on a connection.
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -13,7 +13,7 @@
 use badgerledge_catalogue::Catalogue;
 use badgerledge_core::interface::StreamerId;
 use badgerledge_core::random::Rng;
-use badgerledge_deployment::{ActedOn, Deployment, Text};
+use badgerledge_deployment::{AppliedConfiguration, Deployment, RevisionText};
 use badgerledge_keys::Keys;
 use badgerledge_reactor::{Line, Reactor};
 use badgerledge_revisions::lists::{ListPosition, ListPositions, RemovedStreamer};
@@ -428,14 +428,14 @@
             return None;
         }
         let parse = |text: &[u8]| {
-            Text::read(text)
+            RevisionText::read(text)
                 .map_err(|why| tracing::error!("an accepted revision text can't be read: {why}"))
                 .ok()
         };
         let active = parse(self.revisions.active_text())?;
         let prepared = self.revisions.prepared_text().and_then(|text| parse(text));
         let applied = self.configuration_check.lock().ok()?.apply(&active, prepared.as_ref());
-        let ActedOn { shared, titles, exclusive } =
+        let AppliedConfiguration { shared, titles, exclusive } =
             applied.map_err(|why| tracing::error!("an accepted revision can't be applied: {why}")).ok()?;
         self.exclusive = exclusive;
         let active_revision = self.revisions.active_revision(self.now);
@@ -532,7 +532,7 @@
 
 /// Checks whether this controller can apply a text after the present configuration.
 fn check(text: &[u8], configuration_check: &Mutex<ConfigurationCheck>) -> Result<(), String> {
-    let text = Text::read(text)?;
+    let text = RevisionText::read(text)?;
     configuration_check.lock().map_err(|error| error.to_string())?.check(&text)
 }
 
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -459,7 +459,7 @@
 
     /// Reloads the catalogue. An invalid file changes nothing.
     fn reload_catalogue(&mut self) {
-        if self.connections.deployment.titles_go_with_configuration() {
+        if self.connections.deployment.titles_are_revised() {
             return tracing::warn!(
                 "the titles are part of the revisions, so the catalogue file is not reloaded: push a revision"
             );
--- a/crates/controller/src/viewer.rs
+++ b/crates/controller/src/viewer.rs
@@ -5,8 +5,8 @@
 
 use badgerledge_core::interface::{JobId, SubscriptionRequest};
 use badgerledge_deployment::Shared;
-use badgerledge_rtsp::words::{self, Headed};
-use badgerledge_rtsp::{Bounds, Framer, Request, Server};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
+use badgerledge_rtsp::{FrameLimits, Framer, Request, Server};
 use rtsp_types::headers;
 
 /// Requests that may be deferred behind a SETUP; one more closes the connection. A viewer has no need to send
@@ -51,7 +51,7 @@
     /// A connection that was just accepted.
     pub fn new(now: Duration, over_limit: bool) -> Self {
         Self {
-            framer: Framer::new(Bounds::default()),
+            framer: Framer::new(FrameLimits::default()),
             server: Server::default(),
             pending_setups: Vec::new(),
             deferred_requests: VecDeque::new(),
@@ -92,34 +92,39 @@
 ) -> Result<SubscriptionRequest, String> {
     let (first_cell, copies, default_room_type) = defaults;
     let uri = request.request_uri().ok_or("a SETUP names its title")?;
-    let room_type_name = request.word(words::ROOM_TYPE).unwrap_or(default_room_type);
+    let room_type_name = request.text(extension_headers::ROOM_TYPE).unwrap_or(default_room_type);
     let room_type =
         shared.room_type(room_type_name).ok_or_else(|| format!("there is no room type {room_type_name}"))?;
     let default_timeout = Duration::from_millis(shared.room_types[room_type].1.client_timeout_ms);
-    let parse_number = |header| match request.word(header) {
+    let parse_number = |header| match request.text(header) {
         None => Ok(None),
         Some(text) => {
             text.parse::<u64>().map(Some).map_err(|_| format!("{header}: {text} is not a whole number"))
         }
     };
-    let path_key = match request.word(words::VIEWER) {
+    let path_key = match request.text(extension_headers::VIEWER) {
         // A viewer that sends no key is identified by its connection.
         None => connection | 1 << 63,
         Some(text) => {
             u64::from_str_radix(text, 16).map_err(|_| format!("Viewer: {text} is not hexadecimal"))?
         }
     };
-    let client_timeout = parse_number(words::CLIENT_TIMEOUT)?.map_or(default_timeout, Duration::from_millis);
+    let client_timeout =
+        parse_number(extension_headers::CLIENT_TIMEOUT)?.map_or(default_timeout, Duration::from_millis);
     Ok(SubscriptionRequest {
-        title: words::title(uri).ok_or("a SETUP names its title")?,
+        title: extension_headers::title_in_uri(uri).ok_or("a SETUP names its title")?,
         path_key,
         room_type,
         client_timeout,
         first_cell,
         copies,
-        max_rung: parse_number(words::MAX_RUNG)?.unwrap_or(u64::from(u8::MAX)).min(u64::from(u8::MAX)) as u8,
-        duration_hint: parse_number(words::HINT)?.filter(|hint| *hint > 0).map(Duration::from_millis),
-        moved: request.marked("moved"),
+        max_rung: parse_number(extension_headers::MAX_RUNG)?
+            .unwrap_or(u64::from(u8::MAX))
+            .min(u64::from(u8::MAX)) as u8,
+        duration_hint: parse_number(extension_headers::HINT)?
+            .filter(|hint| *hint > 0)
+            .map(Duration::from_millis),
+        moved: request.has_flag("moved"),
     })
 }
 
--- a/crates/controller/tests/it/changes.rs
+++ b/crates/controller/tests/it/changes.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_revisions::requests::Response;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use rustix::process::Signal;
 
 use crate::harness::{
@@ -15,7 +15,7 @@
 
 /// Settings in the canonical form in which revisions are pushed.
 fn canonical_text(settings: &str) -> String {
-    canonical(&Sheet::parse("text", settings).unwrap())
+    canonical(&IniFile::parse("text", settings).unwrap())
 }
 
 /// One change moves a title to another cell, removes a rung and removes a title. A playing subscription must
--- a/crates/controller/tests/it/gossip.rs
+++ b/crates/controller/tests/it/gossip.rs
@@ -16,9 +16,9 @@
 fn keys(folder: &Path) -> Vec<String> {
     let mut public = Vec::new();
     for member in 0..3 {
-        let key = PrivateKey::make(Role::Member(member)).unwrap();
+        let key = PrivateKey::generate(Role::Member(member)).unwrap();
         key.write(&folder.join(format!("key-{member}"))).unwrap();
-        public.push(key.public());
+        public.push(key.public_hex());
     }
     write_ring(folder, &public, &[]);
     public
--- a/crates/controller/tests/it/harness.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -12,7 +12,7 @@
 use badgerledge_core::interface::Health;
 use badgerledge_deployment::Shared;
 use badgerledge_reactor::Reactor;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use badgerledge_standins::{free_port, ListService, Streamers, Told};
 use badgerledge_witness::Witness;
 use tempfile::TempDir;
@@ -87,7 +87,7 @@
 
 /// Runs the list service and the streamers until the test ends.
 fn serve(cells: u32, updates: &Receiver<Option<StreamerUpdate>>, ready: &Sender<SocketAddr>) {
-    let shared = Shared::of(&Sheet::parse("shared.ini", SHARED).unwrap()).unwrap();
+    let shared = Shared::of(&IniFile::parse("shared.ini", SHARED).unwrap()).unwrap();
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
     let mut rule_checker = Witness::new(shared.clone());
     let mut list = ListService::new(&mut reactor, (Ipv4Addr::LOCALHOST, 0).into()).unwrap();
--- a/crates/controller/tests/it/revisions.rs
+++ b/crates/controller/tests/it/revisions.rs
@@ -8,7 +8,7 @@
 use badgerledge_keys::{PrivateKey, Role};
 use badgerledge_revisions::requests::{self, Report, Request, Response};
 use badgerledge_revisions::{Head, Signed};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use badgerledge_standins::free_port;
 
 use crate::harness::{Controller, Environment, SHARED, TIMEOUT};
@@ -54,12 +54,12 @@
     pub fn new(revisions: &str) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let key = |role: Role, name: &str| {
-            let key = PrivateKey::make(role).unwrap();
+            let key = PrivateKey::generate(role).unwrap();
             key.write(&folder.path().join(name)).unwrap();
             key
         };
         let (member, author) = (key(Role::Member(0), "key-0"), key(Role::Author(0), "author"));
-        let (member_key, author_key) = (member.public(), author.public());
+        let (member_key, author_key) = (member.public_hex(), author.public_hex());
         let ring = format!(
             "[member 0]\nkeys = {member_key}\n[author 0]\nkeys = {author_key}\n[keepers]\nmembers = 0\n"
         );
@@ -77,11 +77,11 @@
     let environment = Environment::new(true);
     let fleet = SingleControllerFleet::new("");
     let (author, at) = (&fleet.author, fleet.at);
-    let impostor = PrivateKey::make(Role::Author(0)).unwrap();
+    let impostor = PrivateKey::generate(Role::Author(0)).unwrap();
     let mut controller = Controller::start(environment.list, &fleet.settings);
     controller.wait_metric("badgerledge_revision_active", |active| active == 0.0);
 
-    let shared = canonical(&Sheet::parse("shared", SHARED).unwrap());
+    let shared = canonical(&IniFile::parse("shared", SHARED).unwrap());
     let with_longer_timeout = shared.replace("client_timeout_ms = 2000", "client_timeout_ms = 2500");
     assert_ne!(with_longer_timeout, shared);
     let refused = |answer: Response, reason: &str| match answer {
--- a/crates/deployment/src/distribution_place.rs
+++ b/crates/deployment/src/distribution_section.rs
@@ -14,27 +14,28 @@
 /// Maximum number of relays in the settings of one controller.
 const MAX_RELAYS: usize = 64;
 
-/// `[distribution]`: this controller watches control machines, from which it receives the shared sections while it runs.
+/// `[distribution]`: this controller watches control machines, from which it receives the shared sections
+/// while it runs.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct DistributionPlace {
+pub struct DistributionSection {
     /// The file of the control machines' and authors' public keys; the same at all controllers.
     #[garde(skip)]
     pub ring: PathBuf,
     /// The control machines that serve controllers, in any order: `NUMBER ZONE ADDRESS` each.
     #[garde(length(min = 1, max = MAX_RELAYS), custom(check_unique_relays))]
-    pub relays: Vec<RelayPlace>,
+    pub relays: Vec<RelayAddress>,
     /// The local address of connections to relays; chosen by the system if `None`.
     #[garde(skip)]
     pub from: Option<IpAddr>,
-    /// Whether the titles are distributed with the settings: then the catalogue's file applies only until the first
-    /// revision, and is not read again. Must be the same at all controllers.
+    /// Whether the titles are distributed with the settings: then the catalogue's file applies only until the
+    /// first revision, and is not read again. Must be the same at all controllers.
     #[garde(skip)]
     #[serde(default)]
     pub titles: bool,
-    /// Whether this controller may keep its old configuration while its region is partitioned, under regional leases of
-    /// two control machines, for at most their `apart_s`. Upgrade and configure the control machines first: they must
-    /// support it.
+    /// Whether this controller may keep its old configuration while its region is partitioned, under regional
+    /// leases of two control machines, for at most their `apart_s`. Upgrade and configure the control
+    /// machines first: they must support it.
     #[garde(skip)]
     #[serde(default)]
     pub apart: bool,
@@ -47,7 +48,7 @@
 /// A control machine that serves controllers: its number, zone and address.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
-pub struct RelayPlace {
+pub struct RelayAddress {
     /// Its number in the ring of control machines.
     pub machine: MachineId,
     /// Its zone; controllers of this zone prefer it.
@@ -56,7 +57,7 @@
     pub at: SocketAddr,
 }
 
-impl FromStr for RelayPlace {
+impl FromStr for RelayAddress {
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -70,7 +71,7 @@
     }
 }
 
-impl TryFrom<String> for RelayPlace {
+impl TryFrom<String> for RelayAddress {
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
@@ -79,8 +80,8 @@
 }
 
 /// Rejects a control machine or an address that is given twice.
-fn check_unique_relays(relays: &[RelayPlace], (): &()) -> garde::Result {
-    let is_duplicate = |(index, relay): (usize, &RelayPlace)| {
+fn check_unique_relays(relays: &[RelayAddress], (): &()) -> garde::Result {
+    let is_duplicate = |(index, relay): (usize, &RelayAddress)| {
         relays[..index].iter().any(|earlier| earlier.machine == relay.machine || earlier.at == relay.at)
     };
     match relays.iter().enumerate().find(|found| is_duplicate(*found)) {
--- a/crates/deployment/src/entries.rs
+++ b/crates/deployment/src/entries.rs
@@ -6,19 +6,19 @@
 //! | `SECTION<tab>KEY` | the value of a setting |
 //! | `title ID` | the lines of a title |
 //!
-//! A section exists if its entry `SECTION<tab>` does. Two sections with the same position, as two authors may add them,
-//! are sorted by name. Keys that begin with a NUL byte belong to the protocol that distributes the state, and are
-//! ignored here.
+//! A section exists if its entry `SECTION<tab>` does. Two sections with the same position, as two authors may
+//! add them, are sorted by name. Keys that begin with a NUL byte belong to the protocol that distributes the
+//! state, and are ignored here.
 
 use std::collections::BTreeMap;
 
 use badgerledge_catalogue::{Catalogue, Title};
 use badgerledge_distribution::state::Entry;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use thiserror::Error;
 
-use crate::kinds::plain;
-use crate::{Text, SHARED_SECTIONS};
+use crate::kinds::canonical_value;
+use crate::{RevisionText, SHARED_SECTIONS};
 
 /// Separates section and name in the key of a setting.
 const SEPARATOR: char = '\t';
@@ -29,7 +29,7 @@
 
 /// Why entries do not form a configuration, or a text can not be converted into entries.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum EntriesFault {
+pub enum EntriesError {
     #[error("{0}")]
     Text(String),
     #[error("entry {0:?}: not the key of a setting or a title")]
@@ -46,9 +46,9 @@
 ///
 /// # Errors
 /// If the text is not a valid configuration in canonical form.
-pub fn entries_of(text: &str) -> Result<Vec<Entry>, EntriesFault> {
-    Text::read(text.as_bytes()).map_err(EntriesFault::Text)?;
-    let (settings, titles) = Text::split(text);
+pub fn entries_from_text(text: &str) -> Result<Vec<Entry>, EntriesError> {
+    RevisionText::read(text.as_bytes()).map_err(EntriesError::Text)?;
+    let (settings, titles) = RevisionText::split(text);
     let mut entries = settings_entries(settings)?;
     entries.extend(title_entries(titles));
     Ok(entries)
@@ -69,9 +69,9 @@
     entries
 }
 
-fn settings_entries(settings: &str) -> Result<Vec<Entry>, EntriesFault> {
+fn settings_entries(settings: &str) -> Result<Vec<Entry>, EntriesError> {
     let sheet =
-        Sheet::parse("settings", settings).map_err(|faults| EntriesFault::Text(faults.to_string()))?;
+        IniFile::parse("settings", settings).map_err(|faults| EntriesError::Text(faults.to_string()))?;
     let mut positions: BTreeMap<&str, usize> = BTreeMap::new();
     let mut entries = Vec::new();
     for section in sheet.sections() {
@@ -100,7 +100,7 @@
 }
 
 /// The section and the name in the key of a setting's entry; `None` if the key is not that of a setting.
-pub fn setting_of(key: &str) -> Option<(&str, &str)> {
+pub fn split_setting_key(key: &str) -> Option<(&str, &str)> {
     key.split_once(SEPARATOR)
 }
 
@@ -111,11 +111,14 @@
     settings: BTreeMap<&'a str, &'a str>,
 }
 
-/// The canonical text of a state's entries. [`Text::read`] checks whether it is a valid configuration.
+/// The canonical text of a state's entries. [`RevisionText::read`] checks whether it is a valid
+/// configuration.
 ///
 /// # Errors
 /// Names the entry that can not be part of a configuration.
-pub fn text_of<'a>(entries: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Result<String, EntriesFault> {
+pub fn text_from_entries<'a>(
+    entries: impl IntoIterator<Item = (&'a str, &'a [u8])>,
+) -> Result<String, EntriesError> {
     let mut sections: BTreeMap<&str, Section> = BTreeMap::new();
     let mut titles = Vec::new();
     for (key, value) in entries.into_iter().filter(|(key, _)| !is_reserved(key)) {
@@ -123,7 +126,7 @@
             titles.push((key, value_text(key, value)?));
             continue;
         }
-        let (section, name) = setting_of(key).ok_or_else(|| EntriesFault::Key(key.to_owned()))?;
+        let (section, name) = split_setting_key(key).ok_or_else(|| EntriesError::Key(key.to_owned()))?;
         let value = checked_setting(key, section, name, value)?;
         let section = sections.entry(section).or_default();
         if name.is_empty() {
@@ -135,14 +138,14 @@
     Ok(settings_text(&sections)? + &titles_text(titles)?)
 }
 
-fn settings_text(sections: &BTreeMap<&str, Section>) -> Result<String, EntriesFault> {
+fn settings_text(sections: &BTreeMap<&str, Section>) -> Result<String, EntriesError> {
     let mut ordered = Vec::new();
     for (name, section) in sections {
         let rank = SHARED_SECTIONS.iter().position(|known| *known == family(name)).unwrap_or(usize::MAX);
         let Some(position) = section.position else {
             let first = section.settings.keys().next().copied().unwrap_or_default();
             let key = format!("{name}{SEPARATOR}{first}");
-            return Err(EntriesFault::NoSection { key, section: (*name).to_owned() });
+            return Err(EntriesError::NoSection { key, section: (*name).to_owned() });
         };
         ordered.push((rank, position, *name, section));
     }
@@ -161,7 +164,7 @@
 ///
 /// # Errors
 /// If the key or the value is not in canonical form.
-pub fn title_of(key: &str, value: &[u8]) -> Result<Option<(u64, Title)>, EntriesFault> {
+pub fn parse_title(key: &str, value: &[u8]) -> Result<Option<(u64, Title)>, EntriesError> {
     let Some(id) = title_id(key)? else { return Ok(None) };
     let text = format!("[{key}]\n{}", value_text(key, value)?);
     let catalogue =
@@ -169,7 +172,7 @@
     let title = catalogue.as_ref().and_then(|catalogue| catalogue.title(id));
     match title {
         Some(title) => Ok(Some((id, title.clone()))),
-        None => Err(EntriesFault::Titles(titles_fault(&text))),
+        None => Err(EntriesError::Titles(titles_fault(&text))),
     }
 }
 
@@ -177,10 +180,10 @@
 ///
 /// # Errors
 /// If the id is not in canonical form.
-pub fn title_id(key: &str) -> Result<Option<u64>, EntriesFault> {
+pub fn title_id(key: &str) -> Result<Option<u64>, EntriesError> {
     let Some(digits) = key.strip_prefix(TITLE) else { return Ok(None) };
     let id = u64::from_str_radix(digits, 16).ok().filter(|id| format!("{id:x}") == digits);
-    id.map(Some).ok_or_else(|| EntriesFault::Key(key.to_owned()))
+    id.map(Some).ok_or_else(|| EntriesError::Key(key.to_owned()))
 }
 
 /// Whether a key belongs to the distribution protocol.
@@ -188,12 +191,13 @@
     key.starts_with(RESERVED)
 }
 
-/// The text of titles, sorted by id. Each entry must be exactly one title, so that no value can insert another section.
-fn titles_text(titles: Vec<(&str, &str)>) -> Result<String, EntriesFault> {
+/// The text of titles, sorted by id. Each entry must be exactly one title, so that no value can insert
+/// another section.
+fn titles_text(titles: Vec<(&str, &str)>) -> Result<String, EntriesError> {
     let count = titles.len();
     let mut by_id = Vec::with_capacity(count);
     for (key, value) in titles {
-        let id = title_id(key)?.ok_or_else(|| EntriesFault::Key(key.to_owned()))?;
+        let id = title_id(key)?.ok_or_else(|| EntriesError::Key(key.to_owned()))?;
         by_id.push((id, value));
     }
     by_id.sort_unstable_by_key(|(id, _)| *id);
@@ -203,34 +207,35 @@
     }
     match Catalogue::parse_canonical(&text) {
         Some(parsed) if parsed.len() == count && parsed.text() == text => Ok(text),
-        _ => Err(EntriesFault::Titles(titles_fault(&text))),
+        _ => Err(EntriesError::Titles(titles_fault(&text))),
     }
 }
 
-/// The error in an invalid text of titles. Parses it again as a [`Sheet`], which knows the line.
+/// The error in an invalid text of titles. Parses it again as an [`IniFile`], which knows the line.
 fn titles_fault(text: &str) -> String {
-    match Sheet::parse("titles", text).and_then(|sheet| Catalogue::from_sheet(&sheet)) {
+    match IniFile::parse("titles", text).and_then(|sheet| Catalogue::from_sheet(&sheet)) {
         Err(faults) => faults.to_string(),
         Ok(_) => "a title has the lines copies, first_cell and room_type, and no others".to_owned(),
     }
 }
 
-fn value_text<'a>(key: &str, value: &'a [u8]) -> Result<&'a str, EntriesFault> {
+fn value_text<'a>(key: &str, value: &'a [u8]) -> Result<&'a str, EntriesError> {
     std::str::from_utf8(value)
-        .map_err(|_| EntriesFault::Value { key: key.to_owned(), reason: "the value is not UTF-8" })
+        .map_err(|_| EntriesError::Value { key: key.to_owned(), reason: "the value is not UTF-8" })
 }
 
-/// The value of a setting, after checking that neither it nor its key can be read as another line of the text.
+/// The value of a setting, after checking that neither it nor its key can be read as another line of the
+/// text.
 fn checked_setting<'a>(
     key: &str, section: &str, name: &str, value: &'a [u8],
-) -> Result<&'a str, EntriesFault> {
+) -> Result<&'a str, EntriesError> {
     let value = value_text(key, value)?;
-    let value_fault = |reason| EntriesFault::Value { key: key.to_owned(), reason };
+    let value_fault = |reason| EntriesError::Value { key: key.to_owned(), reason };
     if key.chars().chain(value.chars()).any(|c| c.is_control() && c != SEPARATOR) || name.contains(SEPARATOR)
     {
         return Err(value_fault("control characters are not allowed"));
     }
-    if value.contains(SEPARATOR) || plain(value) != value {
+    if value.contains(SEPARATOR) || canonical_value(value) != value {
         return Err(value_fault(
             "the value is not in canonical form: list elements are separated by a comma and one blank",
         ));
@@ -245,9 +250,9 @@
     Ok(value)
 }
 
-fn parse_position(key: &str, value: &str) -> Result<u32, EntriesFault> {
+fn parse_position(key: &str, value: &str) -> Result<u32, EntriesError> {
     let reason = "the position of a section is a whole number without leading zeros";
-    let position_fault = || EntriesFault::Value { key: key.to_owned(), reason };
+    let position_fault = || EntriesError::Value { key: key.to_owned(), reason };
     let position: u32 = value.parse().map_err(|_| position_fault())?;
     if position.to_string() == value {
         Ok(position)
--- a/crates/deployment/src/entries_tests.rs
+++ b/crates/deployment/src/entries_tests.rs
@@ -3,8 +3,8 @@
 use badgerledge_distribution::state::Entry;
 use quickcheck::{quickcheck, TestResult};
 
-use crate::entries::{entries_of, text_of, title_of, EntriesFault};
-use crate::Text;
+use crate::entries::{entries_from_text, parse_title, text_from_entries, EntriesError};
+use crate::RevisionText;
 
 const SETTINGS: &str = "\
 [fleet]
@@ -29,8 +29,8 @@
     format!("[title {id:x}]\ncopies = 2\nfirst_cell = {first_cell}\nroom_type = zoo\n")
 }
 
-fn text_of_entries(entries: &[Entry]) -> Result<String, EntriesFault> {
-    text_of(entries.iter().map(|entry| (entry.key.as_str(), entry.value.as_slice())))
+fn text_from(entries: &[Entry]) -> Result<String, EntriesError> {
+    text_from_entries(entries.iter().map(|entry| (entry.key.as_str(), entry.value.as_slice())))
 }
 
 /// A text with the room types in the order of `types`, and a title for each id.
@@ -53,41 +53,45 @@
         types: Vec<u8>, ids: Vec<u64>, rules: bool, rotation: usize
     ) -> TestResult {
         let text = text(&types, &ids, rules);
-        if let Err(reason) = Text::read(text.as_bytes()) {
+        if let Err(reason) = RevisionText::read(text.as_bytes()) {
             return TestResult::error(reason);
         }
-        let Ok(mut entries) = entries_of(&text) else { return TestResult::failed() };
+        let Ok(mut entries) = entries_from_text(&text) else { return TestResult::failed() };
         // The order of entries has no meaning, and the protocol's own entries are ignored.
         let rotation = rotation % entries.len();
         entries.rotate_left(rotation);
         entries.push(Entry { key: "\0author 3".to_owned(), value: vec![0xff] });
-        TestResult::from_bool(text_of_entries(&entries).as_deref() == Ok(text.as_str()))
+        TestResult::from_bool(text_from(&entries).as_deref() == Ok(text.as_str()))
     }
 }
 
 #[test]
 fn order_of_room_types_is_preserved() {
     let text = text(&[9, 3, 200, 1], &[5], true);
-    let entries = entries_of(&text).unwrap();
+    let entries = entries_from_text(&text).unwrap();
     let position = |key: &str| entries.iter().find(|entry| entry.key == key).map(|entry| entry.value.clone());
     assert_eq!(position("room_type 0 9\t"), Some(b"1".to_vec()));
     assert_eq!(position("room_type 0 200\t"), Some(b"3".to_vec()));
-    assert_eq!(text_of_entries(&entries).unwrap(), text);
+    assert_eq!(text_from(&entries).unwrap(), text);
     // Two authors each add a room type at the same position: both are kept, sorted by name.
     let added = [room_type("b", 1), room_type("a", 2)].map(|added| {
         let changed = text.replacen("[rules]", &format!("{added}[rules]"), 1);
-        entries_of(&changed).unwrap().into_iter().filter(|entry| !entries.contains(entry)).collect::<Vec<_>>()
+        entries_from_text(&changed)
+            .unwrap()
+            .into_iter()
+            .filter(|entry| !entries.contains(entry))
+            .collect::<Vec<_>>()
     });
-    let both = text_of_entries(&[entries.clone(), added.concat()].concat()).unwrap();
+    let both = text_from(&[entries.clone(), added.concat()].concat()).unwrap();
     let expected = format!("{}{}[rules]", room_type("a", 2), room_type("b", 1));
     assert_eq!(both, text.replacen("[rules]", &expected, 1));
 }
 
 #[test]
 fn changing_one_setting_or_title_changes_one_entry() {
-    let before = entries_of(&text(&[1, 2], &[7, 8], true)).unwrap();
+    let before = entries_from_text(&text(&[1, 2], &[7, 8], true)).unwrap();
     let changed = |text: &str| -> Vec<Entry> {
-        entries_of(text).unwrap().into_iter().filter(|entry| !before.contains(entry)).collect()
+        entries_from_text(text).unwrap().into_iter().filter(|entry| !before.contains(entry)).collect()
     };
     let one = |key: &str, value: &str| vec![Entry { key: key.to_owned(), value: value.as_bytes().to_vec() }];
     let text = text(&[1, 2], &[7, 8], true);
@@ -98,12 +102,12 @@
 
 #[test]
 fn invalid_entries_are_rejected() {
-    let valid = entries_of(&text(&[1], &[7], false)).unwrap();
+    let valid = entries_from_text(&text(&[1], &[7], false)).unwrap();
     let with = |key: &str, value: &str| {
         let mut entries = valid.clone();
         entries.retain(|entry| entry.key != key);
         entries.push(Entry { key: key.to_owned(), value: value.as_bytes().to_vec() });
-        text_of_entries(&entries).map_err(|fault| fault.to_string()).unwrap_err()
+        text_from(&entries).map_err(|fault| fault.to_string()).unwrap_err()
     };
     assert!(with("stray", "1").contains("not the key of a setting or a title"));
     assert!(with("controller\tnumber", "1").contains("no such section"));
@@ -120,16 +124,19 @@
     // A value can not insert another title.
     let two = format!("copies = 2\nfirst_cell = 3\nroom_type = zoo\n{}", title(9, 1));
     assert!(with("title 7", &two).contains("and no others"));
-    assert!(entries_of("[fleet]\ncells = 0\n").is_err());
+    assert!(entries_from_text("[fleet]\ncells = 0\n").is_err());
 }
 
 #[test]
 fn titles_are_changed_one_by_one() {
-    let text = Text::read(text(&[1], &[7, 8], false).as_bytes()).unwrap();
+    let text = RevisionText::read(text(&[1], &[7, 8], false).as_bytes()).unwrap();
     let moved = "copies = 2\nfirst_cell = 3\nroom_type = zoo\n";
-    let (id, title) = title_of("title 8", moved.as_bytes()).unwrap().unwrap();
-    assert_eq!(title_of("rules\tjoins", b"1"), Ok(None));
-    assert!(title_of("title 08", moved.as_bytes()).is_err() && title_of("title 8", b"copies = 2\n").is_err());
+    let (id, title) = parse_title("title 8", moved.as_bytes()).unwrap().unwrap();
+    assert_eq!(parse_title("rules\tjoins", b"1"), Ok(None));
+    assert!(
+        parse_title("title 08", moved.as_bytes()).is_err()
+            && parse_title("title 8", b"copies = 2\n").is_err()
+    );
     let changed = text.with_titles(vec![(id, Some(title.clone())), (7, None)]).unwrap();
     assert_eq!(changed.titles().titles().collect::<Vec<_>>(), [(8, &title)]);
     let without_type = badgerledge_catalogue::Title { room_type: "none".to_owned(), ..title };
--- a/crates/deployment/src/exclusive_tests.rs
+++ b/crates/deployment/src/exclusive_tests.rs
@@ -2,13 +2,13 @@
 
 use badgerledge_distribution::state::{Edit, State};
 
-use crate::entries::{entries_of, setting_key};
+use crate::entries::{entries_from_text, setting_key};
 use crate::entries_tests::text;
 use crate::is_exclusive;
 use crate::kinds::{Kind, KINDS};
 
 fn state() -> State {
-    State::from_entries(entries_of(&text(&[0, 1], &[1, 0x2a], true)).unwrap()).unwrap()
+    State::from_entries(entries_from_text(&text(&[0, 1], &[1, 0x2a], true)).unwrap()).unwrap()
 }
 
 fn edit(key: &str, value: Option<&str>) -> Edit {
@@ -38,7 +38,8 @@
     assert!(exclusive(&setting_key("room_type quiz", ""), Some("9")));
 }
 
-/// Removing a title is exclusive, since a second change, which is free as well, could add it again on other cells.
+/// Removing a title is exclusive, since a second change, which is free as well, could add it again on other
+/// cells.
 #[test]
 fn adding_a_title_is_free_but_moving_or_removing_it_is_exclusive() {
     let state = state();
--- a/crates/deployment/src/kinds.rs
+++ b/crates/deployment/src/kinds.rs
@@ -1,10 +1,10 @@
-//! Classifies each key of the shared sections by what controllers may do while they do not all apply the same revision,
-//! and computes the text that is safe to apply while a change has reached only some of them.
+//! Classifies each key of the shared sections by what controllers may do while they do not all apply the same
+//! revision, and computes the text that is safe to apply while a change has reached only some of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use badgerledge_catalogue::Catalogue;
-use badgerledge_settings::{Faults, Sheet};
+use badgerledge_settings::{Faults, IniFile};
 
 use crate::{Permissions, Rules, Shared, REVISED_SECTIONS, SHARED_SECTIONS};
 
@@ -25,16 +25,16 @@
     Lower,
     Higher,
     /// The lower one, except that 0 means no limit.
-    LowerBut0,
+    LowerOrUnlimited,
     /// `false`: the action is not permitted.
     False,
 }
 
 use Kind::{Exclusive, Free, Stricter};
-use Side::{False, Higher, Lower, LowerBut0};
+use Side::{False, Higher, Lower, LowerOrUnlimited};
 
-/// Section, key and kind of each key of the shared sections and titles, in the order of the sections. A test compares it
-/// with the types of the sections.
+/// Section, key and kind of each key of the shared sections and titles, in the order of the sections. A test
+/// compares it with the types of the sections.
 pub const KINDS: [(&str, &str, Kind); 52] = [
     // Names whose position is the number by which controllers refer to them.
     ("fleet", "zones", Exclusive),
@@ -67,7 +67,7 @@
     ("room_type", "scale", Exclusive),
     ("room_type", "floor", Stricter(Higher)),
     ("room_type", "top", Stricter(Lower)),
-    ("room_type", "seats", Stricter(LowerBut0)),
+    ("room_type", "seats", Stricter(LowerOrUnlimited)),
     ("room_type", "live", Free),
     ("rules", "drain_grace_ms", Stricter(Lower)),
     ("rules", "warm_up_ms", Stricter(Higher)),
@@ -90,15 +90,15 @@
     ("crossing", "rate_kb_s", Exclusive),
     ("crossing", "burst_kb", Exclusive),
     ("crossing", "per", Exclusive),
-    // Decide which streamers hold a title, and under which rules it plays. Adding or removing a title is free: one that
-    // some controllers still serve does no harm at the others.
+    // Decide which streamers hold a title, and under which rules it plays. Adding or removing a title is
+    // free: one that some controllers still serve does no harm at the others.
     ("title", "room_type", Exclusive),
     ("title", "first_cell", Exclusive),
     ("title", "copies", Exclusive),
 ];
 
-/// The kind of a key. An empty key stands for the section itself: adding, removing or reordering it is exclusive, except
-/// for titles, where it is free.
+/// The kind of a key. An empty key stands for the section itself: adding, removing or reordering it is
+/// exclusive, except for titles, where it is free.
 pub fn kind_of(section: &str, key: &str) -> Kind {
     let family = family(section);
     if family == "title" && key.is_empty() {
@@ -127,28 +127,29 @@
     section.split(' ').next().unwrap_or(section)
 }
 
-/// The canonical text of a revision: the shared sections of a file and its titles, so that equal configurations have
-/// equal texts. Sections are in the order of [`REVISED_SECTIONS`], room types in the order of the file, titles sorted by
-/// id, keys sorted by name, and values without extra blanks.
-pub fn canonical(sheet: &Sheet) -> String {
+/// The canonical text of a revision: the shared sections of a file and its titles, so that equal
+/// configurations have equal texts. Sections are in the order of [`REVISED_SECTIONS`], room types in the
+/// order of the file, titles sorted by id, keys sorted by name, and values without extra blanks.
+pub fn canonical(sheet: &IniFile) -> String {
     let mut text = String::new();
     for shared_family in SHARED_SECTIONS {
         for section in sheet.sections().filter(|section| family(section) == shared_family) {
             text += &format!("[{}]\n", section.split_whitespace().collect::<Vec<_>>().join(" "));
             for (key, value) in sheet.keys(section) {
-                text += &format!("{key} = {}\n", plain(value));
+                text += &format!("{key} = {}\n", canonical_value(value));
             }
         }
     }
     // Invalid titles have no canonical form: they are copied, and reported when the text is read.
     match Catalogue::from_sections(sheet) {
         Ok(titles) => text + &titles.text(),
-        Err(_) => text + &sheet.copy(&["title"]),
+        Err(_) => text + &sheet.copy_sections(&["title"]),
     }
 }
 
-/// A value in canonical form: list elements separated by a comma and one blank, without other blanks around them.
-pub fn plain(value: &str) -> String {
+/// A value in canonical form: list elements separated by a comma and one blank, without other blanks around
+/// them.
+pub fn canonical_value(value: &str) -> String {
     value.split(',').map(str::trim).collect::<Vec<_>>().join(", ")
 }
 
@@ -156,10 +157,10 @@
 type Values = BTreeMap<(String, String), String>;
 
 /// The values of all sections that are part of a revision.
-fn values(sheet: &Sheet) -> Values {
+fn values(sheet: &IniFile) -> Values {
     let section_values = |section: &str| -> Vec<((String, String), String)> {
         let keys = sheet.keys(section).into_iter();
-        keys.map(|(key, value)| ((section.to_owned(), key.to_owned()), plain(value))).collect()
+        keys.map(|(key, value)| ((section.to_owned(), key.to_owned()), canonical_value(value))).collect()
     };
     sheet.sections().filter(|section| is_revised(section)).flat_map(section_values).collect()
 }
@@ -170,7 +171,7 @@
 }
 
 /// The position of each section: a room type's number, or `there` for sections whose order has no meaning.
-fn positions(sheet: &Sheet) -> BTreeMap<&str, String> {
+fn positions(sheet: &IniFile) -> BTreeMap<&str, String> {
     let mut room_type_numbers = 0..;
     let position = |section| match family(section) {
         "room_type" => format!("number {}", room_type_numbers.next().unwrap_or(0)),
@@ -181,9 +182,9 @@
     sections.into_iter().zip(positions).collect()
 }
 
-/// All differences between two texts, sorted by section and key. Sections that were added, removed or reordered come
-/// first, with an empty key.
-pub fn changes(from: &Sheet, to: &Sheet) -> Vec<Change> {
+/// All differences between two texts, sorted by section and key. Sections that were added, removed or
+/// reordered come first, with an empty key.
+pub fn changes(from: &IniFile, to: &IniFile) -> Vec<Change> {
     let mut changes = Vec::new();
     let (old, new) = (positions(from), positions(to));
     let sections: BTreeSet<&str> = old.keys().chain(new.keys()).copied().collect();
@@ -215,10 +216,12 @@
     changes
 }
 
-/// The text that a controller applies while a change may not have reached all others: new values of free keys, the
-/// stricter value of others, and old values of exclusive keys. `default_of` gives the defaults of keys that a text does
-/// not give.
-pub fn between(from: &Sheet, to: &Sheet, default_of: &dyn Fn(&str, &str) -> Option<String>) -> String {
+/// The text that a controller applies while a change may not have reached all others: new values of free
+/// keys, the stricter value of others, and old values of exclusive keys. `default_of` gives the defaults of
+/// keys that a text does not give.
+pub fn transition_text(
+    from: &IniFile, to: &IniFile, default_of: &dyn Fn(&str, &str) -> Option<String>,
+) -> String {
     let mut chosen = values(from);
     for change in changes(from, to).iter().filter(|change| !change.key.is_empty()) {
         let section_key = (change.section.clone(), change.key.clone());
@@ -229,7 +232,8 @@
             Free => change.to.clone(),
             Stricter(side) => match (value_or_default(&change.from), value_or_default(&change.to)) {
                 (Some(old), Some(new)) => Some(stricter(side, &old, &new)),
-                // A key without a default is unlimited if it is not given, so the given value is the stricter one.
+                // A key without a default is unlimited if it is not given, so the given value is the stricter
+                // one.
                 (old, new) => old.or(new),
             },
         };
@@ -255,7 +259,7 @@
 }
 
 /// Whether a change contains an exclusive one.
-pub fn is_exclusive(from: &Sheet, to: &Sheet) -> bool {
+pub fn is_exclusive(from: &IniFile, to: &IniFile) -> bool {
     changes(from, to).iter().any(|change| change.kind == Exclusive)
 }
 
@@ -276,8 +280,8 @@
     let old_is_stricter = match side {
         Lower => old_number <= new_number,
         Higher => old_number >= new_number,
-        LowerBut0 if old_number == 0.0 || new_number == 0.0 => new_number == 0.0,
-        LowerBut0 => old_number <= new_number,
+        LowerOrUnlimited if old_number == 0.0 || new_number == 0.0 => new_number == 0.0,
+        LowerOrUnlimited => old_number <= new_number,
         False => old == "false",
     };
     if old_is_stricter {
@@ -291,12 +295,12 @@
 ///
 /// # Errors
 /// Returns what is invalid by itself, and a title whose room type is not in the settings.
-pub fn revised(sheet: &Sheet) -> Result<(Shared, Catalogue), Faults> {
-    let (shared, titles) = Faults::both(Shared::of(sheet), Catalogue::from_sections(sheet))?;
+pub fn read_revision(sheet: &IniFile) -> Result<(Shared, Catalogue), Faults> {
+    let (shared, titles) = Faults::combine(Shared::of(sheet), Catalogue::from_sections(sheet))?;
     let without_type = titles.titles().filter(|(_, title)| shared.room_type(&title.room_type).is_none());
     // Only the first one is reported: finding the line of each takes a search through the whole text.
     let fault = without_type.take(1).map(|(id, title)| {
-        let section = sheet.named("title").find(|name| u64::from_str_radix(name, 16) == Ok(id));
+        let section = sheet.section_names("title").find(|name| u64::from_str_radix(name, 16) == Ok(id));
         let section = format!("title {}", section.unwrap_or_default());
         sheet.fault(&section, "room_type", &title.room_type, "there is no room type of this name")
     });
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,33 +1,33 @@
 //! Reads and validates a controller's INI settings.
 //!
-//! [`Deployment`] is one validated file: the controller's own sections (addresses, gossip, source of revisions) and the
-//! sections that all controllers share (fleet, room types, rules, permissions). [`Deployment::module_settings`] converts
-//! it into the map of names to values that the core module reads.
+//! [`Deployment`] is one validated file: the controller's own sections (addresses, gossip, source of
+//! revisions) and the sections that all controllers share (fleet, room types, rules, permissions).
+//! [`Deployment::module_settings`] converts it into the map of names to values that the core module reads.
 
-mod distribution_place;
+mod distribution_section;
 pub mod entries;
 mod exclusive;
 pub mod kinds;
 mod module_settings;
+mod revision_text;
 mod sections;
 mod shared;
 mod state_reader;
-mod text;
 
 use std::path::Path;
 
-use badgerledge_settings::{Faults, Sheet};
+use badgerledge_settings::{Faults, IniFile};
 use sections::DEFAULT_LEAVE_WITHIN_S;
 
-pub use distribution_place::{DistributionPlace, RelayPlace};
+pub use distribution_section::{DistributionSection, RelayAddress};
 pub use exclusive::is_exclusive;
+pub use revision_text::{AppliedConfiguration, RevisionText};
 pub use sections::{
-    ControllerPlace, Crossing, Fleet, GossipPlace, Ladder, Permissions, Prices, RevisionsPlace, RoomType,
-    Rules,
+    ControllerSection, Crossing, Fleet, GossipSection, Ladder, Permissions, Prices, RevisionsSection,
+    RoomType, Rules,
 };
 pub use shared::Shared;
 pub use state_reader::StateReader;
-pub use text::{ActedOn, Text};
 
 /// All kinds of sections that a controller's file may have.
 pub const SECTIONS: [&str; 11] = [
@@ -43,7 +43,8 @@
     "prices",
     "crossing",
 ];
-/// The sections that do not depend on the controller: a scenario passes them to all of its controllers unchanged.
+/// The sections that do not depend on the controller: a scenario passes them to all of its controllers
+/// unchanged.
 pub const SHARED_SECTIONS: [&str; 7] =
     ["fleet", "ladder", "room_type", "rules", "permissions", "prices", "crossing"];
 
@@ -54,13 +55,14 @@
 /// A controller's validated settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub place: ControllerPlace,
+    pub place: ControllerSection,
     /// If `None`, controllers know each other by `peers` alone, and sign nothing.
-    pub gossip: Option<GossipPlace>,
-    /// If `None`, and without `distribution`, the shared sections of the file apply for as long as the process runs.
-    pub revisions: Option<RevisionsPlace>,
+    pub gossip: Option<GossipSection>,
+    /// If `None`, and without `distribution`, the shared sections of the file apply for as long as the
+    /// process runs.
+    pub revisions: Option<RevisionsSection>,
     /// As `revisions`, but control machines distribute the shared sections; never together with `revisions`.
-    pub distribution: Option<DistributionPlace>,
+    pub distribution: Option<DistributionSection>,
     pub shared: Shared,
     /// The text of the shared sections and titles, in canonical form.
     pub shared_text: String,
@@ -69,21 +71,21 @@
 impl Deployment {
     /// Reads and validates a controller's settings file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        Self::of(&Sheet::read(path)?)
+        Self::of(&IniFile::read(path)?)
     }
 
     /// Validates a parsed settings file, also across sections.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&SECTIONS)?;
+    pub fn of(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&SECTIONS)?;
         let (place, shared) =
-            Faults::both(sheet.section::<ControllerPlace>("controller"), Shared::of(sheet))?;
-        let gossip: Option<GossipPlace> = sheet.optional_section("gossip")?;
-        let revisions: Option<RevisionsPlace> = sheet.optional_section("revisions")?;
+            Faults::combine(sheet.section::<ControllerSection>("controller"), Shared::of(sheet))?;
+        let gossip: Option<GossipSection> = sheet.optional_section("gossip")?;
+        let revisions: Option<RevisionsSection> = sheet.optional_section("revisions")?;
         if revisions.is_some() && (gossip.is_none() || place.state.is_none()) {
             let why = "requires [gossip] and [controller] state";
             return Err(sheet.fault("revisions", "", "", why).into());
         }
-        let distribution: Option<DistributionPlace> = sheet.optional_section("distribution")?;
+        let distribution: Option<DistributionSection> = sheet.optional_section("distribution")?;
         if distribution.is_some() && revisions.is_some() {
             let why = "must not be combined with [revisions]: both would set the configuration in force";
             return Err(sheet.fault("distribution", "", "", why).into());
@@ -99,8 +101,9 @@
 }
 
 impl Deployment {
-    /// Whether the titles are part of the revised configuration, so that the catalogue's file is not read again.
-    pub fn titles_go_with_configuration(&self) -> bool {
+    /// Whether the titles are part of the revised configuration, so that the catalogue's file is not read
+    /// again.
+    pub fn titles_are_revised(&self) -> bool {
         self.revisions.as_ref().is_some_and(|section| section.catalogue)
             || self.distribution.as_ref().is_some_and(|section| section.titles)
     }
@@ -114,7 +117,7 @@
 }
 
 /// Checks a controller's number, zone and peers against the number of controllers and the zones of the fleet.
-fn check_place(sheet: &Sheet, place: &ControllerPlace, shared: &Shared) -> Result<(), Faults> {
+fn check_place(sheet: &IniFile, place: &ControllerSection, shared: &Shared) -> Result<(), Faults> {
     let refuse =
         |key: &str, value: &str, why: String| Err(sheet.fault("controller", key, value, &why).into());
     if place.number >= place.controllers {
--- a/crates/deployment/src/text.rs
+++ b/crates/deployment/src/revision_text.rs
@@ -1,17 +1,18 @@
-//! A revision's text, parsed and validated: its settings as a sheet, its titles as a catalogue. A text is read between
-//! two decision rounds, so the titles, of which there may be 100,000, have a faster parser than the sheet.
+//! A revision's text, parsed and validated: its settings as a sheet, its titles as a catalogue. A text is
+//! read between two decision rounds, so the titles, of which there may be 100,000, have a faster parser than
+//! the sheet.
 
 use std::sync::Arc;
 
 use badgerledge_catalogue::{Catalogue, Title};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
-use crate::kinds::{between, canonical, default_of, is_exclusive, revised};
+use crate::kinds::{canonical, default_of, is_exclusive, read_revision, transition_text};
 use crate::{Shared, REVISED_SECTIONS};
 
 /// A valid text in canonical form.
 #[derive(Clone, Debug)]
-pub struct Text {
+pub struct RevisionText {
     settings: Arc<Settings>,
     titles: Catalogue,
 }
@@ -19,20 +20,20 @@
 /// The settings of a text, shared with texts that differ only in titles.
 #[derive(Debug)]
 struct Settings {
-    sheet: Sheet,
+    sheet: IniFile,
     shared: Shared,
 }
 
 /// The configuration that a controller applies, with or without a prepared change.
 #[derive(Clone, Debug)]
-pub struct ActedOn {
+pub struct AppliedConfiguration {
     pub shared: Shared,
     pub titles: Catalogue,
     /// Whether the prepared change contains an exclusive one.
     pub exclusive: bool,
 }
 
-impl Text {
+impl RevisionText {
     /// Parses and validates a text.
     ///
     /// # Errors
@@ -44,8 +45,8 @@
         let Some(titles) = titles else {
             return Err(Self::fault(text));
         };
-        let sheet = Sheet::parse("revision", settings).map_err(|faults| faults.to_string())?;
-        sheet.only(&REVISED_SECTIONS).map_err(|faults| faults.to_string())?;
+        let sheet = IniFile::parse("revision", settings).map_err(|faults| faults.to_string())?;
+        sheet.reject_unknown_sections(&REVISED_SECTIONS).map_err(|faults| faults.to_string())?;
         let shared = Shared::of(&sheet).map_err(|faults| faults.to_string())?;
         let type_missing = titles.room_types().into_iter().any(|name| shared.room_type(&name).is_none());
         if type_missing || canonical(&sheet) != settings {
@@ -81,11 +82,11 @@
         text.split_at(titles_start.unwrap_or(text.len()))
     }
 
-    /// The error in an invalid text. Parses all of it again as a [`Sheet`], which knows the line.
+    /// The error in an invalid text. Parses all of it again as an [`IniFile`], which knows the line.
     fn fault(text: &str) -> String {
-        let parsed = Sheet::parse("revision", text).and_then(|sheet| {
-            sheet.only(&REVISED_SECTIONS)?;
-            revised(&sheet)
+        let parsed = IniFile::parse("revision", text).and_then(|sheet| {
+            sheet.reject_unknown_sections(&REVISED_SECTIONS)?;
+            read_revision(&sheet)
         });
         match parsed {
             Err(faults) => faults.to_string(),
@@ -103,20 +104,24 @@
         &self.titles
     }
 
-    /// The configuration that a controller applies whose active text is this one and that has prepared another, if any.
-    pub fn acted_on(&self, prepared: Option<&Self>) -> ActedOn {
-        let unchanged =
-            |exclusive| ActedOn { shared: self.shared().clone(), titles: self.titles.clone(), exclusive };
+    /// The configuration that a controller applies whose active text is this one and that has prepared
+    /// another, if any.
+    pub fn applied_configuration(&self, prepared: Option<&Self>) -> AppliedConfiguration {
+        let unchanged = |exclusive| AppliedConfiguration {
+            shared: self.shared().clone(),
+            titles: self.titles.clone(),
+            exclusive,
+        };
         let Some(next) = prepared else { return unchanged(false) };
         let (sheet, next_sheet) = (&self.settings.sheet, &next.settings.sheet);
         let (titles, titles_moved) = self.titles.between(&next.titles);
         let exclusive = titles_moved || is_exclusive(sheet, next_sheet);
-        let settings = between(sheet, next_sheet, &default_of);
-        // The stricter values may contradict each other, such as an old `top` and a new `floor` above it, or a new title
-        // may have a room type that is not applied yet: then no part of the change is applied.
-        match Sheet::parse("between", &settings).and_then(|sheet| Shared::of(&sheet)) {
+        let settings = transition_text(sheet, next_sheet, &default_of);
+        // The stricter values may contradict each other, such as an old `top` and a new `floor` above it, or
+        // a new title may have a room type that is not applied yet: then no part of the change is applied.
+        match IniFile::parse("between", &settings).and_then(|sheet| Shared::of(&sheet)) {
             Ok(shared) if titles.room_types().iter().all(|name| shared.room_type(name).is_some()) => {
-                ActedOn { shared, titles, exclusive }
+                AppliedConfiguration { shared, titles, exclusive }
             }
             _ => unchanged(exclusive),
         }
--- a/crates/deployment/src/sections/place.rs
+++ b/crates/deployment/src/sections/controller.rs
@@ -1,4 +1,5 @@
-//! The sections that belong to one controller: its addresses and files, its gossip, and the source of revisions.
+//! The sections that belong to one controller: its addresses and files, its gossip, and the source of
+//! revisions.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +11,7 @@
 /// `[controller]`: identity, addresses, files and limits of this controller.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct ControllerPlace {
+pub struct ControllerSection {
     /// Its number among the controllers, from 0.
     #[garde(skip)]
     #[serde(default)]
@@ -27,7 +28,8 @@
     /// The address of the list service; without one only the stored list of streamers is used.
     #[garde(skip)]
     pub list: Option<SocketAddr>,
-    /// The addresses on which controllers receive each other's datagrams, by number, including this controller's own.
+    /// The addresses on which controllers receive each other's datagrams, by number, including this
+    /// controller's own.
     #[garde(skip)]
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
@@ -75,14 +77,15 @@
 /// `[gossip]`: this controller as a member of the gossip group.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct GossipPlace {
+pub struct GossipSection {
     /// The address on which it receives datagrams.
     #[garde(skip)]
     pub listen: SocketAddr,
     /// The IPv4 address under which other members reach it, if it differs from `listen`.
     #[garde(skip)]
     pub advertise: Option<SocketAddr>,
-    /// Addresses of some members; at least one of them should be up when this member starts for the first time.
+    /// Addresses of some members; at least one of them should be up when this member starts for the first
+    /// time.
     #[garde(skip)]
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
@@ -101,19 +104,20 @@
 /// `[revisions]`: the members agree on revisions of the shared sections, which change while they run.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct RevisionsPlace {
-    /// What a controller does that cannot reach the acceptors. `wait`: it continues, and a change waits for it. `hold`:
-    /// it stops admitting new joins when its lease expires, and a change waits at most one lease. Must be the same at all
-    /// members.
+pub struct RevisionsSection {
+    /// What a controller does that cannot reach the acceptors. `wait`: it continues, and a change waits for
+    /// it. `hold`: it stops admitting new joins when its lease expires, and a change waits at most one lease.
+    /// Must be the same at all members.
     #[garde(custom(one_of(&["wait", "hold"])))]
     #[serde(default = "default_regime")]
     pub regime: String,
-    /// Whether members exchange their positions in the list of streamers, and the streamers that were removed by it.
+    /// Whether members exchange their positions in the list of streamers, and the streamers that were removed
+    /// by it.
     #[garde(skip)]
     #[serde(default = "enabled")]
     pub lists: bool,
-    /// Whether the titles are revised with the settings: then the catalogue's file applies only until the first revision,
-    /// and is not read again. Must be the same at all members.
+    /// Whether the titles are revised with the settings: then the catalogue's file applies only until the
+    /// first revision, and is not read again. Must be the same at all members.
     #[garde(skip)]
     #[serde(default)]
     pub catalogue: bool,
@@ -123,8 +127,8 @@
     pub leave_within_s: u64,
 }
 
-/// In this time a few hundred playing subscriptions move at some ten a second, which a holder of the title can admit
-/// beside its usual joins.
+/// In this time a few hundred playing subscriptions move at some ten a second, which a holder of the title
+/// can admit beside its usual joins.
 pub const DEFAULT_LEAVE_WITHIN_S: u64 = 30;
 
 /// Serde's default of the keys `leave_within_s`.
--- a/crates/deployment/src/sections/shared.rs
+++ b/crates/deployment/src/sections/shared.rs
@@ -1,5 +1,5 @@
-//! The sections that all controllers of a deployment share: fleet, ladder, room types, rules, permissions, prices and
-//! the crossing budget.
+//! The sections that all controllers of a deployment share: fleet, ladder, room types, rules, permissions,
+//! prices and the crossing budget.
 
 use badgerledge_settings::{each_within, one_of, within};
 use garde::Validate;
@@ -24,10 +24,12 @@
     /// Total number of racks.
     #[garde(custom(within(1, 65_535)))]
     pub racks: u32,
-    /// Capacity of a streamer's link per unit of its weight, in kB/s; of a typical streamer if weights carry no meaning.
+    /// Capacity of a streamer's link per unit of its weight, in kB/s; of a typical streamer if weights carry
+    /// no meaning.
     #[garde(custom(within(1.0, 1e9)))]
     pub link_unit_kb: f64,
-    /// Capacity of all links together at the start, in kB/s. Passed on to the core module; no decision depends on it.
+    /// Capacity of all links together at the start, in kB/s. Passed on to the core module; no decision
+    /// depends on it.
     #[garde(custom(within(1.0, 1e12)))]
     pub links_kb: f64,
     /// Mean capacity of a rack's uplink, in kB/s.
@@ -41,8 +43,8 @@
     #[garde(inner(custom(one_of(&["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1"]))))]
     #[serde(default)]
     pub report: Vec<String>,
-    /// How load reports arrive. `answers`: in answers to joins and in probe results, with periodic reports of link use.
-    /// `probe`: in probe results only.
+    /// How load reports arrive. `answers`: in answers to joins and in probe results, with periodic reports of
+    /// link use. `probe`: in probe results only.
     #[garde(custom(one_of(&["answers", "probe"])))]
     #[serde(default = "default_report_how")]
     pub report_how: String,
@@ -62,8 +64,8 @@
 
 impl Fleet {
     /// Interval in milliseconds between reports of link use; 0 if load is reported in probe results only.
-    pub fn told_every(&self) -> u64 {
-        if self.by_probe() {
+    pub fn link_report_interval_ms(&self) -> u64 {
+        if self.reports_by_probe_only() {
             0
         } else {
             self.told_every_ms
@@ -71,7 +73,7 @@
     }
 
     /// Whether load reports arrive in probe results only.
-    pub fn by_probe(&self) -> bool {
+    pub fn reports_by_probe_only(&self) -> bool {
         self.report_how == "probe"
     }
 }
@@ -133,7 +135,8 @@
     /// Benefit of a subscription of this type.
     #[garde(custom(within(0.0, 1e6)))]
     pub benefit: f64,
-    /// Whether a SETUP may be sent again: `free`, `guarded` (only within `group` and `window_ms`) or `single_shot`.
+    /// Whether a SETUP may be sent again: `free`, `guarded` (only within `group` and `window_ms`) or
+    /// `single_shot`.
     #[garde(custom(one_of(&["free", "guarded", "single_shot"])))]
     #[serde(default = "default_set_up_again")]
     pub set_up_again: String,
@@ -187,7 +190,8 @@
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// From this time after the report that a streamer is draining or removed, no new subscription is sent to it.
+    /// From this time after the report that a streamer is draining or removed, no new subscription is sent to
+    /// it.
     #[garde(custom(within(0, 60_000)))]
     pub drain_grace_ms: u64,
     /// Time after which a started streamer is warm; 0 disables the rule.
@@ -208,7 +212,8 @@
     /// Number of further joins that are always permitted in a window.
     #[garde(custom(within(0, 1_000_000)))]
     pub budget_few: u32,
-    /// Further joins permitted in a window beyond `budget_few`, as a fraction of the subscriptions admitted in it.
+    /// Further joins permitted in a window beyond `budget_few`, as a fraction of the subscriptions admitted
+    /// in it.
     #[garde(custom(within(0.0, 100.0)))]
     pub budget_share: f64,
 }
--- a/crates/deployment/src/shared.rs
+++ b/crates/deployment/src/shared.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use badgerledge_settings::{Fault, Faults, Sheet};
+use badgerledge_settings::{Fault, Faults, IniFile};
 
 use crate::{Crossing, Fleet, Ladder, Permissions, Prices, RoomType, Rules};
 
@@ -13,7 +13,8 @@
     pub ladder: Ladder,
     /// Names and settings of the room types in the order of the file: a room type's number is its index.
     pub room_types: Vec<(String, RoomType)>,
-    /// Names of room types that a change removed: they accept no new subscriptions, and existing ones play to their end.
+    /// Names of room types that a change removed: they accept no new subscriptions, and existing ones play to
+    /// their end.
     pub retired: BTreeSet<String>,
     pub rules: Rules,
     pub permissions: Permissions,
@@ -24,15 +25,16 @@
 
 impl Shared {
     /// Reads the sections that all controllers share, and ignores others.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
-        let streamers = Faults::both(sheet.section::<Fleet>("fleet"), sheet.section::<Ladder>("ladder"));
-        let limits = Faults::both(
+    pub fn of(sheet: &IniFile) -> Result<Self, Faults> {
+        let streamers = Faults::combine(sheet.section::<Fleet>("fleet"), sheet.section::<Ladder>("ladder"));
+        let limits = Faults::combine(
             sheet.section_or_default::<Rules>("rules"),
             sheet.section_or_default::<Permissions>("permissions"),
         );
         let crossing = sheet.optional_section::<Crossing>("crossing");
-        let costs = Faults::both(sheet.section_or_default::<Prices>("prices"), crossing);
-        let all = Faults::both(Faults::both(streamers, limits), Faults::both(costs, room_types(sheet)));
+        let costs = Faults::combine(sheet.section_or_default::<Prices>("prices"), crossing);
+        let all =
+            Faults::combine(Faults::combine(streamers, limits), Faults::combine(costs, room_types(sheet)));
         let (((fleet, ladder), (rules, permissions)), ((prices, crossing), room_types)) = all?;
         let retired = BTreeSet::new();
         let shared = Self { fleet, ladder, room_types, retired, rules, permissions, prices, crossing };
@@ -45,7 +47,7 @@
     }
 
     /// Errors between keys that are valid by themselves.
-    fn check_across_sections(&self, sheet: &Sheet) -> Vec<Fault> {
+    fn check_across_sections(&self, sheet: &IniFile) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut check = |valid: bool, section: &str, key: &str, why: &str| {
             if !valid {
@@ -60,7 +62,7 @@
             "must have one number for each kind",
         );
         check(
-            !fleet.by_probe() || self.permissions.probes && !fleet.report.is_empty(),
+            !fleet.reports_by_probe_only() || self.permissions.probes && !fleet.report.is_empty(),
             "fleet",
             "report_how",
             "probe requires [permissions] probes = true and values in report",
@@ -91,9 +93,9 @@
 }
 
 /// All sections `[room_type NAME]` in order, or all errors in them.
-fn room_types(sheet: &Sheet) -> Result<Vec<(String, RoomType)>, Faults> {
+fn room_types(sheet: &IniFile) -> Result<Vec<(String, RoomType)>, Faults> {
     let (mut room_types, mut faults) = (Vec::new(), Vec::new());
-    for name in sheet.named("room_type") {
+    for name in sheet.section_names("room_type") {
         match sheet.section::<RoomType>(&format!("room_type {name}")) {
             Ok(room_type) => room_types.push((name.to_owned(), room_type)),
             Err(found) => faults.extend(found.0),
--- a/crates/deployment/src/state_reader.rs
+++ b/crates/deployment/src/state_reader.rs
@@ -1,6 +1,6 @@
-//! Reads the states of revisions as configurations. Consecutive revisions differ in few keys, so a state is read as a
-//! difference to the one before it: only buckets whose digests differ are compared, and unchanged titles are not parsed
-//! again.
+//! Reads the states of revisions as configurations. Consecutive revisions differ in few keys, so a state is
+//! read as a difference to the one before it: only buckets whose digests differ are compared, and unchanged
+//! titles are not parsed again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::Digest;
 
-use crate::entries::{is_reserved, text_of, title_id, title_of};
-use crate::Text;
+use crate::entries::{is_reserved, parse_title, text_from_entries, title_id};
+use crate::RevisionText;
 
 /// Number of cached states: the active one, the prepared one, and the next.
 const CACHED_STATES: usize = 3;
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct StateReader {
     /// States with their texts, the most recently read one last.
-    cache: Vec<(State, Arc<Text>)>,
+    cache: Vec<(State, Arc<RevisionText>)>,
 }
 
 impl StateReader {
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// Says what is invalid.
-    pub fn read(&mut self, state: &State) -> Result<Arc<Text>, String> {
+    pub fn read(&mut self, state: &State) -> Result<Arc<RevisionText>, String> {
         let root = state.root();
         if let Some(index) = self.cache.iter().position(|(cached, _)| cached.root() == root) {
             let found = self.cache.remove(index);
@@ -50,22 +50,25 @@
 }
 
 /// Reads the text of a state without an earlier one.
-fn text_from_state(state: &State) -> Result<Text, String> {
-    let text = text_of(state.entries()).map_err(|fault| fault.to_string())?;
-    Text::read(text.as_bytes())
+fn text_from_state(state: &State) -> Result<RevisionText, String> {
+    let text = text_from_entries(state.entries()).map_err(|fault| fault.to_string())?;
+    RevisionText::read(text.as_bytes())
 }
 
 /// Reads the text of a state from that of an earlier state: only changed titles are parsed.
-fn text_from_earlier(before: &State, before_text: &Arc<Text>, state: &State) -> Result<Arc<Text>, String> {
+fn text_from_earlier(
+    before: &State, before_text: &Arc<RevisionText>, state: &State,
+) -> Result<Arc<RevisionText>, String> {
     let mut titles = Vec::new();
     for (key, value) in differences(before, state).iter().filter(|(key, _)| !is_reserved(key)) {
         match title_id(key).map_err(|fault| fault.to_string())? {
             Some(id) => {
-                let parsed = value.as_ref().map(|value| title_of(key, value)).transpose();
+                let parsed = value.as_ref().map(|value| parse_title(key, value)).transpose();
                 let title = parsed.map_err(|fault| fault.to_string())?.flatten().map(|(_, title)| title);
                 titles.push((id, title));
             }
-            // A setting changed: it may have removed the room type of unchanged titles, so the whole state is read.
+            // A setting changed: it may have removed the room type of unchanged titles, so the whole state is
+            // read.
             None => return Ok(Arc::new(text_from_state(state)?)),
         }
     }
--- a/crates/deployment/src/state_reader_tests.rs
+++ b/crates/deployment/src/state_reader_tests.rs
@@ -3,19 +3,20 @@
 use badgerledge_distribution::state::{Edit, State};
 use quickcheck::{quickcheck, TestResult};
 
-use crate::entries::{entries_of, text_of};
+use crate::entries::{entries_from_text, text_from_entries};
 use crate::entries_tests::text;
-use crate::{StateReader, Text};
+use crate::{RevisionText, StateReader};
 
 fn state() -> State {
-    State::from_entries(entries_of(&text(&[1, 2], &(0..12).collect::<Vec<_>>(), true)).unwrap()).unwrap()
+    State::from_entries(entries_from_text(&text(&[1, 2], &(0..12).collect::<Vec<_>>(), true)).unwrap())
+        .unwrap()
 }
 
-fn read_alone(state: &State) -> Result<Text, String> {
-    Text::read(text_of(state.entries()).map_err(|fault| fault.to_string())?.as_bytes())
+fn read_alone(state: &State) -> Result<RevisionText, String> {
+    RevisionText::read(text_from_entries(state.entries()).map_err(|fault| fault.to_string())?.as_bytes())
 }
 
-fn same(one: &Text, other: &Text) -> bool {
+fn same(one: &RevisionText, other: &RevisionText) -> bool {
     one.titles() == other.titles() && format!("{:?}", one.shared()) == format!("{:?}", other.shared())
 }
 
--- a/crates/deployment/src/tests.rs
+++ b/crates/deployment/src/tests.rs
@@ -1,12 +1,12 @@
-//! Reading a controller's whole file, its conversion for the core module, the errors with their places, and the text
-//! that is safe between two revisions.
+//! Reading a controller's whole file, its conversion for the core module, the errors with their places, and
+//! the text that is safe between two revisions.
 
 use badgerledge_catalogue::Title;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::{
-    kinds, Crossing, Deployment, Fleet, Ladder, Permissions, Prices, RelayPlace, RoomType, Rules, Text,
-    REVISED_SECTIONS, SHARED_SECTIONS,
+    kinds, Crossing, Deployment, Fleet, Ladder, Permissions, Prices, RelayAddress, RevisionText, RoomType,
+    Rules, REVISED_SECTIONS, SHARED_SECTIONS,
 };
 
 const WHOLE: &str = "\
@@ -48,7 +48,9 @@
 ";
 
 fn read(text: &str) -> Result<Deployment, String> {
-    Sheet::parse("d.ini", text).and_then(|sheet| Deployment::of(&sheet)).map_err(|faults| faults.to_string())
+    IniFile::parse("d.ini", text)
+        .and_then(|sheet| Deployment::of(&sheet))
+        .map_err(|faults| faults.to_string())
 }
 
 #[test]
@@ -142,7 +144,8 @@
     };
     let deployment = with("relays = 3 south 127.0.0.1:7400, 4 north 127.0.0.1:7401\n").unwrap();
     let distribution = deployment.distribution.unwrap();
-    let expected = RelayPlace { machine: 4, zone: "north".to_owned(), at: "127.0.0.1:7401".parse().unwrap() };
+    let expected =
+        RelayAddress { machine: 4, zone: "north".to_owned(), at: "127.0.0.1:7401".parse().unwrap() };
     assert_eq!(distribution.relays[1], expected);
     assert_eq!((distribution.titles, distribution.leave_within_s), (false, 30));
     assert!(read(WHOLE).unwrap().distribution.is_none());
@@ -208,41 +211,44 @@
     assert_eq!(keys.collect::<Vec<_>>(), listed);
 }
 
-/// Between two revisions, free keys have their new value, exclusive keys the old one, and others the stricter one.
+/// Between two revisions, free keys have their new value, exclusive keys the old one, and others the stricter
+/// one.
 #[test]
 fn stricter_values_apply_between_two_texts() {
-    let sheet = |text: &str| Sheet::parse("x", text).unwrap();
+    let sheet = |text: &str| IniFile::parse("x", text).unwrap();
     let old = sheet("[fleet]\ncells = 4\n[room_type a]\nfloor = 1\ntop = 3\nseats = 0\nbenefit = 1\n[rules]\ndrain_grace_ms = 200\n");
     let new = sheet("[fleet]\ncells = 3\n[room_type a]\nfloor = 0\ntop = 2\nseats = 5\nbenefit = 2\n[rules]\nwarm_up_ms = 900\n");
-    let between = kinds::between(&old, &new, &kinds::default_of);
+    let between = kinds::transition_text(&old, &new, &kinds::default_of);
     let expected = "[fleet]\ncells = 4\n[room_type a]\nbenefit = 2\nfloor = 1\nseats = 5\ntop = 2\n\
                   [rules]\ndrain_grace_ms = 200\nwarm_up_ms = 900\n";
     assert_eq!(between, expected);
     // A change back has the same limits in between.
-    let back = kinds::between(&new, &old, &kinds::default_of);
+    let back = kinds::transition_text(&new, &old, &kinds::default_of);
     assert!(back.contains("floor = 1\nseats = 5\ntop = 2\n") && back.contains("warm_up_ms = 900"), "{back}");
     assert!(kinds::is_exclusive(&old, &new));
     let changed: Vec<_> = kinds::changes(&old, &new).into_iter().map(|change| change.key).collect();
     assert_eq!(changed, ["cells", "benefit", "floor", "seats", "top", "drain_grace_ms", "warm_up_ms"]);
 }
 
-/// Added and removed titles apply at once; the cells of a title change only when all controllers have the change.
+/// Added and removed titles apply at once; the cells of a title change only when all controllers have the
+/// change.
 #[test]
 fn adding_and_removing_titles_is_free_but_moving_them_is_exclusive() {
-    let sheet = |text: &str| Sheet::parse("x", text).unwrap();
+    let sheet = |text: &str| IniFile::parse("x", text).unwrap();
     let title = |id: &str, first_cell: u32| {
         format!("[title {id}]\ncopies = 2\nfirst_cell = {first_cell}\nroom_type = a\n")
     };
     let old = sheet(&(title("1", 0) + &title("2", 0)));
     let new = sheet(&(title("10", 0) + &title("2", 3)));
-    assert_eq!(kinds::between(&old, &new, &kinds::default_of), title("10", 0) + &title("2", 0));
+    assert_eq!(kinds::transition_text(&old, &new, &kinds::default_of), title("10", 0) + &title("2", 0));
     assert!(kinds::is_exclusive(&old, &new));
     let added = sheet(&(title("1", 0) + &title("2", 0) + &title("3", 1)));
     assert!(!kinds::is_exclusive(&old, &added) && !kinds::is_exclusive(&added, &old));
-    // The canonical form does not depend on the order and spelling of ids; a title without a known room type is rejected.
+    // The canonical form does not depend on the order and spelling of ids; a title without a known room type
+    // is rejected.
     assert_eq!(kinds::canonical(&sheet(&(title("0A", 1) + &title("2", 0)))), title("2", 0) + &title("a", 1));
     let whole = WHOLE.split_once("[fleet]").map(|(_, rest)| format!("[fleet]{rest}")).unwrap();
-    let refused = kinds::revised(&sheet(&(whole + &title("2", 0)))).unwrap_err().to_string();
+    let refused = kinds::read_revision(&sheet(&(whole + &title("2", 0)))).unwrap_err().to_string();
     assert_eq!(refused, "x:33: [title 2] room_type = a: there is no room type of this name");
 }
 
@@ -250,14 +256,15 @@
 #[test]
 fn both_parsers_accept_the_same_texts() {
     let whole = WHOLE.split_once("[fleet]").map(|(_, rest)| format!("[fleet]{rest}")).unwrap();
-    let sheet = |text: &str| Sheet::parse("revision", text).unwrap();
+    let sheet = |text: &str| IniFile::parse("revision", text).unwrap();
     let title = |id: &str, first_cell: u32| {
         format!("[title {id}]\ncopies = 2\nfirst_cell = {first_cell}\nroom_type = clip\n")
     };
     let text = kinds::canonical(&sheet(&(whole + &title("9", 4) + &title("a", 1))));
-    let active = Text::read(text.as_bytes()).unwrap();
-    assert_eq!(*active.titles(), kinds::revised(&sheet(&text)).unwrap().1);
-    let refused = |from: &str, to: &str| Text::read(text.replacen(from, to, 1).as_bytes()).unwrap_err();
+    let active = RevisionText::read(text.as_bytes()).unwrap();
+    assert_eq!(*active.titles(), kinds::read_revision(&sheet(&text)).unwrap().1);
+    let refused =
+        |from: &str, to: &str| RevisionText::read(text.replacen(from, to, 1).as_bytes()).unwrap_err();
     let lines = text.lines().count();
     assert_eq!(
         refused("copies = 2", "copies = 0"),
@@ -271,22 +278,22 @@
     assert!(refused("first_cell = 4\n", "").contains("first_cell: this key is missing"));
     assert!(refused("first_cell = 4", "first_cell = 04").contains("not in canonical form"));
     assert!(refused("cells = 12", "cells = 0").contains("[fleet] cells = 0"));
-    assert!(Text::read(&[0xff]).is_err());
+    assert!(RevisionText::read(&[0xff]).is_err());
 
-    // Added and removed titles apply at once, moved ones keep their old cells, and a title that needs a new room type is
-    // not applied before it.
+    // Added and removed titles apply at once, moved ones keep their old cells, and a title that needs a new
+    // room type is not applied before it.
     let next = text
         .replace(&title("9", 4), "")
         .replace("[title a]", "[title 8]\ncopies = 1\nfirst_cell = 0\nroom_type = clip\n[title a]");
-    let applied = active.acted_on(Some(&Text::read(next.as_bytes()).unwrap()));
+    let applied = active.applied_configuration(Some(&RevisionText::read(next.as_bytes()).unwrap()));
     let ids: Vec<u64> = applied.titles.titles().map(|(id, _)| id).collect();
     assert_eq!((ids, applied.exclusive), (vec![8, 10], false));
-    let moved = Text::read(text.replace("first_cell = 4", "first_cell = 5").as_bytes()).unwrap();
-    let applied = active.acted_on(Some(&moved));
+    let moved = RevisionText::read(text.replace("first_cell = 4", "first_cell = 5").as_bytes()).unwrap();
+    let applied = active.applied_configuration(Some(&moved));
     assert_eq!((applied.titles.title(9).unwrap().first_cell, applied.exclusive), (4, true));
     let new_type = "[room_type new]\nbenefit = 1\nclient_timeout_ms = 2\njoin_objective_ms = 1\n";
     let with_new_type = text.replacen("[rules]", &format!("{new_type}[rules]"), 1)
         + "[title b]\ncopies = 1\nfirst_cell = 0\nroom_type = new\n";
-    let applied = active.acted_on(Some(&Text::read(with_new_type.as_bytes()).unwrap()));
+    let applied = active.applied_configuration(Some(&RevisionText::read(with_new_type.as_bytes()).unwrap()));
     assert!(applied.exclusive && applied.titles.title(11).is_none() && applied.titles.len() == 2);
 }
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -16,7 +16,8 @@
     std::fs::rename(&new_file, path)
 }
 
-/// As [`replace`], and synced to disk on return: for state that must survive a power failure before it is announced.
+/// As [`replace`], and synced to disk on return: for state that must survive a power failure before it is
+/// announced.
 pub fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new_file = path.with_extension("fresh");
     let mut file = std::fs::File::create(&new_file)?;
@@ -28,22 +29,22 @@
 }
 
 /// Time since 1970. Stored state is dated by it, since the monotonic clock starts anew with each process.
-pub fn wall() -> Duration {
+pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The incarnation number of this process: higher than all earlier ones, as far as the stored number or the clock shows.
-/// The caller must store it in the same file before it sends any message.
-pub fn next_life(stored: Option<&Path>) -> u32 {
-    let by_clock =
-        wall().saturating_sub(Duration::from_secs(INCARNATION_EPOCH_S)).as_millis() / INCARNATION_TICK_MS;
+/// The incarnation number of this process: higher than all earlier ones, as far as the stored number or the
+/// clock shows. The caller must store it in the same file before it sends any message.
+pub fn next_incarnation(stored: Option<&Path>) -> u32 {
+    let by_clock = unix_time().saturating_sub(Duration::from_secs(INCARNATION_EPOCH_S)).as_millis()
+        / INCARNATION_TICK_MS;
     let previous = stored.and_then(|file| std::fs::read_to_string(file).ok()?.trim().parse::<u32>().ok());
     previous.map_or(0, |previous| previous.saturating_add(1)).max(by_clock.min(u32::MAX.into()) as u32).max(1)
 }
 
-/// The content of the file from which [`next_life`] reads the stored number.
-pub fn written_life(life: u32) -> String {
-    format!("{life}\n")
+/// The content of the file from which [`next_incarnation`] reads the stored number.
+pub fn format_incarnation(incarnation: u32) -> String {
+    format!("{incarnation}\n")
 }
 
 #[cfg(test)]
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,14 +1,14 @@
 //! The signing keys of controllers and of authors of revisions.
 //!
-//! The ring is an INI file with a section for each member and each author of revisions, and one that lists the acceptors
-//! (the members that certify revisions); it is the same at all controllers. A member has up to two valid public keys, so
-//! that keys can be rotated while both are in use, and any number of revoked ones. The private key is in a separate file
-//! that only its owner may read. Signatures are Ed25519 (RFC 8032).
+//! The ring is an INI file with a section for each member and each author of revisions, and one that lists
+//! the acceptors (the members that certify revisions); it is the same at all controllers. A member has up to
+//! two valid public keys, so that keys can be rotated while both are in use, and any number of revoked ones.
+//! The private key is in a separate file that only its owner may read. Signatures are Ed25519 (RFC 8032).
 
 mod private;
 mod ring;
 
-pub use private::{PrivateFault, PrivateKey, Role};
+pub use private::{PrivateKey, PrivateKeyError, Role};
 pub use ring::Ring;
 
 use badgerledge_gossip::statement::Signature;
@@ -23,12 +23,12 @@
 }
 
 impl Keys {
-    /// `None` if the key is not a member's, or if the ring does not have its public key: others would drop whatever it
-    /// signed.
+    /// `None` if the key is not a member's, or if the ring does not have its public key: others would drop
+    /// whatever it signed.
     pub fn new(private: PrivateKey, ring: Ring) -> Option<Self> {
         let Role::Member(local_id) = private.role() else { return None };
-        let public = private.signing().verifying_key();
-        ring.holds(local_id, &public).then_some(Self { local_id, private, ring })
+        let public = private.signing_key().verifying_key();
+        ring.has_member_key(local_id, &public).then_some(Self { local_id, private, ring })
     }
 
     /// The member that signs.
@@ -113,7 +113,7 @@
     }
 
     fn knows(&self, member: Member) -> bool {
-        !self.ring.keys(member).is_empty()
+        !self.ring.member_keys(member).is_empty()
     }
 
     fn ring(&self) -> &[Member] {
--- a/crates/keys/src/main.rs
+++ b/crates/keys/src/main.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_gossip::{Member, MAX_MEMBERS};
 use badgerledge_keys::{PrivateKey, Ring, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use clap::{Parser, Subcommand};
 
 /// Manages the keys with which controllers sign their messages to each other.
@@ -75,8 +75,8 @@
         What::List { ring } => list(&Ring::read(&ring)?),
         What::Check { ring, key } => {
             let private = PrivateKey::read(&key)?;
-            let (role, public) = (private.role(), private.public());
-            if !Ring::read(&ring)?.holds_public(&private) {
+            let (role, public) = (private.role(), private.public_hex());
+            if !Ring::read(&ring)?.has_public_key(&private) {
                 bail!("{role} has no valid key {public} in {}", ring.display());
             }
             println!("{}: in order, {role}, {public}", key.display());
@@ -94,7 +94,7 @@
     if !path.exists() {
         return Ok(Vec::new());
     }
-    let sheet = Sheet::read(path)?;
+    let sheet = IniFile::read(path)?;
     Ring::of(&sheet)?;
     let list = |section: &str, key: &str| -> Vec<String> {
         let value = sheet.value(section, key).unwrap_or_default();
@@ -122,7 +122,7 @@
         }
         text += "\n";
     }
-    Ring::of(&Sheet::parse(&path.display().to_string(), &text)?)?;
+    Ring::of(&IniFile::parse(&path.display().to_string(), &text)?)?;
     let new_file = path.with_extension("fresh");
     let mut file = File::create(&new_file).with_context(|| new_file.display().to_string())?;
     file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).context("writing the ring")?;
@@ -136,18 +136,18 @@
         bail!("{role}: the number must be between 0 and {}", MAX_MEMBERS - 1);
     }
     let mut sections = read_sections(ring)?;
-    let private = PrivateKey::make(role)?;
+    let private = PrivateKey::generate(role)?;
     let name = role.to_string();
     match sections.iter_mut().find(|section| section.0 == name) {
         Some((_, keys, _)) if keys.len() >= 2 => {
             bail!("{role} already has two valid keys; revoke one first");
         }
-        Some((_, keys, _)) => keys.push(private.public()),
-        None => sections.push((name, vec![private.public()], Vec::new())),
+        Some((_, keys, _)) => keys.push(private.public_hex()),
+        None => sections.push((name, vec![private.public_hex()], Vec::new())),
     }
     private.write(out)?;
     write(ring, &sections)?;
-    println!("{}: {role}, {}", out.display(), private.public());
+    println!("{}: {role}, {}", out.display(), private.public_hex());
     Ok(())
 }
 
@@ -164,7 +164,7 @@
 /// Prints the valid keys of all members.
 fn list(ring: &Ring) -> Result<()> {
     for member in ring.members() {
-        for key in ring.keys(*member) {
+        for key in ring.member_keys(*member) {
             println!("member {member:<5} {}", hex::encode(key.to_bytes()));
         }
     }
--- a/crates/keys/src/private.rs
+++ b/crates/keys/src/private.rs
@@ -12,7 +12,7 @@
 
 /// Why a private key can not be read, written or generated.
 #[derive(Debug, Error)]
-pub enum PrivateFault {
+pub enum PrivateKeyError {
     /// The file and the error.
     #[error("{0}: {1}")]
     Io(String, std::io::Error),
@@ -26,7 +26,8 @@
     Random(getrandom::Error),
 }
 
-/// The owner of a key. An author signs revisions and nothing else, and a member never signs a revision as an author.
+/// The owner of a key. An author signs revisions and nothing else, and a member never signs a revision as an
+/// author.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Member(Member),
@@ -64,15 +65,15 @@
 
 impl PrivateKey {
     /// Generates a new key.
-    pub fn make(role: Role) -> Result<Self, PrivateFault> {
+    pub fn generate(role: Role) -> Result<Self, PrivateKeyError> {
         let mut secret = [0; 32];
-        getrandom::fill(&mut secret).map_err(PrivateFault::Random)?;
+        getrandom::fill(&mut secret).map_err(PrivateKeyError::Random)?;
         Ok(Self { role, signing_key: SigningKey::from_bytes(&secret) })
     }
 
     /// Writes the key to a new file that only its owner may read; fails if the file exists.
-    pub fn write(&self, path: &Path) -> Result<(), PrivateFault> {
-        let io_fault = |error| PrivateFault::Io(path.display().to_string(), error);
+    pub fn write(&self, path: &Path) -> Result<(), PrivateKeyError> {
+        let io_fault = |error| PrivateKeyError::Io(path.display().to_string(), error);
         let mut file =
             File::options().write(true).create_new(true).mode(0o600).open(path).map_err(io_fault)?;
         let (name, number) = self.role.parts();
@@ -81,17 +82,17 @@
     }
 
     /// Reads a key from a file; fails if anyone but its owner may access the file.
-    pub fn read(path: &Path) -> Result<Self, PrivateFault> {
+    pub fn read(path: &Path) -> Result<Self, PrivateKeyError> {
         let file_name = path.display().to_string();
-        let io_fault = |error| PrivateFault::Io(file_name.clone(), error);
+        let io_fault = |error| PrivateKeyError::Io(file_name.clone(), error);
         let file = File::open(path).map_err(io_fault)?;
         let mode = file.metadata().map_err(io_fault)?.permissions().mode();
         if mode & GROUP_AND_OTHERS_MODE != 0 {
-            return Err(PrivateFault::Open(file_name, mode & 0o777));
+            return Err(PrivateKeyError::Open(file_name, mode & 0o777));
         }
         let mut text = String::new();
         file.take(MAX_FILE_BYTES).read_to_string(&mut text).map_err(io_fault)?;
-        let malformed = |line: usize, why| PrivateFault::Malformed(file_name.clone(), line, why);
+        let malformed = |line: usize, why| PrivateKeyError::Malformed(file_name.clone(), line, why);
         let mut lines = text.lines();
         let mut next_value = |line: usize, names: &[&str], why| {
             let pair = lines.next().and_then(|text| text.split_once('='));
@@ -120,11 +121,11 @@
     }
 
     /// The public key in hex.
-    pub fn public(&self) -> String {
+    pub fn public_hex(&self) -> String {
         hex::encode(self.signing_key.verifying_key().to_bytes())
     }
 
-    pub(crate) fn signing(&self) -> &SigningKey {
+    pub(crate) fn signing_key(&self) -> &SigningKey {
         &self.signing_key
     }
 }
--- a/crates/keys/src/ring.rs
+++ b/crates/keys/src/ring.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_gossip::statement::Signature;
 use badgerledge_gossip::{Member, MAX_MEMBERS};
-use badgerledge_settings::{Fault, Faults, Sheet};
+use badgerledge_settings::{Fault, Faults, IniFile};
 use ed25519_dalek::VerifyingKey;
 use garde::Validate;
 use serde::Deserialize;
@@ -52,12 +52,12 @@
 impl Ring {
     /// Reads and validates a ring's file.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        Self::of(&Sheet::read(path)?)
+        Self::of(&IniFile::read(path)?)
     }
 
     /// Validates a parsed ring.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&["member", "author", "keepers"])?;
+    pub fn of(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&["member", "author", "keepers"])?;
         let mut faults = Vec::new();
         let mut owners: BTreeMap<[u8; 32], String> = BTreeMap::new();
         let member_keys = keys_of_role(sheet, "member", &mut owners, &mut faults);
@@ -87,12 +87,12 @@
     }
 
     /// The valid keys of an author.
-    pub fn author(&self, author: Member) -> &[VerifyingKey] {
+    pub fn author_keys(&self, author: Member) -> &[VerifyingKey] {
         self.author_keys.get(&author).map_or(&[], Vec::as_slice)
     }
 
     /// The revoked keys of an author.
-    pub fn past_author(&self, author: Member) -> &[VerifyingKey] {
+    pub fn revoked_author_keys(&self, author: Member) -> &[VerifyingKey] {
         self.revoked_author_keys.get(&author).map_or(&[], Vec::as_slice)
     }
 
@@ -102,21 +102,21 @@
     }
 
     /// The valid keys of a member.
-    pub fn keys(&self, member: Member) -> &[VerifyingKey] {
+    pub fn member_keys(&self, member: Member) -> &[VerifyingKey] {
         self.member_keys.get(&member).map_or(&[], Vec::as_slice)
     }
 
     /// Whether a key is a valid key of a member.
-    pub fn holds(&self, member: Member, key: &VerifyingKey) -> bool {
-        self.keys(member).contains(key)
+    pub fn has_member_key(&self, member: Member, key: &VerifyingKey) -> bool {
+        self.member_keys(member).contains(key)
     }
 
     /// Whether the ring has the public key of a private key as a valid key of its owner.
-    pub fn holds_public(&self, private: &PrivateKey) -> bool {
-        let public = private.signing().verifying_key();
+    pub fn has_public_key(&self, private: &PrivateKey) -> bool {
+        let public = private.signing_key().verifying_key();
         match private.role() {
-            Role::Member(member) => self.keys(member).contains(&public),
-            Role::Author(author) => self.author(author).contains(&public),
+            Role::Member(member) => self.member_keys(member).contains(&public),
+            Role::Author(author) => self.author_keys(author).contains(&public),
         }
     }
 
@@ -127,18 +127,18 @@
 
     /// Whether a member signed these bytes with a valid key.
     pub fn signed_by_member(&self, member: Member, bytes: &[u8], signature: &Signature) -> bool {
-        any_verifies(self.keys(member), bytes, signature)
+        any_verifies(self.member_keys(member), bytes, signature)
     }
 
     /// Whether an author signed these bytes with a valid key.
     pub fn signed_by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
-        any_verifies(self.author(author), bytes, signature)
+        any_verifies(self.author_keys(author), bytes, signature)
     }
 
     /// Whether an author signed these bytes with a valid or a revoked key.
     pub fn ever_signed_by_author(&self, author: Member, bytes: &[u8], signature: &Signature) -> bool {
         self.signed_by_author(author, bytes, signature)
-            || any_verifies(self.past_author(author), bytes, signature)
+            || any_verifies(self.revoked_author_keys(author), bytes, signature)
     }
 }
 
@@ -148,12 +148,13 @@
     keys.iter().any(|key| key.verify_strict(bytes, &signature).is_ok())
 }
 
-/// The valid keys of all owners of a role. Errors go to `faults`; `owners` detects a key that two owners have.
+/// The valid keys of all owners of a role. Errors go to `faults`; `owners` detects a key that two owners
+/// have.
 fn keys_of_role(
-    sheet: &Sheet, role: &str, owners: &mut BTreeMap<[u8; 32], String>, faults: &mut Vec<Fault>,
+    sheet: &IniFile, role: &str, owners: &mut BTreeMap<[u8; 32], String>, faults: &mut Vec<Fault>,
 ) -> PublicKeys {
     let mut keys_by_owner = PublicKeys::new();
-    for name in sheet.named(role) {
+    for name in sheet.section_names(role) {
         let section_name = format!("{role} {name}");
         let fault = |key: &str, value: &str, why: &str| sheet.fault(&section_name, key, value, why);
         let Some(number) = name.parse().ok().filter(|number: &Member| usize::from(*number) < MAX_MEMBERS)
@@ -181,13 +182,13 @@
 }
 
 /// The revoked keys of all authors. Ignores errors, which [`keys_of_role`] has reported.
-fn revoked_author_keys(sheet: &Sheet) -> PublicKeys {
+fn revoked_author_keys(sheet: &IniFile) -> PublicKeys {
     let revoked_keys = |name: &str| {
         let section = sheet.section::<Section>(&format!("author {name}")).ok()?;
         let keys = section.revoked.iter().filter_map(|text| public_key(text)).collect();
         Some((name.parse().ok()?, keys))
     };
-    sheet.named("author").filter_map(revoked_keys).collect()
+    sheet.section_names("author").filter_map(revoked_keys).collect()
 }
 
 /// Parses a public key from hex digits. Rejects weak keys: they would let others sign for the owner.
--- a/crates/keys/src/tests.rs
+++ b/crates/keys/src/tests.rs
@@ -3,19 +3,20 @@
 use std::os::unix::fs::PermissionsExt;
 
 use badgerledge_gossip::Keyring;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
-use crate::{Keys, PrivateFault, PrivateKey, Ring, Role};
+use crate::{Keys, PrivateKey, PrivateKeyError, Ring, Role};
 
 fn ring(text: &str) -> Result<Ring, String> {
-    let sheet = Sheet::parse("ring.ini", text).map_err(|e| e.to_string())?;
+    let sheet = IniFile::parse("ring.ini", text).map_err(|e| e.to_string())?;
     Ring::of(&sheet).map_err(|e| e.to_string())
 }
 
 #[test]
 fn both_keys_are_valid_during_rotation_and_revoked_keys_are_not() {
-    let (old, new) = (PrivateKey::make(Role::Member(3)).unwrap(), PrivateKey::make(Role::Member(3)).unwrap());
-    let (first, second) = (old.public(), new.public());
+    let (old, new) =
+        (PrivateKey::generate(Role::Member(3)).unwrap(), PrivateKey::generate(Role::Member(3)).unwrap());
+    let (first, second) = (old.public_hex(), new.public_hex());
     let both = ring(&format!("[member 3]\nkeys = {first}, {second}\n")).unwrap();
     let old = Keys::new(old, both.clone()).unwrap();
     let new = Keys::new(new, both).unwrap();
@@ -32,7 +33,7 @@
 
 #[test]
 fn ring_errors_name_line_key_value_and_accepted_values() {
-    let key = PrivateKey::make(Role::Member(0)).unwrap().public();
+    let key = PrivateKey::generate(Role::Member(0)).unwrap().public_hex();
     let error = ring("[member 0]\nkeys = 12ab\n").unwrap_err();
     assert_eq!(error, "ring.ini:2: [member 0] keys = 12ab: must be a public Ed25519 key in 64 hex digits");
     let error = ring(&format!("[member 0]\nkeys = {key}\n[member 1]\nkeys = {key}\n")).unwrap_err();
@@ -46,14 +47,19 @@
 fn private_key_that_others_can_read_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("key");
-    let generated = PrivateKey::make(Role::Member(9)).unwrap();
+    let generated = PrivateKey::generate(Role::Member(9)).unwrap();
     generated.write(&path).unwrap();
     let read = PrivateKey::read(&path).unwrap();
-    assert_eq!((read.role(), read.public()), (Role::Member(9), generated.public()));
-    assert!(matches!(generated.write(&path), Err(PrivateFault::Io(..))), "an existing key was overwritten");
+    assert_eq!((read.role(), read.public_hex()), (Role::Member(9), generated.public_hex()));
+    assert!(
+        matches!(generated.write(&path), Err(PrivateKeyError::Io(..))),
+        "an existing key was overwritten"
+    );
     for mode in [0o640, 0o604, 0o660] {
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        assert!(matches!(PrivateKey::read(&path), Err(PrivateFault::Open(_, reported)) if reported == mode));
+        assert!(
+            matches!(PrivateKey::read(&path), Err(PrivateKeyError::Open(_, reported)) if reported == mode)
+        );
     }
 }
 
@@ -67,7 +73,7 @@
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).unwrap();
         assert!(
-            matches!(PrivateKey::read(&path), Err(PrivateFault::Malformed(_, reported, _)) if reported == line)
+            matches!(PrivateKey::read(&path), Err(PrivateKeyError::Malformed(_, reported, _)) if reported == line)
         );
     }
 }
@@ -75,9 +81,9 @@
 #[test]
 fn verifier_verifies_signatures_of_members_but_can_not_sign() {
     use badgerledge_revisions::Signer;
-    let member = PrivateKey::make(Role::Member(3)).unwrap();
-    let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public());
-    let verifier = crate::Verifier::new(Ring::of(&Sheet::parse("ring", &text).unwrap()).unwrap());
+    let member = PrivateKey::generate(Role::Member(3)).unwrap();
+    let text = format!("[member 3]\nkeys = {}\n[keepers]\nmembers = 3\n", member.public_hex());
+    let verifier = crate::Verifier::new(Ring::of(&IniFile::parse("ring", &text).unwrap()).unwrap());
     let signature = member.sign(b"bytes");
     assert!(
         verifier.verify_member(3, b"bytes", &signature) && !verifier.verify_member(3, b"other", &signature)
--- a/crates/relay/src/edits.rs
+++ b/crates/relay/src/edits.rs
@@ -15,7 +15,7 @@
 use badgerledge_deployment::kinds::{self, KINDS};
 use badgerledge_deployment::SHARED_SECTIONS;
 use badgerledge_distribution::state::{Edit, Entry};
-use badgerledge_settings::{Fault, Faults, Sheet};
+use badgerledge_settings::{Fault, Faults, IniFile};
 
 const SET: &str = "set";
 const REMOVE: &str = "remove";
@@ -26,8 +26,8 @@
 ///
 /// # Errors
 /// All that is wrong, each with its file, line and key.
-pub fn read(sheet: &Sheet) -> Result<Vec<Edit>, Faults> {
-    sheet.only(&[SET, REMOVE, SECTION, TITLE])?;
+pub fn read(sheet: &IniFile) -> Result<Vec<Edit>, Faults> {
+    sheet.reject_unknown_sections(&[SET, REMOVE, SECTION, TITLE])?;
     let mut reading = Reading { sheet, edits: BTreeMap::new(), faults: Vec::new() };
     reading.settings();
     reading.sections();
@@ -41,7 +41,7 @@
 }
 
 struct Reading<'a> {
-    sheet: &'a Sheet,
+    sheet: &'a IniFile,
     edits: BTreeMap<String, Option<Vec<u8>>>,
     faults: Vec<Fault>,
 }
@@ -49,13 +49,13 @@
 impl Reading<'_> {
     fn settings(&mut self) {
         let sheet = self.sheet;
-        for section in sheet.named(SET) {
+        for section in sheet.section_names(SET) {
             let place = format!("{SET} {section}");
             for (key, value) in sheet.keys(&place) {
                 if !is_setting(section, key) {
                     self.wrong(&place, key, "", "there is no such setting");
                 } else {
-                    let value = kinds::plain(value);
+                    let value = kinds::canonical_value(value);
                     self.edit(&place, key, setting_key(section, key), Some(value.into_bytes()));
                 }
             }
@@ -64,7 +64,7 @@
 
     fn sections(&mut self) {
         let sheet = self.sheet;
-        for section in sheet.named(SECTION) {
+        for section in sheet.section_names(SECTION) {
             let heading = format!("{SECTION} {section}");
             if !is_section(section) {
                 self.wrong(&heading, "", "", "there is no such section");
@@ -84,7 +84,7 @@
 
     fn removals(&mut self) {
         let sheet = self.sheet;
-        for section in sheet.named(REMOVE) {
+        for section in sheet.section_names(REMOVE) {
             let heading = format!("{REMOVE} {section}");
             if section.starts_with("title ") {
                 self.edit(&heading, "", section.to_owned(), None);
--- a/crates/relay/src/push_check.rs
+++ b/crates/relay/src/push_check.rs
@@ -5,7 +5,7 @@
 //! once, are found by [`state_check`], with which the control machine judges whole batches.
 
 use badgerledge_changes::arrange;
-use badgerledge_deployment::{StateReader, Text};
+use badgerledge_deployment::{RevisionText, StateReader};
 use badgerledge_distribution::change::{last_sequence, Change, Rejection};
 use badgerledge_distribution::control::StateCheck;
 use badgerledge_distribution::state::State;
@@ -61,7 +61,7 @@
 }
 
 /// Whether controllers that act on a configuration can act on another one after it.
-fn follows(before: &Text, after: &Text) -> Result<(), String> {
+fn follows(before: &RevisionText, after: &RevisionText) -> Result<(), String> {
     match (before.titles().is_empty(), after.titles().is_empty()) {
         (true, false) => {
             Err("it has titles, and titles do not go with the settings in this fleet".to_owned())
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -11,7 +11,7 @@
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_settings::{within, Fault, Faults, Sheet};
+use badgerledge_settings::{within, Fault, Faults, IniFile};
 use garde::Validate;
 use serde::Deserialize;
 
@@ -116,7 +116,7 @@
     /// # Errors
     /// All that is wrong, each with its file, line and key.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        let mut settings = Self::of(&Sheet::read(path)?)?;
+        let mut settings = Self::of(&IniFile::read(path)?)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         let place = &mut settings.place;
         for named in [&mut place.state, &mut place.ring, &mut place.key, &mut place.genesis] {
@@ -129,9 +129,9 @@
 
     /// # Errors
     /// All that is wrong, each with its line and key.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&["relay", "peers"])?;
-        let (place, peers) = Faults::both(sheet.section::<RelayPlace>("relay"), peers(sheet))?;
+    pub fn of(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&["relay", "peers"])?;
+        let (place, peers) = Faults::combine(sheet.section::<RelayPlace>("relay"), peers(sheet))?;
         if !peers.contains_key(&place.number) {
             let why = "the address of each control machine is wanted, this one's too";
             return Err(sheet.fault("peers", &place.number.to_string(), "", why).into());
@@ -176,7 +176,7 @@
 }
 
 /// `[peers]`: the address of each control machine, by its number.
-fn peers(sheet: &Sheet) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
+fn peers(sheet: &IniFile) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
     let (mut peers, mut faults) = (BTreeMap::new(), Vec::<Fault>::new());
     for (key, value) in sheet.keys("peers") {
         match (key.parse(), value.parse()) {
@@ -201,8 +201,8 @@
 /// # Errors
 /// Where the file is not a configuration.
 pub fn read_genesis(path: &Path) -> Result<State> {
-    let sheet = Sheet::read(path)?;
+    let sheet = IniFile::read(path)?;
     let text = kinds::canonical(&sheet);
-    let entries = entries::entries_of(&text).with_context(|| path.display().to_string())?;
+    let entries = entries::entries_from_text(&text).with_context(|| path.display().to_string())?;
     State::from_entries(entries).with_context(|| path.display().to_string())
 }
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -233,8 +233,8 @@
 /// Where it can't be stored.
 pub fn begin_life(folder: &Path) -> io::Result<u32> {
     let file = folder.join(LIFE);
-    let life = files::next_life(Some(&file));
-    files::replace_durably(&file, files::written_life(life).as_bytes())?;
+    let life = files::next_incarnation(Some(&file));
+    files::replace_durably(&file, files::format_incarnation(life).as_bytes())?;
     Ok(life)
 }
 
--- a/crates/relay/src/tests/edits.rs
+++ b/crates/relay/src/tests/edits.rs
@@ -1,20 +1,20 @@
 //! The INI form of changes.
 
-use badgerledge_deployment::entries::{entries_of, text_of};
+use badgerledge_deployment::entries::{entries_from_text, text_from_entries};
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_distribution::state::{Edit, Entry, State};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use super::support::GENESIS;
 use crate::edits;
 
 fn read(text: &str) -> Result<Vec<Edit>, String> {
-    let sheet = Sheet::parse("change.ini", text).map_err(|faults| faults.to_string())?;
+    let sheet = IniFile::parse("change.ini", text).map_err(|faults| faults.to_string())?;
     edits::read(&sheet).map_err(|faults| faults.to_string())
 }
 
 fn entries(text: &str) -> Vec<Entry> {
-    entries_of(&canonical(&Sheet::parse("configuration", text).unwrap())).unwrap()
+    entries_from_text(&canonical(&IniFile::parse("configuration", text).unwrap())).unwrap()
 }
 
 fn edit(key: &str, value: Option<&str>) -> Edit {
@@ -76,7 +76,7 @@
         let mut state = State::from_entries(from.clone()).unwrap();
         state.apply(&read(&written).unwrap()).unwrap();
         assert_eq!(state.root(), State::from_entries(to.clone()).unwrap().root(), "{written}");
-        assert!(text_of(state.entries()).is_ok());
+        assert!(text_from_entries(state.entries()).is_ok());
     }
     assert_eq!(edits::write(&edits::between(&to, &to)), "");
 }
--- a/crates/relay/src/tests/settings.rs
+++ b/crates/relay/src/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a settings file is said with its place.
 
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::settings::RelaySettings;
 
@@ -19,7 +19,7 @@
 ";
 
 fn read(text: &str) -> Result<RelaySettings, String> {
-    let sheet = Sheet::parse("relay.ini", text).map_err(|faults| faults.to_string())?;
+    let sheet = IniFile::parse("relay.ini", text).map_err(|faults| faults.to_string())?;
     RelaySettings::of(&sheet).map_err(|faults| faults.to_string())
 }
 
@@ -69,5 +69,8 @@
         fault("1 = 127.0.0.1:7101", "2 = 127.0.0.1:7101"),
         "relay.ini:9: [peers] 1: the address of each control machine is wanted, this one's too"
     );
-    assert_eq!(fault("[peers]", "[peer]"), "relay.ini:9: [peer]: no such section; known sections are relay, peers");
+    assert_eq!(
+        fault("[peers]", "[peer]"),
+        "relay.ini:9: [peer]: no such section; known sections are relay, peers"
+    );
 }
--- a/crates/relay/src/tests/support.rs
+++ b/crates/relay/src/tests/support.rs
@@ -1,14 +1,14 @@
 //! Keys and files for tests.
 
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 /// The keys of some control machines, of which the first is the acceptor.
 pub fn keys(machines: u16) -> Vec<Keys> {
     let made: Vec<PrivateKey> =
-        (0..machines).map(|number| PrivateKey::make(Role::Member(number)).unwrap()).collect();
-    let text = ring_text(&made.iter().map(PrivateKey::public).collect::<Vec<_>>());
-    let ring = Ring::of(&Sheet::parse("ring.ini", &text).unwrap()).unwrap();
+        (0..machines).map(|number| PrivateKey::generate(Role::Member(number)).unwrap()).collect();
+    let text = ring_text(&made.iter().map(PrivateKey::public_hex).collect::<Vec<_>>());
+    let ring = Ring::of(&IniFile::parse("ring.ini", &text).unwrap()).unwrap();
     made.into_iter().map(|key| Keys::new(key, ring.clone()).unwrap()).collect()
 }
 
--- a/crates/relay/src/verbs/change.rs
+++ b/crates/relay/src/verbs/change.rs
@@ -8,7 +8,7 @@
 use badgerledge_distribution::change::{Change, Rejection};
 use badgerledge_distribution::{Author, Number};
 use badgerledge_keys::{PrivateKey, Role};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::client::{Client, ClientFault};
 use crate::{edits, Outcome};
@@ -59,7 +59,7 @@
 /// Where the key, the file or the relay is not in order; a rejection is an outcome.
 pub fn run(arguments: &Arguments) -> Result<Outcome> {
     let (private, author) = read_author(&arguments.author)?;
-    let edits = edits::read(&Sheet::read(&arguments.file)?)?;
+    let edits = edits::read(&IniFile::read(&arguments.file)?)?;
     let mut client = Client::connect(arguments.relay)?;
     let base = match arguments.base {
         Base::Revision(number) => number,
--- a/crates/relay/src/verbs/diff.rs
+++ b/crates/relay/src/verbs/diff.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use badgerledge_deployment::{entries, kinds};
 use badgerledge_distribution::state::Entry;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::{edits, Outcome};
 
@@ -26,6 +26,6 @@
 }
 
 fn read(file: &Path) -> Result<Vec<Entry>> {
-    let text = kinds::canonical(&Sheet::read(file)?);
-    entries::entries_of(&text).with_context(|| file.display().to_string())
+    let text = kinds::canonical(&IniFile::read(file)?);
+    entries::entries_from_text(&text).with_context(|| file.display().to_string())
 }
--- a/crates/relay/tests/it/rig.rs
+++ b/crates/relay/tests/it/rig.rs
@@ -11,7 +11,7 @@
 use badgerledge_distribution::message::ControlStatus;
 use badgerledge_keys::{PrivateKey, Ring, Role};
 use badgerledge_relay::client::Client;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use rustix::process::{kill_process, Pid, Signal};
 use tempfile::TempDir;
 
@@ -122,20 +122,20 @@
     fn make_keys(&self) {
         let mut ring = String::new();
         for number in 0..MACHINES {
-            let key = PrivateKey::make(Role::Member(number)).unwrap();
+            let key = PrivateKey::generate(Role::Member(number)).unwrap();
             key.write(&self.path(&format!("member-{number}.key"))).unwrap();
-            ring += &format!("[member {number}]\nkeys = {}\n", key.public());
+            ring += &format!("[member {number}]\nkeys = {}\n", key.public_hex());
         }
-        let author = PrivateKey::make(Role::Author(AUTHOR)).unwrap();
+        let author = PrivateKey::generate(Role::Author(AUTHOR)).unwrap();
         author.write(&self.path("author.key")).unwrap();
-        ring += &format!("[author {AUTHOR}]\nkeys = {}\n", author.public());
+        ring += &format!("[author {AUTHOR}]\nkeys = {}\n", author.public_hex());
         let acceptors: Vec<String> = ACCEPTORS.iter().map(u16::to_string).collect();
         ring += &format!("[keepers]\nmembers = {}\n", acceptors.join(", "));
         std::fs::write(self.path("ring.ini"), ring).unwrap();
     }
 
     pub fn ring(&self) -> Ring {
-        Ring::of(&Sheet::read(&self.path("ring.ini")).unwrap()).unwrap()
+        Ring::of(&IniFile::read(&self.path("ring.ini")).unwrap()).unwrap()
     }
 
     /// Takes the author's key out of the ring.
--- a/crates/relay/tests/it/watcher.rs
+++ b/crates/relay/tests/it/watcher.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use badgerledge_deployment::entries::entries_of;
+use badgerledge_deployment::entries::entries_from_text;
 use badgerledge_distribution::lease::LEASE;
 use badgerledge_distribution::message::{ToRelay, ToWatcher};
 use badgerledge_distribution::state::State;
@@ -32,7 +32,7 @@
 
 impl ScriptedWatcher {
     pub fn connect(relay: SocketAddr, controller: u32, ring: Ring) -> Self {
-        let state = State::from_entries(entries_of(GENESIS).unwrap()).unwrap();
+        let state = State::from_entries(entries_from_text(GENESIS).unwrap()).unwrap();
         let mut client = Client::connect(relay).unwrap();
         client.send(&ToRelay::Hello { controller, active: 0, held: 0, root: state.root() }).unwrap();
         let verifier = Verifier::new(ring);
--- a/crates/replay/src/day.rs
+++ b/crates/replay/src/day.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_deployment::{Shared, SHARED_SECTIONS};
-use badgerledge_settings::{one_of, within, Faults, Sheet};
+use badgerledge_settings::{one_of, within, Faults, IniFile};
 use garde::Validate;
 use serde::Deserialize;
 
@@ -197,29 +197,29 @@
 
 impl Day {
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        Self::of(&Sheet::read(path)?)
+        Self::of(&IniFile::read(path)?)
     }
 
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&[&KINDS[..], &SHARED_SECTIONS].concat())?;
+    pub fn of(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&[&KINDS[..], &SHARED_SECTIONS].concat())?;
         let shared = Shared::of(sheet)?;
         let (course, arrivals) =
-            Faults::both(sheet.section::<Course>("day"), sheet.section::<Arrivals>("arrivals"))?;
+            Faults::combine(sheet.section::<Course>("day"), sheet.section::<Arrivals>("arrivals"))?;
         let mut kinds = Vec::new();
         for (name, _) in &shared.room_types {
             kinds.push(sheet.section::<Kind>(&format!("viewers {name}"))?);
         }
-        if let Some(name) = sheet.named("viewers").find(|name| shared.room_type(name).is_none()) {
+        if let Some(name) = sheet.section_names("viewers").find(|name| shared.room_type(name).is_none()) {
             let why = "there is no room type of this name";
             return Err(sheet.fault(&format!("viewers {name}"), "", "", why).into());
         }
         let mut troubles = Vec::new();
-        for name in sheet.named("trouble") {
+        for name in sheet.section_names("trouble") {
             troubles.push((name.to_owned(), sheet.section::<Trouble>(&format!("trouble {name}"))?));
         }
         let gossip: Option<GossipDay> = sheet.optional_section("gossip")?;
         let revisions = script(sheet)?;
-        let shared_text = sheet.copy(&SHARED_SECTIONS);
+        let shared_text = sheet.copy_sections(&SHARED_SECTIONS);
         let old_text = old_shape(sheet)?;
         Ok(Self { course, arrivals, kinds, troubles, gossip, revisions, shared, shared_text, old_text })
     }
@@ -264,7 +264,7 @@
 ];
 
 /// What happens to revisions; nothing where the day has none.
-fn script(sheet: &Sheet) -> Result<Option<Script>, Faults> {
+fn script(sheet: &IniFile) -> Result<Option<Script>, Faults> {
     if !sheet.has("revisions") {
         return Ok(None);
     }
@@ -273,22 +273,22 @@
         return Err(sheet.fault("revisions", "", "", "is taken only beside [gossip]").into());
     }
     let mut pushes = Vec::new();
-    for name in sheet.named("push") {
+    for name in sheet.section_names("push") {
         pushes.push((name.to_owned(), sheet.section(&format!("push {name}"))?));
     }
-    let revokes = sheet.named("revoke").map(|name| sheet.section(&format!("revoke {name}")));
+    let revokes = sheet.section_names("revoke").map(|name| sheet.section(&format!("revoke {name}")));
     let revokes = revokes.collect::<Result<_, _>>()?;
-    let ways = sheet.named("way").map(|name| sheet.section(&format!("way {name}")));
-    let processes = sheet.named("process").map(|name| sheet.section(&format!("process {name}")));
+    let ways = sheet.section_names("way").map(|name| sheet.section(&format!("way {name}")));
+    let processes = sheet.section_names("process").map(|name| sheet.section(&format!("process {name}")));
     let (ways, processes) = (ways.collect::<Result<_, _>>()?, processes.collect::<Result<_, _>>()?);
     Ok(Some(Script { told, pushes, revokes, ways, processes }))
 }
 
 /// What controllers of the old shape are told, checked as the rest is: each section `[old NAME]` in place of `[NAME]`.
-fn old_shape(sheet: &Sheet) -> Result<String, Faults> {
-    let old: Vec<&str> = sheet.named("old").collect();
+fn old_shape(sheet: &IniFile) -> Result<String, Faults> {
+    let old: Vec<&str> = sheet.section_names("old").collect();
     let kept: Vec<&str> = SHARED_SECTIONS.into_iter().filter(|kind| !old.contains(kind)).collect();
-    let text = sheet.copy(&kept) + &sheet.copy(&["old"]).replace("[old ", "[");
-    Shared::of(&Sheet::parse("old shape", &text)?)?;
+    let text = sheet.copy_sections(&kept) + &sheet.copy_sections(&["old"]).replace("[old ", "[");
+    Shared::of(&IniFile::parse("old shape", &text)?)?;
     Ok(text)
 }
--- a/crates/replay/src/gossip.rs
+++ b/crates/replay/src/gossip.rs
@@ -11,7 +11,7 @@
 use badgerledge_gossip::{Event, Gossip, Member, Transport};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
 use badgerledge_reactor::{Happening, Line, Reactor};
-use badgerledge_settings::{within, Sheet};
+use badgerledge_settings::{within, IniFile};
 use garde::Validate;
 use serde::Deserialize;
 
@@ -54,16 +54,16 @@
         let made = Self(folder.to_owned());
         let mut ring = String::new();
         for member in 0..members {
-            let key = PrivateKey::make(Role::Member(member as Member))?;
-            ring += &format!("[member {member}]\nkeys = {}\n", key.public());
+            let key = PrivateKey::generate(Role::Member(member as Member))?;
+            ring += &format!("[member {member}]\nkeys = {}\n", key.public_hex());
             // A folder that was kept from an earlier run has keys already; they are not in this ring.
             let _ = std::fs::remove_file(made.key(member));
             key.write(&made.key(member))?;
         }
         if keepers > 0 {
             for number in 0..AUTHORS {
-                let author = PrivateKey::make(Role::Author(number))?;
-                ring += &format!("[author {number}]\nkeys = {}\n", author.public());
+                let author = PrivateKey::generate(Role::Author(number))?;
+                ring += &format!("[author {number}]\nkeys = {}\n", author.public_hex());
                 let path = folder.join(author_key(number));
                 let _ = std::fs::remove_file(&path);
                 author.write(&path)?;
@@ -79,7 +79,7 @@
     pub fn revoke(folder: &Path, author: Member) -> Result<()> {
         let path = folder.join(RING);
         let ring = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
-        let key = PrivateKey::read(&folder.join(author_key(author)))?.public();
+        let key = PrivateKey::read(&folder.join(author_key(author)))?.public_hex();
         let whole = format!("keys = {key}\n");
         // In one step: whoever reads it reads the one or the other.
         let beside = folder.join("ring.new");
@@ -97,7 +97,7 @@
 
     fn keys(&self, member: u32) -> Result<Keys> {
         let private = PrivateKey::read(&self.key(member))?;
-        Keys::new(private, Ring::of(&Sheet::read(&self.ring())?)?)
+        Keys::new(private, Ring::of(&IniFile::read(&self.ring())?)?)
             .context("a key that the ring does not hold")
     }
 }
--- a/crates/replay/src/operators.rs
+++ b/crates/replay/src/operators.rs
@@ -11,7 +11,7 @@
 use badgerledge_deployment::kinds::canonical;
 use badgerledge_revision_tool::{Client, Push, Voice};
 use badgerledge_revisions::requests::Report;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::script::PushDay;
 
@@ -154,7 +154,7 @@
         let lines = if key.is_empty() { value.replace("; ", "\n") } else { format!("{key} = {value}") };
         changed += &format!("{head}\n{lines}\n");
     }
-    Ok(canonical(&Sheet::parse("a push", &changed)?))
+    Ok(canonical(&IniFile::parse("a push", &changed)?))
 }
 
 #[cfg(test)]
--- a/crates/replay/src/scripted.rs
+++ b/crates/replay/src/scripted.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_core::interface::SubscriptionRequest;
-use badgerledge_deployment::kinds::revised;
-use badgerledge_settings::Sheet;
+use badgerledge_deployment::kinds::read_revision;
+use badgerledge_settings::IniFile;
 use badgerledge_ways::Way;
 
 use crate::gossip::KeyFolder;
@@ -192,7 +192,7 @@
             return Ok(0);
         };
         let text = self.operators.active(by)?;
-        let (shared, titles) = revised(&Sheet::parse("the last text", &text)?)?;
+        let (shared, titles) = read_revision(&IniFile::parse("the last text", &text)?)?;
         let astray = self.streamers.streams().filter(|(cell, id)| {
             titles.title(*id).is_some_and(|title| {
                 let asked = SubscriptionRequest {
--- a/crates/replay/tests/distribution/fleet.rs
+++ b/crates/replay/tests/distribution/fleet.rs
@@ -14,7 +14,7 @@
 use badgerledge_keys::{PrivateKey, Role};
 use badgerledge_relay::client::{Client, ClientFault};
 use badgerledge_relay::edits;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use badgerledge_standins::free_port;
 use rustix::process::Signal;
 use tempfile::TempDir;
@@ -190,7 +190,7 @@
         let genesis = SHARED.to_owned() + if shape.titles { &titles } else { "" };
         std::fs::write(path.join("genesis.ini"), genesis).unwrap();
         let authors: Vec<PrivateKey> =
-            (0..2).map(|author| PrivateKey::make(Role::Author(author)).unwrap()).collect();
+            (0..2).map(|author| PrivateKey::generate(Role::Author(author)).unwrap()).collect();
         write_ring(path, shape.machines, &authors);
         let at = |number: usize| -> SocketAddr {
             let port = free_port().unwrap().port();
@@ -313,7 +313,7 @@
     /// A signed change of an author.
     pub fn change(&mut self, author: usize, base: Number, text: &str) -> Change {
         self.sequences[author] += 1;
-        let edits = edits::read(&Sheet::parse("change", text).unwrap()).unwrap();
+        let edits = edits::read(&IniFile::parse("change", text).unwrap()).unwrap();
         let key = &self.authors[author];
         Change::sign(author as u16, self.sequences[author], base, edits, |bytes| key.sign(bytes))
     }
@@ -384,12 +384,12 @@
 fn write_ring(path: &Path, machines: usize, authors: &[PrivateKey]) {
     let mut ring = String::new();
     for number in 0..machines {
-        let key = PrivateKey::make(Role::Member(number as u16)).unwrap();
+        let key = PrivateKey::generate(Role::Member(number as u16)).unwrap();
         key.write(&path.join(format!("key-{number}"))).unwrap();
-        ring += &format!("[member {number}]\nkeys = {}\n", key.public());
+        ring += &format!("[member {number}]\nkeys = {}\n", key.public_hex());
     }
     for (number, author) in authors.iter().enumerate() {
-        ring += &format!("[author {number}]\nkeys = {}\n", author.public());
+        ring += &format!("[author {number}]\nkeys = {}\n", author.public_hex());
     }
     let acceptors: Vec<String> = (0..machines).map(|number| number.to_string()).collect();
     ring += &format!("[keepers]\nmembers = {}\n", acceptors.join(", "));
--- a/crates/replay/tests/short_days.rs
+++ b/crates/replay/tests/short_days.rs
@@ -2,7 +2,7 @@
 //! was felt; service is not.
 
 use badgerledge_replay::{play, Day, Options, Report};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 /// A budget for what crosses, beside a trouble: it binds as soon as a building is lost.
 const BUDGET: &str = "\n[crossing]\nrate_kb_s = 60\nburst_kb = 60\n";
@@ -78,7 +78,7 @@
 }
 
 fn kept_with(day: &str, other_program: Option<std::path::PathBuf>) -> Report {
-    let sheet = Sheet::parse("short day", day).unwrap();
+    let sheet = IniFile::parse("short day", day).unwrap();
     let day = Day::of(&sheet).unwrap_or_else(|faults| panic!("{faults}"));
     let folder = tempfile::tempdir().unwrap();
     let options = Options {
--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -10,13 +10,13 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_catalogue::Catalogue;
-use badgerledge_deployment::kinds::{canonical, changes, revised, Change, Kind, Side};
+use badgerledge_deployment::kinds::{canonical, changes, read_revision, Change, Kind, Side};
 use badgerledge_deployment::SHARED_SECTIONS;
 use badgerledge_keys::{PrivateKey, Role};
 use badgerledge_revisions::message::MemberRemoval;
 use badgerledge_revisions::requests::{self, Report, Request, Response};
 use badgerledge_revisions::{digest, Head, Member, Signed};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 use clap::{Parser, Subcommand};
 use serde_json::json;
 
@@ -151,7 +151,7 @@
         What::Diff { from, to, at, catalogue } => {
             let from = match (from, at) {
                 (Some(from), _) => read(&from, None)?,
-                (None, Some(at)) => Sheet::parse(&at.to_string(), &Client::connect(at)?.active()?)?,
+                (None, Some(at)) => IniFile::parse(&at.to_string(), &Client::connect(at)?.active()?)?,
                 (None, None) => bail!("a file or --at is wanted"),
             };
             tell_changes(&changes(&from, &read(&to, catalogue.as_deref())?), voice);
@@ -175,13 +175,13 @@
 }
 
 /// A file whose shared sections are in order, with its titles or those of another file.
-fn read(file: &Path, catalogue: Option<&Path>) -> Result<Sheet> {
-    let mut sheet = Sheet::read(file)?;
+fn read(file: &Path, catalogue: Option<&Path>) -> Result<IniFile> {
+    let mut sheet = IniFile::read(file)?;
     if let Some(titles) = catalogue {
-        let text = sheet.copy(&SHARED_SECTIONS) + &Catalogue::read(titles)?.text();
-        sheet = Sheet::parse(&format!("{} with {}", file.display(), titles.display()), &text)?;
+        let text = sheet.copy_sections(&SHARED_SECTIONS) + &Catalogue::read(titles)?.text();
+        sheet = IniFile::parse(&format!("{} with {}", file.display(), titles.display()), &text)?;
     }
-    revised(&sheet)?;
+    read_revision(&sheet)?;
     Ok(sheet)
 }
 
@@ -202,7 +202,7 @@
     let sheet = read(&told.file, told.catalogue.as_deref())?;
     let text = canonical(&sheet);
     let mut client = Client::connect(told.at)?;
-    let latest = Sheet::parse("certified", &client.latest()?)?;
+    let latest = IniFile::parse("certified", &client.latest()?)?;
     let found = changes(&latest, &sheet);
     tell_changes(&found, voice);
     if found.is_empty() {
@@ -314,7 +314,7 @@
             match side {
                 Side::Lower => "until all have it, each that has it keeps to the lower value",
                 Side::Higher => "until all have it, each that has it keeps to the higher value",
-                Side::LowerBut0 => {
+                Side::LowerOrUnlimited => {
                     "until all have it, each that has it keeps to the lower value, 0 being none"
                 }
                 Side::False => "until all have it, each that has it does what both permit",
--- a/crates/rollout/src/planning.rs
+++ b/crates/rollout/src/planning.rs
@@ -1,7 +1,7 @@
 //! A plan held against the settings that the fleet acts on, before anything moves.
 
 use badgerledge_deployment::{Shared, SHARED_SECTIONS};
-use badgerledge_settings::{Fault, Faults, Sheet};
+use badgerledge_settings::{Fault, Faults, IniFile};
 
 use crate::pace::derive;
 use crate::state::{Spec, Subject};
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// All that is wrong with the plan or with the settings, with its place.
-pub fn plan_of(plan: &Sheet, settings: &Sheet) -> Result<Spec, Faults> {
+pub fn plan_of(plan: &IniFile, settings: &IniFile) -> Result<Spec, Faults> {
     let shared = Shared::of(settings)?;
     let spec = Spec::of_plan(plan, derive(&shared))?;
     let mut faults = unknown_zones(&spec, plan, &shared);
@@ -24,12 +24,12 @@
         return Err(Faults(faults));
     }
     if let Subject::Settings(_) = &spec.subject {
-        Shared::of(&Sheet::parse(&changed_name(plan), &changed_text(&spec, settings))?)?;
+        Shared::of(&IniFile::parse(&changed_name(plan), &changed_text(&spec, settings))?)?;
     }
     Ok(spec)
 }
 
-fn unknown_zones(spec: &Spec, plan: &Sheet, shared: &Shared) -> Vec<Fault> {
+fn unknown_zones(spec: &Spec, plan: &IniFile, shared: &Shared) -> Vec<Fault> {
     let told = plan.value(SECTION, "fleet").unwrap_or("");
     let unknown = spec.fleet.zones.iter().filter(|zone| !shared.fleet.zones.contains(zone));
     let why = |zone: &String| format!("there is no zone {zone}; there are {}", shared.fleet.zones.join(" "));
@@ -37,7 +37,7 @@
 }
 
 /// A section that comes or goes can't go in stages.
-fn strange_section(plan: &Sheet, settings: &Sheet, section: &str, key: &str) -> Option<Fault> {
+fn strange_section(plan: &IniFile, settings: &IniFile, section: &str, key: &str) -> Option<Fault> {
     let name = format!("{section}/{key}");
     let told = plan.value(SETTINGS_SECTION, &name).unwrap_or("");
     let why = "the settings have no such section, and one that comes does not go in stages";
@@ -45,13 +45,13 @@
 }
 
 /// What faults name that stand in the settings as the roll would leave them.
-fn changed_name(plan: &Sheet) -> String {
+fn changed_name(plan: &IniFile) -> String {
     format!("the settings as {} changes them", plan.file())
 }
 
 /// The settings as the roll leaves them.
-fn changed_text(spec: &Spec, settings: &Sheet) -> String {
-    let Subject::Settings(changed) = &spec.subject else { return settings.copy(&SHARED_SECTIONS) };
+fn changed_text(spec: &Spec, settings: &IniFile) -> String {
+    let Subject::Settings(changed) = &spec.subject else { return settings.copy_sections(&SHARED_SECTIONS) };
     let is_shared = |section: &&str| SHARED_SECTIONS.contains(&section.split(' ').next().unwrap_or(section));
     let mut text = String::new();
     for section in settings.sections().filter(is_shared) {
--- a/crates/rollout/src/tests/conductors.rs
+++ b/crates/rollout/src/tests/conductors.rs
@@ -7,7 +7,7 @@
 use badgerledge_distribution::change::{admit, Change, History, Rejection};
 use badgerledge_distribution::state::{Entry, State};
 use badgerledge_distribution::{Signature, Signer};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use super::support::{report, rollout_at, spec, spec_of, PLAN};
 use crate::{
@@ -389,8 +389,8 @@
 [permissions]
 max_retry_after_ms = 3000
 ";
-    let sheet = Sheet::parse("fleet.ini", text).unwrap();
-    assert!(sheet.only(&SHARED_SECTIONS).is_ok());
+    let sheet = IniFile::parse("fleet.ini", text).unwrap();
+    assert!(sheet.reject_unknown_sections(&SHARED_SECTIONS).is_ok());
     let pace = derive(&Shared::of(&sheet).unwrap());
     // A client's wait, the longest time to stay away and the warm-up: 4 + 3 + 20.5 s.
     assert_eq!((pace.at_once_share, pace.settle.as_secs()), (0.25, 28));
--- a/crates/rollout/src/tests/support.rs
+++ b/crates/rollout/src/tests/support.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::{Arm, CountReport, Counted, Member, Pace, PaceDefaults, Progress, Report, Rollout, Spec, Status};
 
@@ -24,7 +24,7 @@
 pub const DEFAULTS: PaceDefaults = PaceDefaults { at_once_share: 0.3, settle: Duration::from_secs(10) };
 
 pub fn spec_of(text: &str) -> Spec {
-    let sheet = Sheet::parse("plan.ini", text).unwrap();
+    let sheet = IniFile::parse("plan.ini", text).unwrap();
     Spec::of_plan(&sheet, DEFAULTS).unwrap()
 }
 
--- a/crates/rollout/src/tests/texts.rs
+++ b/crates/rollout/src/tests/texts.rs
@@ -2,13 +2,13 @@
 
 use badgerledge_core::random::Rng;
 use badgerledge_deployment::kinds::{Kind, KINDS};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use super::support::{rollout_at, spec, DEFAULTS, PLAN};
 use crate::{AfterStop, Rollout, Spec, Status, Subject};
 
 fn fault(text: &str) -> String {
-    let sheet = Sheet::parse("plan.ini", text);
+    let sheet = IniFile::parse("plan.ini", text);
     sheet.and_then(|sheet| Spec::of_plan(&sheet, DEFAULTS)).unwrap_err().to_string()
 }
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_state_is_read_as_it_was_written() {
     let mut rollout = rollout_at(1, 2);
-    let read = |text: &str| Rollout::of(&Sheet::parse("state", text).unwrap()).unwrap();
+    let read = |text: &str| Rollout::of(&IniFile::parse("state", text).unwrap()).unwrap();
     for (status, _) in Status::ALL {
         rollout.progress.status = status;
         assert_eq!(read(&rollout.text()), Some(rollout.clone()));
@@ -132,10 +132,10 @@
                 lines[at].truncate(length);
             }
         }
-        match Sheet::parse("state", &lines.join("\n")).and_then(|sheet| Rollout::of(&sheet)) {
+        match IniFile::parse("state", &lines.join("\n")).and_then(|sheet| Rollout::of(&sheet)) {
             Ok(read) => {
                 let read = read.unwrap();
-                assert_eq!(Rollout::of(&Sheet::parse("state", &read.text()).unwrap()).unwrap(), Some(read));
+                assert_eq!(Rollout::of(&IniFile::parse("state", &read.text()).unwrap()).unwrap(), Some(read));
                 whole += 1;
             }
             Err(faults) => refused += usize::from(!faults.0.is_empty()),
@@ -149,7 +149,7 @@
     let text = rollout_at(1, 2).text();
     let fault = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
-        let sheet = Sheet::parse("state", &text.replacen(from, to, 1)).unwrap();
+        let sheet = IniFile::parse("state", &text.replacen(from, to, 1)).unwrap();
         Rollout::of(&sheet).unwrap_err().to_string()
     };
     for key in [
--- a/crates/rollout/src/text.rs
+++ b/crates/rollout/src/text.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_settings::{Faults, Sheet};
+use badgerledge_settings::{Faults, IniFile};
 
 use crate::state::{Rollout, Spec};
 use raw::Raw;
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// All that is wrong, with its place.
-    pub fn of_plan(sheet: &Sheet, defaults: PaceDefaults) -> Result<Self, Faults> {
+    pub fn of_plan(sheet: &IniFile, defaults: PaceDefaults) -> Result<Self, Faults> {
         let raw: Raw = sheet.section(SECTION)?;
         let reader = Reader { sheet };
         let given = [
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// All that is wrong, with its place.
-    pub fn of(sheet: &Sheet) -> Result<Option<Self>, Faults> {
+    pub fn of(sheet: &IniFile) -> Result<Option<Self>, Faults> {
         if !sheet.has(SECTION) {
             return Ok(None);
         }
@@ -88,6 +88,6 @@
         }
         sections.retain(|_, lines| !lines.is_empty());
         let text: String = sections.iter().map(|(section, lines)| format!("[{section}]\n{lines}")).collect();
-        Self::of(&Sheet::parse("configuration", &text)?)
+        Self::of(&IniFile::parse("configuration", &text)?)
     }
 }
--- a/crates/rollout/src/text/reader.rs
+++ b/crates/rollout/src/text/reader.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_deployment::kinds::{kind_of, plain, Kind, KINDS};
-use badgerledge_settings::{Fault, Faults, Sheet};
+use badgerledge_deployment::kinds::{canonical_value, kind_of, Kind, KINDS};
+use badgerledge_settings::{Fault, Faults, IniFile};
 
 use super::raw::Raw;
 use super::{PaceDefaults, SECTION, SETTINGS_SECTION, SLASH};
@@ -15,7 +15,7 @@
 
 /// A sheet and what is wrong with its roll.
 pub struct Reader<'a> {
-    pub sheet: &'a Sheet,
+    pub sheet: &'a IniFile,
 }
 
 impl Reader<'_> {
@@ -102,7 +102,7 @@
         let (mut settings, mut faults) = (BTreeMap::new(), Vec::new());
         for (name, value) in self.sheet.keys(SETTINGS_SECTION) {
             match setting_of(name) {
-                Ok(at) => drop(settings.insert(at, plain(value))),
+                Ok(at) => drop(settings.insert(at, canonical_value(value))),
                 Err(why) => faults.push(self.fault_in(SETTINGS_SECTION, name, why)),
             }
         }
--- a/crates/rollout_tool/src/main.rs
+++ b/crates/rollout_tool/src/main.rs
@@ -8,7 +8,7 @@
 use anyhow::{bail, Context, Result};
 use badgerledge_deployment::SECTIONS;
 use badgerledge_rollout::{plan_of, Preview, Spec, SECTION};
-use badgerledge_settings::{Faults, Sheet};
+use badgerledge_settings::{Faults, IniFile};
 use clap::{Args, Parser, Subcommand};
 
 /// A rolling change of the program or of settings, in stages.
@@ -84,9 +84,9 @@
 }
 
 /// A file whose sections are all known: a misspelt one would else be passed over.
-fn read_known(path: &Path) -> Result<Sheet, Faults> {
-    let sheet = Sheet::read(path)?;
+fn read_known(path: &Path) -> Result<IniFile, Faults> {
+    let sheet = IniFile::read(path)?;
     let known: Vec<&str> = SECTIONS.iter().copied().chain([SECTION, "title"]).collect();
-    sheet.only(&known)?;
+    sheet.reject_unknown_sections(&known)?;
     Ok(sheet)
 }
--- a/crates/rtsp/src/client.rs
+++ b/crates/rtsp/src/client.rs
@@ -27,8 +27,8 @@
         self.session.as_deref()
     }
 
-    /// Builds a request with its CSeq, the session if there is one, and further headers; `None` while too many requests
-    /// are unanswered.
+    /// Builds a request with its CSeq, the session if there is one, and further headers; `None` while too
+    /// many requests are unanswered.
     pub fn request(&mut self, method: Method, uri: Url, extra: &[(HeaderName, String)]) -> Option<Request> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return None;
@@ -46,9 +46,9 @@
         Some(request)
     }
 
-    /// Matches a response to its request and returns the request's method; `None` if there is no such pending request, or
-    /// the response has no CSeq.
-    pub fn answered(&mut self, response: &Response) -> Option<Method> {
+    /// Matches a response to its request and returns the request's method; `None` if there is no such pending
+    /// request, or the response has no CSeq.
+    pub fn match_response(&mut self, response: &Response) -> Option<Method> {
         let cseq: u32 = response.header(&headers::CSEQ)?.as_str().trim().parse().ok()?;
         let index = self.pending.iter().position(|(pending, _)| *pending == cseq)?;
         let (_, method) = self.pending.remove(index)?;
@@ -60,7 +60,7 @@
     }
 
     /// Forgets all pending requests: their responses will not come, or are no longer expected.
-    pub fn forget(&mut self) {
+    pub fn forget_pending(&mut self) {
         self.pending.clear();
     }
 }
--- a/crates/rtsp/src/describe.rs
+++ b/crates/rtsp/src/describe.rs
@@ -9,8 +9,8 @@
 /// Clock rate of its RTP timestamps in Hz, that of video (RFC 3551 section 5).
 pub const CLOCK_RATE: u32 = 90_000;
 
-/// Describes a title at a server's address: one H.264 video stream (RFC 6184), whose control URI is relative to the
-/// title's.
+/// Describes a title at a server's address: one H.264 video stream (RFC 6184), whose control URI is relative
+/// to the title's.
 pub fn describe(title: u64, server: IpAddr) -> Vec<u8> {
     let attribute = |name: &str, value: String| Attribute { attribute: name.to_owned(), value: Some(value) };
     let (nettype, addrtype) = ("IN".to_owned(), if server.is_ipv4() { "IP4" } else { "IP6" }.to_owned());
--- a/crates/rtsp/src/frame.rs
+++ b/crates/rtsp/src/frame.rs
@@ -5,10 +5,10 @@
 
 use crate::{Request, Response};
 
-/// Limits on the input of a connection, which is untrusted. Input beyond a limit ends the connection with the status
-/// given at the limit.
+/// Limits on the input of a connection, which is untrusted. Input beyond a limit ends the connection with the
+/// status given at the limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct FrameLimits {
     /// Maximum length of the first line in bytes, status 414. URIs of this project have some 60 bytes.
     pub first_line: usize,
     /// Maximum length of all lines before the body in bytes, status 400.
@@ -19,13 +19,13 @@
     pub body: usize,
 }
 
-impl Default for Bounds {
+impl Default for FrameLimits {
     fn default() -> Self {
         Self { first_line: 2048, head: 8192, headers: 64, body: 16 * 1024 }
     }
 }
 
-impl Bounds {
+impl FrameLimits {
     /// Length in bytes of the longest message or interleaved frame: an input buffer must hold that much.
     pub fn unit(&self) -> usize {
         (self.head + self.body).max(4 + usize::from(u16::MAX))
@@ -43,26 +43,26 @@
     Blank,
 }
 
-/// Input that is malformed or exceeds a limit. The end of the request is unknown then, so the connection is closed after
-/// the response.
+/// Input that is malformed or exceeds a limit. The end of the request is unknown then, so the connection is
+/// closed after the response.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{why} (found {found}, limit {most})")]
+#[error("{reason} (found {found}, limit {limit})")]
 pub struct Fault {
     /// Status of the response.
     pub status: StatusCode,
     /// What is wrong.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// Length in bytes, or number of headers, that was found.
     pub found: u64,
     /// The limit on it; 0 for malformed messages.
-    pub most: u64,
+    pub limit: u64,
 }
 
-/// Splits the input of one connection. It remembers how far the input was searched for the end of a head, so that a head
-/// that arrives byte by byte is searched only once.
+/// Splits the input of one connection. It remembers how far the input was searched for the end of a head, so
+/// that a head that arrives byte by byte is searched only once.
 #[derive(Debug, Default)]
 pub struct Framer {
-    bounds: Bounds,
+    limits: FrameLimits,
     /// Number of bytes that were searched for the end of the head.
     searched: usize,
     /// Length of the first line, once it is complete.
@@ -77,12 +77,12 @@
 
 impl Framer {
     /// A framer with these limits.
-    pub fn new(bounds: Bounds) -> Self {
-        Self { bounds, ..Self::default() }
+    pub fn new(limits: FrameLimits) -> Self {
+        Self { limits, ..Self::default() }
     }
 
-    /// Returns the next unit and its length in bytes, or `None` while it is incomplete. The caller removes those bytes from
-    /// the input and calls again.
+    /// Returns the next unit and its length in bytes, or `None` while it is incomplete. The caller removes
+    /// those bytes from the input and calls again.
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<Option<(Unit<'a>, usize)>, Fault> {
         if self.searched == 0 {
             // Empty lines before a message are to be ignored (RFC 2326 section 4.1).
@@ -95,17 +95,17 @@
             }
         }
         let Some(head) = self.head(input)? else { return Ok(None) };
-        let body = body_length(&input[..head], self.bounds.body)?;
+        let body = body_length(&input[..head], self.limits.body)?;
         if input.len() < head + body {
             return Ok(None);
         }
-        *self = Self::new(self.bounds);
+        *self = Self::new(self.limits);
         message(&input[..head + body]).map(Some)
     }
 
     /// The length of the head including its empty line, or `None` while it is incomplete.
     fn head(&mut self, input: &[u8]) -> Result<Option<usize>, Fault> {
-        let limits = self.bounds;
+        let limits = self.limits;
         if self.head.is_some() {
             return Ok(self.head);
         }
@@ -142,14 +142,15 @@
     }
 }
 
-fn check_limit(status: StatusCode, why: &'static str, found: usize, max: usize) -> Result<(), Fault> {
+fn check_limit(status: StatusCode, reason: &'static str, found: usize, max: usize) -> Result<(), Fault> {
     if found <= max {
         return Ok(());
     }
-    Err(Fault { status, why, found: found as u64, most: max as u64 })
+    Err(Fault { status, reason, found: found as u64, limit: max as u64 })
 }
 
-/// The header of an interleaved frame (RFC 2326 section 10.12): a dollar sign, the channel, and the payload's length.
+/// The header of an interleaved frame (RFC 2326 section 10.12): a dollar sign, the channel, and the payload's
+/// length.
 pub fn frame_header(channel: u8, length: u16) -> [u8; 4] {
     let [high, low] = length.to_be_bytes();
     [b'$', channel, high, low]
@@ -168,9 +169,9 @@
     const NAME: &[u8] = b"content-length";
     let invalid = Fault {
         status: StatusCode::BadRequest,
-        why: "the Content-Length is invalid",
+        reason: "the Content-Length is invalid",
         found: 0,
-        most: max as u64,
+        limit: max as u64,
     };
     let mut content_length: Option<u64> = None;
     for line in head.split(|byte| *byte == b'\n') {
@@ -188,12 +189,12 @@
     }
     let length = content_length.unwrap_or(0);
     if length > max as u64 {
-        let why = "the body is too long";
+        let reason = "the body is too long";
         return Err(Fault {
             status: StatusCode::RequestMessageBodyTooLarge,
-            why,
+            reason,
             found: length,
-            most: max as u64,
+            limit: max as u64,
         });
     }
     Ok(length as usize)
@@ -201,7 +202,8 @@
 
 /// Parses a complete message, and returns it with its length in bytes.
 fn message<'a>(bytes: &[u8]) -> Result<(Unit<'a>, usize), Fault> {
-    let fault = |why| Fault { status: StatusCode::BadRequest, why, found: bytes.len() as u64, most: 0 };
+    let fault =
+        |reason| Fault { status: StatusCode::BadRequest, reason, found: bytes.len() as u64, limit: 0 };
     match Message::<Vec<u8>>::parse(bytes) {
         Ok((Message::Request(request), used)) => Ok((Unit::Request(request), used)),
         Ok((Message::Response(response), used)) => Ok((Unit::Response(response), used)),
--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Enters `Ready` with a session id; the client must send a keep-alive at least every `timeout_s` seconds.
+    /// Enters `Ready` with a session id; the client must send a keep-alive at least every `timeout_s`
+    /// seconds.
     pub fn set_up(&mut self, session: String, timeout_s: u64, channels: (u8, u8)) {
         (self.state, self.session, self.channels) = (State::Ready, Some((session, timeout_s)), channels);
     }
@@ -173,8 +174,9 @@
     request.header(&headers::CSEQ).and_then(|cseq| cseq.as_str().trim().parse().ok())
 }
 
-/// The RTP and RTCP channels of the first transport in the request that interleaves RTP on this connection (RFC 2326
-/// section 12.39). Parsed here since the typed header of `rtsp-types` 0.1 panics on some quoted strings.
+/// The RTP and RTCP channels of the first transport in the request that interleaves RTP on this connection
+/// (RFC 2326 section 12.39). Parsed here since the typed header of `rtsp-types` 0.1 panics on some quoted
+/// strings.
 pub fn interleaved(request: &Request) -> Option<(u8, u8)> {
     let transports = request.header(&headers::TRANSPORT)?.as_str();
     transports.split(',').find_map(|transport| {
--- a/crates/rtsp/src/tests.rs
+++ b/crates/rtsp/src/tests.rs
@@ -3,9 +3,9 @@
 use quickcheck::{Arbitrary, Gen};
 use rtsp_types::{headers, Method, StatusCode, Version};
 
-use crate::notes::{bye, note, notes, Note};
-use crate::words::{self, Headed};
-use crate::{frame_header, Bounds, Client, Fault, Framer, Request, Server, State, Unit};
+use crate::extension_headers::{self, HeaderValues};
+use crate::progress_reports::{decode_reports, encode_bye, encode_report, ProgressReport};
+use crate::{frame_header, Client, Fault, FrameLimits, Framer, Request, Server, State, Unit};
 
 fn setup() -> Vec<u8> {
     b"SETUP rtsp://127.0.0.1:554/2a/stream RTSP/1.0\r\nCSeq: 3\r\nTransport: RTP/AVP/TCP;unicast;interleaved=4-5\r\n\
@@ -33,7 +33,7 @@
                     used
                 }
                 Ok(None) => break,
-                Err(fault) => return (units, Some((fault.status, fault.why))),
+                Err(fault) => return (units, Some((fault.status, fault.reason))),
             };
             buffer.drain(..used);
         }
@@ -95,10 +95,10 @@
             rest = &rest[used..];
             match unit {
                 Unit::Request(request) => {
-                    drop((server.permits(&request), request.load(), request.marked("retry")))
+                    drop((server.permits(&request), request.load(), request.has_flag("retry")))
                 }
-                Unit::Response(response) => drop(Client::default().answered(&response)),
-                Unit::Frame(_, payload) => drop(notes(payload).count()),
+                Unit::Response(response) => drop(Client::default().match_response(&response)),
+                Unit::Frame(_, payload) => drop(decode_reports(payload).count()),
                 Unit::Blank => {}
             }
         }
@@ -113,18 +113,18 @@
 
 #[test]
 fn each_limit_has_its_status() {
-    let limits = Bounds::default();
+    let limits = FrameLimits::default();
     let long_first_line = format!("SETUP rtsp://h/{} RTSP/1.0\r\n", "a".repeat(limits.first_line));
     assert_eq!(fault(long_first_line.as_bytes()).status, StatusCode::RequestURITooLong);
     let long_head = format!("OPTIONS * RTSP/1.0\r\nX: {}", "a".repeat(limits.head));
     assert_eq!(fault(long_head.as_bytes()).status, StatusCode::BadRequest);
     let many_headers = format!("OPTIONS * RTSP/1.0\r\n{}", "X: 1\r\n".repeat(limits.headers + 1));
     let found = fault(many_headers.as_bytes());
-    assert_eq!((found.status, found.found, found.most), (StatusCode::BadRequest, 65, 64));
+    assert_eq!((found.status, found.found, found.limit), (StatusCode::BadRequest, 65, 64));
     let long_body = b"OPTIONS * RTSP/1.0\r\nContent-Length: 99999999999\r\n\r\n";
     assert_eq!(fault(long_body).status, StatusCode::RequestMessageBodyTooLarge);
     let two_lengths = b"OPTIONS * RTSP/1.0\r\nContent-Length: 1\r\ncontent-length: 2\r\n\r\n";
-    assert_eq!(fault(two_lengths).why, "the Content-Length is invalid");
+    assert_eq!(fault(two_lengths).reason, "the Content-Length is invalid");
     assert_eq!(fault(b"\x00\x01\xff garbage\r\n\r\n").status, StatusCode::BadRequest);
 }
 
@@ -177,17 +177,23 @@
     assert_eq!(answer.header(&headers::SESSION).unwrap().as_str(), "abc;timeout=60");
     assert_eq!(answer.header(&headers::TRANSPORT).unwrap().as_str(), "RTP/AVP/TCP;unicast;interleaved=4-5");
     let mut client = Client::default();
-    let uri = words::uri("127.0.0.1:1", 42);
-    assert_eq!(words::title(&uri), Some(42));
+    let uri = extension_headers::title_uri("127.0.0.1:1", 42);
+    assert_eq!(extension_headers::title_in_uri(&uri), Some(42));
     for _ in 0..3 {
         client.request(Method::Setup, uri.clone(), &[]).unwrap();
     }
-    assert_eq!(client.answered(&answer), Some(Method::Setup));
+    assert_eq!(client.match_response(&answer), Some(Method::Setup));
     assert_eq!(client.session(), Some("abc"));
-    assert_eq!(client.answered(&answer), None, "a response is matched only once");
-    let play = client.request(Method::Play, uri, &[(words::name(words::RUNG), "2".to_owned())]).unwrap();
+    assert_eq!(client.match_response(&answer), None, "a response is matched only once");
+    let play = client
+        .request(
+            Method::Play,
+            uri,
+            &[(extension_headers::header_name(extension_headers::RUNG), "2".to_owned())],
+        )
+        .unwrap();
     assert_eq!(
-        (play.header(&headers::SESSION).unwrap().as_str(), play.number(words::RUNG)),
+        (play.header(&headers::SESSION).unwrap().as_str(), play.number(extension_headers::RUNG)),
         ("abc", Some(2))
     );
 }
@@ -195,7 +201,9 @@
 #[test]
 fn client_limits_the_number_of_pending_requests() {
     let mut client = Client::default();
-    let sent = (0..100).filter_map(|_| client.request(Method::Options, words::uri("h", 1), &[])).count();
+    let sent = (0..100)
+        .filter_map(|_| client.request(Method::Options, extension_headers::title_uri("h", 1), &[]))
+        .count();
     assert_eq!(sent, 16);
 }
 
@@ -203,14 +211,14 @@
 fn headers_are_read_as_typed_values() {
     let request = request(std::str::from_utf8(&setup()).unwrap());
     assert_eq!(
-        (request.hex(words::VIEWER), request.marked("moved"), request.marked("lost")),
+        (request.hex(extension_headers::VIEWER), request.has_flag("moved"), request.has_flag("lost")),
         (Some(255), true, false)
     );
-    assert_eq!(request.span(words::HINT), None);
+    assert_eq!(request.duration(extension_headers::HINT), None);
     let mut answer = rtsp_types::Response::builder(Version::V1_0, StatusCode::Ok).build(Vec::<u8>::new());
-    answer.insert_header(words::name(words::LOAD), "0.5, 1.25");
+    answer.insert_header(extension_headers::header_name(extension_headers::LOAD), "0.5, 1.25");
     assert_eq!(answer.load(), [0.5, 1.25]);
-    answer.insert_header(words::name(words::LOAD), "0.5, NaN");
+    answer.insert_header(extension_headers::header_name(extension_headers::LOAD), "0.5, NaN");
     assert_eq!(answer.load(), [0.0; 0]);
 }
 
@@ -225,8 +233,11 @@
 
 #[test]
 fn progress_reports_are_decoded_as_encoded() {
-    let both = [&note(7, 3, 0.5)[..], &bye(7)].concat();
-    assert_eq!(notes(&both).collect::<Vec<_>>(), [Note::Told(3, 0.5), Note::Bye]);
-    assert_eq!(notes(&note(7, 1, f64::NAN)).count(), 0);
-    assert_eq!(notes(&both[..20]).count(), 0, "a truncated compound packet is ignored");
+    let both = [&encode_report(7, 3, 0.5)[..], &encode_bye(7)].concat();
+    assert_eq!(
+        decode_reports(&both).collect::<Vec<_>>(),
+        [ProgressReport::Value(3, 0.5), ProgressReport::Bye]
+    );
+    assert_eq!(decode_reports(&encode_report(7, 1, f64::NAN)).count(), 0);
+    assert_eq!(decode_reports(&both[..20]).count(), 0, "a truncated compound packet is ignored");
 }
--- a/crates/scale/src/hollow/rig.rs
+++ b/crates/scale/src/hollow/rig.rs
@@ -249,14 +249,14 @@
 fn write_ring(path: &Path, scenario: &Scenario) -> Result<Vec<PrivateKey>> {
     let mut ring = String::new();
     for machine in 0..scenario.fleet.control_machines {
-        let key = PrivateKey::make(Role::Member(machine))?;
+        let key = PrivateKey::generate(Role::Member(machine))?;
         key.write(&path.join(format!("key-{machine}")))?;
-        ring += &format!("[member {machine}]\nkeys = {}\n", key.public());
+        ring += &format!("[member {machine}]\nkeys = {}\n", key.public_hex());
     }
     let mut authors = Vec::new();
     for author in 0..scenario.load.at_once as u16 {
-        let key = PrivateKey::make(Role::Author(author))?;
-        ring += &format!("[author {author}]\nkeys = {}\n", key.public());
+        let key = PrivateKey::generate(Role::Author(author))?;
+        ring += &format!("[author {author}]\nkeys = {}\n", key.public_hex());
         authors.push(key);
     }
     let acceptors: Vec<String> = scenario.fleet.acceptor_machines().iter().map(u16::to_string).collect();
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use badgerledge_settings::{one_of, within, Faults, Sheet};
+use badgerledge_settings::{one_of, within, Faults, IniFile};
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
@@ -265,20 +265,20 @@
     /// Where the file can't be read or is not a scenario, with place and reason.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
-        Self::of(&name, &Sheet::read(path)?)
+        Self::of(&name, &IniFile::read(path)?)
     }
 
     /// # Errors
     /// The same, of a file that was read.
-    pub fn of(name: &str, sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&SECTIONS)?;
-        let (run, fleet) = Faults::both(sheet.section::<Run>("run"), sheet.section::<Fleet>("fleet"))?;
+    pub fn of(name: &str, sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&SECTIONS)?;
+        let (run, fleet) = Faults::combine(sheet.section::<Run>("run"), sheet.section::<Fleet>("fleet"))?;
         let (network, load) =
-            Faults::both(sheet.section::<Network>("network"), sheet.section::<Load>("load"))?;
+            Faults::combine(sheet.section::<Network>("network"), sheet.section::<Load>("load"))?;
         let budgets = sheet.section("budgets")?;
         let restarts = sheet.has("restarts").then(|| sheet.section("restarts")).transpose()?;
         let mut failures = Vec::new();
-        for failure in sheet.named("failure") {
+        for failure in sheet.section_names("failure") {
             failures.push((failure.to_owned(), sheet.section::<Failure>(&format!("failure {failure}"))?));
         }
         let scenario = Self { name: name.to_owned(), run, fleet, network, load, restarts, failures, budgets };
@@ -288,7 +288,7 @@
         Ok(scenario)
     }
 
-    fn check_fleet(&self, sheet: &Sheet) -> Result<(), Faults> {
+    fn check_fleet(&self, sheet: &IniFile) -> Result<(), Faults> {
         let Fleet { acceptors, control_machines, .. } = self.fleet;
         let wrong = |why: &str| Err(sheet.fault("fleet", "acceptors", &acceptors.to_string(), why).into());
         if acceptors > control_machines {
@@ -301,7 +301,7 @@
     }
 
     /// Authors change titles of their own, and a change no title twice.
-    fn check_load(&self, sheet: &Sheet) -> Result<(), Faults> {
+    fn check_load(&self, sheet: &IniFile) -> Result<(), Faults> {
         let Load { at_once, entries, edits, .. } = self.load;
         if at_once.saturating_mul(edits) > entries {
             let why = format!("{at_once} authors with changes of {edits} edits need more titles");
@@ -310,7 +310,7 @@
         Ok(())
     }
 
-    fn check_failures(&self, sheet: &Sheet) -> Result<(), Faults> {
+    fn check_failures(&self, sheet: &IniFile) -> Result<(), Faults> {
         for (name, failure) in &self.failures {
             let section = format!("failure {name}");
             let places = match failure.what.as_str() {
--- a/crates/scale/src/tests/scenarios.rs
+++ b/crates/scale/src/tests/scenarios.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::observations::{ActedOn, Observations, PushedChange, Transition};
 use crate::reckoning::{check, needs, Gives, Refusal};
@@ -21,7 +21,7 @@
 }
 
 fn refused(text: &str) -> String {
-    let sheet = Sheet::parse("a.ini", text).unwrap();
+    let sheet = IniFile::parse("a.ini", text).unwrap();
     Scenario::of("a", &sheet).unwrap_err().to_string()
 }
 
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_run_that_the_machine_does_not_bear_is_refused_with_the_reckoning() {
-    let sheet = Sheet::parse("a.ini", &steady_text().replace("kind = simulated", "kind = hollow")).unwrap();
+    let sheet = IniFile::parse("a.ini", &steady_text().replace("kind = simulated", "kind = hollow")).unwrap();
     let scenario = Scenario::of("a", &sheet).unwrap();
     let plenty = Gives { memory_bytes: 1 << 40, descriptors: 1 << 20 };
     let needed = needs(&scenario, 0);
@@ -126,7 +126,7 @@
 #[test]
 fn reachable_controllers_count_for_a_change_and_others_for_catching_up() {
     let sheet =
-        Sheet::parse("a.ini", &steady_text().replace("controllers = 7400", "controllers = 3")).unwrap();
+        IniFile::parse("a.ini", &steady_text().replace("controllers = 7400", "controllers = 3")).unwrap();
     let scenario = Scenario::of("a", &sheet).unwrap();
     let at = Duration::from_secs;
     let acts = |controller, s, acts_on| Transition { controller, at: at(s), acts_on };
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -8,7 +8,7 @@
 use badgerledge_distribution::change::Change;
 use badgerledge_distribution::state::{Edit, State};
 use badgerledge_distribution::{Author, Number, Signature};
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 use crate::scenario::{Fleet, Load};
 
@@ -60,8 +60,8 @@
 /// # Errors
 /// Where it is over a state's bounds.
 pub fn genesis(fleet: &Fleet, load: &Load) -> Result<State> {
-    let sheet = Sheet::parse("the first configuration", &(shared_settings(fleet, load) + &titles(load)))?;
-    let entries = entries::entries_of(&kinds::canonical(&sheet)).context("the first configuration")?;
+    let sheet = IniFile::parse("the first configuration", &(shared_settings(fleet, load) + &titles(load)))?;
+    let entries = entries::entries_from_text(&kinds::canonical(&sheet)).context("the first configuration")?;
     State::from_entries(entries).context("[load] entries")
 }
 
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -7,7 +7,7 @@
 use badgerledge_scale::figures::Figures;
 use badgerledge_scale::hollow::run::play;
 use badgerledge_scale::scenario::Scenario;
-use badgerledge_settings::Sheet;
+use badgerledge_settings::IniFile;
 
 const SCENARIO: &str = "\
 [run]
@@ -61,7 +61,7 @@
 ";
 
 fn played(text: &str) -> Figures {
-    let scenario = Scenario::of("small", &Sheet::parse("small.ini", text).unwrap()).unwrap();
+    let scenario = Scenario::of("small", &IniFile::parse("small.ini", text).unwrap()).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_badgerledge-scale"));
     play(&scenario, 0, program, false).unwrap().remove(0)
 }
