--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -16,7 +16,7 @@
     /// Value of the key as written in the file, or empty.
     pub value: String,
     /// What is wrong, and which values are accepted.
-    pub why: String,
+    pub reason: String,
 }
 
 impl fmt::Display for Fault {
@@ -29,9 +29,9 @@
             write!(f, ": [{}]", self.section)?;
         }
         match (self.key.is_empty(), self.value.is_empty()) {
-            (true, _) => write!(f, ": {}", self.why),
-            (false, true) => write!(f, " {}: {}", self.key, self.why),
-            (false, false) => write!(f, " {} = {}: {}", self.key, self.value, self.why),
+            (true, _) => write!(f, ": {}", self.reason),
+            (false, true) => write!(f, " {}: {}", self.key, self.reason),
+            (false, false) => write!(f, " {} = {}: {}", self.key, self.value, self.reason),
         }
     }
 }
@@ -58,7 +58,7 @@
 
 impl Faults {
     /// Returns both values, or the errors of both results together.
-    pub fn both<A, B>(first: Result<A, Faults>, second: Result<B, Faults>) -> Result<(A, B), Faults> {
+    pub fn combine<A, B>(first: Result<A, Faults>, second: Result<B, Faults>) -> Result<(A, B), Faults> {
         match (first, second) {
             (Ok(a), Ok(b)) => Ok((a, b)),
             (Err(a), Err(b)) => Err(Faults([a.0, b.0].concat())),
--- a/crates/settings/src/sheet.rs
+++ b/crates/settings/src/ini_file.rs
@@ -11,7 +11,7 @@
 
 /// A parsed INI file; the text is kept to find the line of an error.
 #[derive(Debug)]
-pub struct Sheet {
+pub struct IniFile {
     file: String,
     text: String,
     ini: Ini,
@@ -20,17 +20,17 @@
 /// Largest accepted file: a catalogue of 100,000 titles has some 10 MB.
 const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-impl Sheet {
+impl IniFile {
     /// Reads and parses a file of at most [`MAX_FILE_BYTES`].
     pub fn read(path: &Path) -> Result<Self, Faults> {
         let file = path.display().to_string();
-        let file_fault = |why: String| Fault {
+        let file_fault = |reason: String| Fault {
             file: file.clone(),
             line: 0,
             section: String::new(),
             key: String::new(),
             value: String::new(),
-            why,
+            reason,
         };
         let size = std::fs::metadata(path).map_err(|error| file_fault(error.to_string()))?.len();
         if size > MAX_FILE_BYTES {
@@ -42,7 +42,8 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses a text; `file` is only the name given in errors. A section or key that is given twice is an error.
+    /// Parses a text; `file` is only the name given in errors. A section or key that is given twice is an
+    /// error.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|error| Fault {
@@ -51,7 +52,7 @@
             section: String::new(),
             key: String::new(),
             value: String::new(),
-            why: error.msg.to_string(),
+            reason: error.msg.to_string(),
         })?;
         let sheet = Self { file: file.to_owned(), text: text.to_owned(), ini };
         sheet.reject_duplicates()?;
@@ -69,7 +70,7 @@
     }
 
     /// The names of the sections of one kind: `NAME` of each `[kind NAME]`, in the order of the file.
-    pub fn named<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn section_names<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a str> {
         self.sections().filter_map(move |section| Some(section.strip_prefix(kind)?.strip_prefix(' ')?.trim()))
     }
 
@@ -91,8 +92,8 @@
         self.ini.section(Some(section)).is_some()
     }
 
-    /// The sections of these kinds as INI text, which [`Sheet::parse`] accepts.
-    pub fn copy(&self, kinds: &[&str]) -> String {
+    /// The sections of these kinds as INI text, which [`IniFile::parse`] accepts.
+    pub fn copy_sections(&self, kinds: &[&str]) -> String {
         let mut text = String::new();
         for section in self.sections().filter(|section| of_kind(section, kinds)) {
             text += &format!("[{section}]\n");
@@ -123,7 +124,7 @@
         Err(Faults(faults.collect()))
     }
 
-    /// As [`Sheet::section`], but `None` if the section is missing.
+    /// As [`IniFile::section`], but `None` if the section is missing.
     pub fn optional_section<T>(&self, section: &str) -> Result<Option<T>, Faults>
     where
         T: DeserializeOwned + Validate<Context = ()>,
@@ -131,7 +132,7 @@
         self.has(section).then(|| self.section(section)).transpose()
     }
 
-    /// As [`Sheet::section`], but the default if the section is missing.
+    /// As [`IniFile::section`], but the default if the section is missing.
     pub fn section_or_default<T>(&self, section: &str) -> Result<T, Faults>
     where
         T: DeserializeOwned + Validate<Context = ()> + Default,
@@ -140,10 +141,10 @@
     }
 
     /// Fails if a section is of a kind that is not in `kinds`: a misspelt section would otherwise be ignored.
-    pub fn only(&self, kinds: &[&str]) -> Result<(), Faults> {
+    pub fn reject_unknown_sections(&self, kinds: &[&str]) -> Result<(), Faults> {
         let unknown = self.sections().filter(|section| !of_kind(section, kinds));
-        let why = format!("no such section; known sections are {}", kinds.join(", "));
-        let faults: Vec<Fault> = unknown.map(|section| self.fault(section, "", "", &why)).collect();
+        let reason = format!("no such section; known sections are {}", kinds.join(", "));
+        let faults: Vec<Fault> = unknown.map(|section| self.fault(section, "", "", &reason)).collect();
         if faults.is_empty() {
             Ok(())
         } else {
@@ -152,14 +153,14 @@
     }
 
     /// An error at a key of a section, with the line of the key.
-    pub fn fault(&self, section: &str, key: &str, value: &str, why: &str) -> Fault {
+    pub fn fault(&self, section: &str, key: &str, value: &str, reason: &str) -> Fault {
         Fault {
             file: self.file.clone(),
             line: self.line(section, key),
             section: section.to_owned(),
             key: key.to_owned(),
             value: value.to_owned(),
-            why: why.to_owned(),
+            reason: reason.to_owned(),
         }
     }
 
@@ -244,7 +245,7 @@
     }
 
     fn rates(text: &str) -> Result<Rates, String> {
-        let sheet = Sheet::parse("a.ini", text).map_err(|faults| faults.to_string())?;
+        let sheet = IniFile::parse("a.ini", text).map_err(|faults| faults.to_string())?;
         sheet.section("rates").map_err(|faults| faults.to_string())
     }
 
@@ -287,10 +288,10 @@
     #[test]
     fn unknown_sections_are_rejected_and_known_ones_are_copied() {
         let sheet =
-            Sheet::parse("a.ini", "[fleet]\ncells = 3\n[room_type a b]\nbenefit = 1\n[typo]\n").unwrap();
-        assert_eq!(sheet.named("room_type").collect::<Vec<_>>(), ["a b"]);
-        let faults = sheet.only(&["fleet", "room_type"]).unwrap_err().to_string();
+            IniFile::parse("a.ini", "[fleet]\ncells = 3\n[room_type a b]\nbenefit = 1\n[typo]\n").unwrap();
+        assert_eq!(sheet.section_names("room_type").collect::<Vec<_>>(), ["a b"]);
+        let faults = sheet.reject_unknown_sections(&["fleet", "room_type"]).unwrap_err().to_string();
         assert_eq!(faults, "a.ini:5: [typo]: no such section; known sections are fleet, room_type");
-        assert_eq!(sheet.copy(&["room_type"]), "[room_type a b]\nbenefit = 1\n");
+        assert_eq!(sheet.copy_sections(&["room_type"]), "[room_type a b]\nbenefit = 1\n");
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,15 @@
 //! Reads INI files into validated structures.
 //!
-//! A [`Sheet`] is one file. [`Sheet::section`] deserializes a section into a type that derives `serde::Deserialize`
-//! (with `deny_unknown_fields`) and `garde::Validate`; each [`Fault`] names the file, the line, the section, the key,
-//! the value and the accepted values. Lists are separated by commas.
+//! An [`IniFile`] is one file. [`IniFile::section`] deserializes a section into a type that derives
+//! `serde::Deserialize` (with `deny_unknown_fields`) and `garde::Validate`; each [`Fault`] names the file,
+//! the line, the section, the key, the value and the accepted values. Lists are separated by commas.
 
 mod fault;
-mod sheet;
+mod ini_file;
 mod value;
 
 pub use fault::{Fault, Faults};
-pub use sheet::Sheet;
+pub use ini_file::IniFile;
 
 use std::fmt::Display;
 
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,5 +1,5 @@
-//! A serde deserializer for the keys and values of one INI section. INI values are plain text, so each value is
-//! parsed as the type that the field asks for.
+//! A serde deserializer for the keys and values of one INI section. INI values are plain text, so each value
+//! is parsed as the type that the field asks for.
 
 use std::fmt::Display;
 
--- a/crates/standins/src/streamers.rs
+++ b/crates/standins/src/streamers.rs
@@ -12,8 +12,8 @@
 use badgerledge_core::interface::StreamerId;
 use badgerledge_deployment::Shared;
 use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
-use badgerledge_rtsp::notes::note;
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
+use badgerledge_rtsp::progress_reports::encode_report;
 use badgerledge_rtsp::{describe, frame_header, Framer, Request, Response, Server, State, Unit};
 use badgerledge_witness::Witness;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -415,7 +415,7 @@
                 stream.plays = false;
             }
             Method::SetParameter => {
-                let rung = request.number(words::RUNG).map(|rung| rung.min(255) as u8);
+                let rung = request.number(extension_headers::RUNG).map(|rung| rung.min(255) as u8);
                 let highest = self.shared.ladder.rates_kb.len() as u8 - 1;
                 match rung {
                     Some(rung) => {
@@ -440,7 +440,7 @@
                 return self.answer(reactor, line, answer);
             }
             Method::Describe => {
-                let title = request.request_uri().and_then(words::title).unwrap_or(0);
+                let title = request.request_uri().and_then(extension_headers::title_in_uri).unwrap_or(0);
                 let answer = stream.server.answer(&request, StatusCode::Ok);
                 let text = describe::describe(title, Ipv4Addr::LOCALHOST.into());
                 return self.answer(reactor, line, answer.replace_body(text));
@@ -456,15 +456,19 @@
     ) {
         let Some(stream) = self.streams.get_mut(&line) else { return };
         let streamer = stream.streamer;
-        let named = request.word(words::ROOM_TYPE).and_then(|name| self.shared.room_type(name));
-        let (viewer, rung) =
-            (request.hex(words::VIEWER).unwrap_or(0), request.number(words::RUNG).unwrap_or(0));
-        stream.title = request.request_uri().and_then(words::title).unwrap_or(0);
+        let named = request.text(extension_headers::ROOM_TYPE).and_then(|name| self.shared.room_type(name));
+        let (viewer, rung) = (
+            request.hex(extension_headers::VIEWER).unwrap_or(0),
+            request.number(extension_headers::RUNG).unwrap_or(0),
+        );
+        stream.title = request.request_uri().and_then(extension_headers::title_in_uri).unwrap_or(0);
         stream.room_type = named.unwrap_or(0);
         stream.rung = rung.min(self.shared.ladder.rates_kb.len() as u64 - 1) as u8;
         stream.factor = title_factor(stream.title);
-        stream.controller =
-            request.word(words::JOIN).and_then(|join| join.split('/').next()?.parse().ok()).unwrap_or(0);
+        stream.controller = request
+            .text(extension_headers::JOIN)
+            .and_then(|join| join.split('/').next()?.parse().ok())
+            .unwrap_or(0);
         stream.witnessed = true;
         let (title, room_type, rung) = (stream.title, stream.room_type, rung.min(255) as u8);
         let at = self.fleet[streamer].at;
@@ -525,7 +529,7 @@
 
     /// An answer to a set-up has the report with it unless only probes do.
     fn with_report(&mut self, now: Duration, streamer: usize, answer: Response) -> Response {
-        if self.shared.fleet.by_probe() {
+        if self.shared.fleet.reports_by_probe_only() {
             return answer;
         }
         self.probed(now, streamer, answer)
@@ -555,7 +559,7 @@
         let values: Vec<String> =
             self.fleet[streamer].report.iter().map(|value| format!("{value:.4}")).collect();
         if !values.is_empty() {
-            answer.insert_header(words::name(words::LOAD), values.join(", "));
+            answer.insert_header(extension_headers::header_name(extension_headers::LOAD), values.join(", "));
         }
         answer
     }
@@ -584,7 +588,7 @@
         self.make_notes(now);
         while self.notes.front().is_some_and(|note| note.at <= now) {
             let Some(Note { line, kind, value, .. }) = self.notes.pop_front() else { break };
-            self.send_control(reactor, line, &note(line as u32, kind, value));
+            self.send_control(reactor, line, &encode_report(line as u32, kind, value));
         }
     }
 
@@ -654,7 +658,10 @@
 
     /// Notes 3 and 4 on one stream, as they come with its set-up or later.
     fn tell_fullness(&mut self, now: Duration, line: Line, late: Duration) {
-        let Some(stream) = self.streams.get(&line).filter(|_| !self.shared.fleet.by_probe()) else { return };
+        let Some(stream) = self.streams.get(&line).filter(|_| !self.shared.fleet.reports_by_probe_only())
+        else {
+            return;
+        };
         let streamer = stream.streamer;
         let has = |field: &str| self.shared.fleet.report.iter().any(|known| known == field);
         let mut tell = |kind, value| self.notes.push_back(Note { at: now + late, line, kind, value });
@@ -668,7 +675,7 @@
     /// all at the same time and late.
     fn make_notes(&mut self, now: Duration) {
         let late = Duration::from_millis(self.shared.fleet.told_late_ms) + self.late;
-        let every = Duration::from_millis(self.shared.fleet.told_every());
+        let every = Duration::from_millis(self.shared.fleet.link_report_interval_ms());
         let short = now >= self.short_at + SHORT_EVERY;
         let full = !every.is_zero() && now >= self.told_at + every;
         if !short && !full {
--- a/crates/standins/src/viewers.rs
+++ b/crates/standins/src/viewers.rs
@@ -9,8 +9,8 @@
 
 use badgerledge_deployment::Shared;
 use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
-use badgerledge_rtsp::notes::{notes, Note};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
+use badgerledge_rtsp::progress_reports::{decode_reports, ProgressReport};
 use badgerledge_rtsp::{Client, Framer, Request, Response, Server, Unit};
 use badgerledge_witness::Witness;
 use rand_pcg::rand_core::SeedableRng;
@@ -345,19 +345,25 @@
         .collect();
         let mut headers: Vec<(HeaderName, String)> = vec![
             (headers::TRANSPORT, "RTP/AVP/TCP;unicast;interleaved=0-1".to_owned()),
-            (words::name(words::VIEWER), format!("{:x}", viewer.key)),
-            (words::name(words::ROOM_TYPE), name.clone()),
-            (words::name(words::CLIENT_TIMEOUT), told.client_timeout_ms.to_string()),
-            (words::name(words::MAX_RUNG), viewer.plan.max_rung.to_string()),
+            (extension_headers::header_name(extension_headers::VIEWER), format!("{:x}", viewer.key)),
+            (extension_headers::header_name(extension_headers::ROOM_TYPE), name.clone()),
+            (
+                extension_headers::header_name(extension_headers::CLIENT_TIMEOUT),
+                told.client_timeout_ms.to_string(),
+            ),
+            (extension_headers::header_name(extension_headers::MAX_RUNG), viewer.plan.max_rung.to_string()),
         ];
         if viewer.plan.hints {
             let left = (self.start + viewer.plan.at + viewer.plan.life).saturating_sub(now);
-            headers.push((words::name(words::HINT), left.as_millis().to_string()));
+            headers.push((
+                extension_headers::header_name(extension_headers::HINT),
+                left.as_millis().to_string(),
+            ));
         }
         if !marks.is_empty() {
-            headers.push((words::name(words::MARKS), marks.join(", ")));
+            headers.push((extension_headers::header_name(extension_headers::MARKS), marks.join(", ")));
         }
-        let uri = words::uri(self.controllers[controller].0, viewer.plan.title);
+        let uri = extension_headers::title_uri(self.controllers[controller].0, viewer.plan.title);
         let (key, title, room_type) = (viewer.key, viewer.plan.title, viewer.plan.room_type);
         let Some(request) = conn.client.request(Method::Setup, uri, &headers) else { return };
         let ask = self.next_ask;
@@ -388,7 +394,7 @@
                         Unit::Request(request) => self.asked_of(reactor, now, line, &request),
                         Unit::Frame(0, carried) => self.media(now, line, carried),
                         Unit::Frame(1, carried) => {
-                            if notes(carried).any(|note| note == Note::Bye) {
+                            if decode_reports(carried).any(|note| note == ProgressReport::Bye) {
                                 self.stream_ended(reactor, now, line);
                             }
                         }
@@ -411,7 +417,7 @@
         witness: &mut Witness,
     ) {
         let Some(conn) = self.conns.get_mut(&line) else { return };
-        let method = conn.client.answered(response);
+        let method = conn.client.match_response(response);
         if method != Some(Method::Setup) {
             // SETUP is the first request of every connection: a second answer to it is one too many.
             let again = response.header(&headers::CSEQ).is_some_and(|cseq| cseq.as_str() == "1");
@@ -427,7 +433,8 @@
         }
         match response.status() {
             StatusCode::Ok => {
-                let uri = words::uri(self.controllers[controller].0, self.viewers[n].plan.title);
+                let uri =
+                    extension_headers::title_uri(self.controllers[controller].0, self.viewers[n].plan.title);
                 if let Some(request) = conn.client.request(Method::Play, uri, &[]) {
                     conn.plays = true;
                     send(reactor, line, &request);
@@ -463,7 +470,7 @@
                     self.viewers[n].gone = true;
                 }
                 self.viewers[n].moved = None;
-                self.come_again(now, n, response.span(words::COME_BACK_MS));
+                self.come_again(now, n, response.duration(extension_headers::RETRY_AFTER_MS));
             }
         }
     }
@@ -480,7 +487,7 @@
             return;
         }
         let (n, controller) = (conn.viewer, conn.controller);
-        let uri = words::uri(self.controllers[controller].0, self.viewers[n].plan.title);
+        let uri = extension_headers::title_uri(self.controllers[controller].0, self.viewers[n].plan.title);
         if let Some(request) = conn.client.request(Method::Teardown, uri, &[]) {
             send(reactor, line, &request);
         }
@@ -573,7 +580,10 @@
         if let Some(ask) = conn.ask.filter(|_| !conn.answered) {
             witness.gave_up(ask);
         }
-        let uri = words::uri(self.controllers[conn.controller].0, self.viewers[conn.viewer].plan.title);
+        let uri = extension_headers::title_uri(
+            self.controllers[conn.controller].0,
+            self.viewers[conn.viewer].plan.title,
+        );
         if let Some(request) = conn.client.request(Method::Teardown, uri, &[]).filter(|_| conn.plays) {
             send(reactor, line, &request);
         }
--- a/fuzz/fuzz_targets/text.rs
+++ b/fuzz/fuzz_targets/text.rs
@@ -2,9 +2,9 @@
 
 #![no_main]
 
-use badgerledge_deployment::kinds::{canonical, revised};
-use badgerledge_deployment::Text;
-use badgerledge_settings::Sheet;
+use badgerledge_deployment::kinds::{canonical, read_revision};
+use badgerledge_deployment::RevisionText;
+use badgerledge_settings::IniFile;
 use libfuzzer_sys::fuzz_target;
 
 /// What goes before the input, so that most of it is titles.
@@ -13,11 +13,11 @@
     client_timeout_ms = 2000\njoin_objective_ms = 1000\n";
 
 fn holds(text: &[u8]) {
-    let Ok(read) = Text::read(text) else { return };
+    let Ok(read) = RevisionText::read(text) else { return };
     let text = std::str::from_utf8(text).expect("it was read");
-    let sheet = Sheet::parse("text", text).expect("the sheet reads it too");
+    let sheet = IniFile::parse("text", text).expect("the sheet reads it too");
     assert_eq!(canonical(&sheet), text);
-    assert_eq!(revised(&sheet).expect("it is in order").1, *read.titles());
+    assert_eq!(read_revision(&sheet).expect("it is in order").1, *read.titles());
 }
 
 fuzz_target!(|bytes: &[u8]| {
