--- a/crates/relay/src/tests/edits.rs
+++ b/crates/relay/src/tests/edits.rs
@@ -55,7 +55,7 @@
     );
     assert_eq!(
         fault("[remove fleet]\nkey = a\n"),
-        "change.ini:2: [remove fleet] key: no such key; known keys are keys, section"
+        "change.ini:2: [remove fleet] key: no such key; there are keys, section"
     );
     assert!(fault("[fleet]\ncells = 1\n").starts_with("change.ini:1: [fleet]: no such section"));
     assert!(fault("[title 1]\ncopies = 1\n").contains("[title 1]"));
