--- a/crates/relay/src/backoff.rs
+++ b/crates/relay/src/backoff.rs
@@ -1,15 +1,15 @@
-//! Pauses between tries to connect.
+//! Exponential backoff with jitter between connection attempts.
 
 use std::time::Duration;
 
 use badgerledge_core::random::Rng;
 
-const FIRST: Duration = Duration::from_millis(100);
-/// A control machine that is back is connected to within this, and its half again.
-const LONGEST: Duration = Duration::from_secs(2);
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
+/// Upper bound of a pause, so that a restarted control machine is connected again soon.
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Doubles with each failed try up to a bound. Each pause is drawn between a half and the whole of it, so that machines
-/// that lost a peer at once don't come back at once.
+/// A pause that doubles with each failed attempt, up to [`MAX_PAUSE`]. Each returned pause is random between half and all
+/// of it, so that machines that lost a peer at the same time do not reconnect at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     pause: Duration,
@@ -17,19 +17,19 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { pause: FIRST }
+        Self { pause: INITIAL_PAUSE }
     }
 }
 
 impl Backoff {
-    /// How long to wait after one more failed try.
-    pub fn next(&mut self, chance: &mut Rng) -> Duration {
+    /// The pause after one more failed attempt.
+    pub fn next(&mut self, rng: &mut Rng) -> Duration {
         let pause = self.pause;
-        self.pause = (pause * 2).min(LONGEST);
-        pause / 2 + chance.random_duration(pause / 2)
+        self.pause = (pause * 2).min(MAX_PAUSE);
+        pause / 2 + rng.random_duration(pause / 2)
     }
 
-    /// A try succeeded.
+    /// Starts over with the initial pause after a successful attempt.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/relay/src/client.rs
+++ b/crates/relay/src/client.rs
@@ -1,4 +1,4 @@
-//! An operator's connection to a relay.
+//! A blocking connection from an operator's tool to a relay.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,120 +11,128 @@
 use badgerledge_distribution::Number;
 use thiserror::Error;
 
-/// A relay that does not answer a connection within this is taken as not there.
-const CONNECT_WITHIN: Duration = Duration::from_secs(5);
-/// A relay answers a request for its status within a round of its loop.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
-const READ_AT_ONCE: usize = 64 * 1024;
+/// A relay that does not accept a connection within this time is treated as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for a status response and for each write. A relay answers a status request within one round of its loop.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the buffer for one read, in bytes.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Why a relay did not answer.
+/// Why a request to a relay failed.
 #[derive(Debug, Error)]
 pub enum ClientFault {
     #[error("relay at {0}: {1}")]
     Io(SocketAddr, #[source] io::Error),
     #[error("relay at {0}: {1}")]
     Frame(SocketAddr, #[source] FrameFault),
-    #[error("relay at {0}: it closed the connection")]
+    #[error("relay at {0}: the relay closed the connection")]
     Closed(SocketAddr),
-    #[error("relay at {0}: no answer within {1:?}")]
+    #[error("relay at {0}: no response within {1:?}")]
     Silent(SocketAddr, Duration),
-    #[error("relay at {0}: it is at its bound of connections; try another, or again in {1} ms")]
+    #[error("relay at {0}: connection limit reached; try another relay, or retry in {1} ms")]
     Busy(SocketAddr, u32),
 }
 
 /// A connection to a relay.
 pub struct Client {
-    at: SocketAddr,
+    address: SocketAddr,
     stream: TcpStream,
     input: Vec<u8>,
 }
 
 impl Client {
+    /// Connects to a relay.
+    ///
     /// # Errors
-    /// Where nobody takes the connection.
-    pub fn connect(at: SocketAddr) -> Result<Self, ClientFault> {
+    /// If the connection is not accepted in time.
+    pub fn connect(address: SocketAddr) -> Result<Self, ClientFault> {
         let connect = || {
-            let stream = TcpStream::connect_timeout(&at, CONNECT_WITHIN)?;
+            let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
             stream.set_nodelay(true)?;
-            stream.set_write_timeout(Some(ANSWER_WITHIN))?;
+            stream.set_write_timeout(Some(RESPONSE_TIMEOUT))?;
             Ok(stream)
         };
-        let stream = connect().map_err(|fault| ClientFault::Io(at, fault))?;
-        Ok(Self { at, stream, input: Vec::new() })
+        let stream = connect().map_err(|fault| ClientFault::Io(address, fault))?;
+        Ok(Self { address, stream, input: Vec::new() })
     }
 
+    /// Sends a message.
+    ///
     /// # Errors
-    /// Where the connection is gone.
+    /// If the connection fails.
     pub fn send(&mut self, message: &ToRelay) -> Result<(), ClientFault> {
-        self.stream.write_all(&encode(message)).map_err(|fault| ClientFault::Io(self.at, fault))
+        self.stream.write_all(&encode(message)).map_err(|fault| ClientFault::Io(self.address, fault))
     }
 
-    /// The next message, if one comes within this time.
+    /// Receives the next message.
     ///
     /// # Errors
-    /// Where none does, or the connection ends.
-    pub fn receive(&mut self, within: Duration) -> Result<ToWatcher, ClientFault> {
-        let end = Instant::now() + within;
+    /// If none arrives within the time limit, or the connection fails.
+    pub fn receive(&mut self, timeout: Duration) -> Result<ToWatcher, ClientFault> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let found = decode::<ToWatcher>(&self.input, MAX_RELAY_BODY_BYTES);
-            if let Some((message, used)) = found.map_err(|fault| ClientFault::Frame(self.at, fault))? {
+            let decoded = decode::<ToWatcher>(&self.input, MAX_RELAY_BODY_BYTES);
+            if let Some((message, used)) = decoded.map_err(|fault| ClientFault::Frame(self.address, fault))? {
                 self.input.drain(..used);
                 return match message {
-                    ToWatcher::Busy { retry_after_ms } => Err(ClientFault::Busy(self.at, retry_after_ms)),
+                    ToWatcher::Busy { retry_after_ms } => {
+                        Err(ClientFault::Busy(self.address, retry_after_ms))
+                    }
                     message => Ok(message),
                 };
             }
-            self.read(end, within)?;
+            self.read(deadline, timeout)?;
         }
     }
 
-    fn read(&mut self, end: Instant, within: Duration) -> Result<(), ClientFault> {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return Err(ClientFault::Silent(self.at, within));
+    /// Reads once into the input buffer.
+    fn read(&mut self, deadline: Instant, timeout: Duration) -> Result<(), ClientFault> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
+            return Err(ClientFault::Silent(self.address, timeout));
         }
-        let mut bytes = [0; READ_AT_ONCE];
-        let read = self.stream.set_read_timeout(Some(left)).and_then(|()| self.stream.read(&mut bytes));
+        let mut bytes = [0; READ_BUFFER_BYTES];
+        let read = self.stream.set_read_timeout(Some(remaining)).and_then(|()| self.stream.read(&mut bytes));
         match read {
-            Ok(0) => Err(ClientFault::Closed(self.at)),
+            Ok(0) => Err(ClientFault::Closed(self.address)),
             Ok(count) => {
                 self.input.extend_from_slice(&bytes[..count]);
                 Ok(())
             }
             Err(fault) => match fault.kind() {
                 io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted => Ok(()),
-                _ => Err(ClientFault::Io(self.at, fault)),
+                _ => Err(ClientFault::Io(self.address, fault)),
             },
         }
     }
 
-    /// What the control machine knows.
+    /// Requests the control machine's status.
     ///
     /// # Errors
-    /// Where it does not answer.
+    /// If it does not answer in time.
     pub fn status(&mut self) -> Result<ControlStatus, ClientFault> {
         self.send(&ToRelay::GetStatus)?;
-        let end = Instant::now() + ANSWER_WITHIN;
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            if let ToWatcher::Status(status) = self.receive(left)? {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if let ToWatcher::Status(status) = self.receive(remaining)? {
                 return Ok(*status);
             }
         }
     }
 
-    /// What the control machine knows of regions apart; nothing where it is of a build that does not know the question, and
-    /// so closed the connection.
+    /// Requests the control machine's status of regions that are cut off from the acceptors. Returns none if the relay is of
+    /// a version without this request, which closes the connection.
     ///
     /// # Errors
-    /// Where it does not answer.
-    pub fn apart(mut self) -> Result<Option<PartitionStatus>, ClientFault> {
+    /// If it does not answer in time.
+    pub fn partition_status(mut self) -> Result<Option<PartitionStatus>, ClientFault> {
         self.send(&ToRelay::GetPartitionStatus)?;
-        let end = Instant::now() + ANSWER_WITHIN;
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.receive(left) {
-                Ok(ToWatcher::PartitionStatus(apart)) => return Ok(Some(*apart)),
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.receive(remaining) {
+                Ok(ToWatcher::PartitionStatus(partition)) => return Ok(Some(*partition)),
                 Ok(_) => {}
                 Err(ClientFault::Closed(_)) => return Ok(None),
                 Err(fault) => return Err(fault),
@@ -132,18 +140,18 @@
         }
     }
 
-    /// Pushes a change, and waits for what became of it.
+    /// Pushes a change and waits for its outcome: the revision that certified it, or the rejection.
     ///
     /// # Errors
-    /// Where no outcome comes within this time: whether the change was taken is not known then.
+    /// If no outcome arrives within the time limit. It is then unknown whether the change was accepted.
     pub fn push(
-        &mut self, change: &Change, within: Duration,
+        &mut self, change: &Change, timeout: Duration,
     ) -> Result<Result<Number, Rejection>, ClientFault> {
         self.send(&ToRelay::Push(change.clone()))?;
-        let end = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.receive(left)? {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.receive(remaining)? {
                 ToWatcher::PushOutcome { change: id, outcome } if id == change.id => return Ok(outcome),
                 _ => {}
             }
--- a/crates/relay/src/edits.rs
+++ b/crates/relay/src/edits.rs
@@ -1,12 +1,12 @@
-//! The INI form of a change, and the edits that lead from one configuration to another.
+//! The INI form of a change's edits, and the difference between two configurations as edits.
 //!
-//! | section | means |
+//! | section | meaning |
 //! |---|---|
-//! | `[set SECTION]` | `KEY = VALUE` for each setting that gets this value |
-//! | `[remove SECTION]` | `keys = A, B`: settings that are removed; `section = true`: the section's own entry too |
-//! | `[section SECTION]` | `place = N`: the section is there, at this place among its like |
-//! | `[title ID]` | the title, whole |
-//! | `[remove title ID]` | the title is removed |
+//! | `[set SECTION]` | `KEY = VALUE`: sets a setting |
+//! | `[remove SECTION]` | `keys = A, B`: removes these settings; `section = true`: also removes the section's own entry |
+//! | `[section SECTION]` | `place = N`: adds or moves the section to this position among the sections of its type |
+//! | `[title ID]` | sets the whole title |
+//! | `[remove title ID]` | removes the title |
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,6 +17,7 @@
 use badgerledge_distribution::state::{Edit, Entry};
 use badgerledge_settings::{Fault, Faults, Sheet};
 
+// The first word of each section heading.
 const SET: &str = "set";
 const REMOVE: &str = "remove";
 const SECTION: &str = "section";
@@ -25,93 +26,100 @@
 /// Reads a file of edits.
 ///
 /// # Errors
-/// All that is wrong, each with its file, line and key.
+/// All errors in the file, each with its file, line and key.
 pub fn read(sheet: &Sheet) -> Result<Vec<Edit>, Faults> {
     sheet.only(&[SET, REMOVE, SECTION, TITLE])?;
-    let mut reading = Reading { sheet, edits: BTreeMap::new(), faults: Vec::new() };
-    reading.settings();
-    reading.sections();
-    reading.removals();
-    reading.titles();
-    let Reading { edits, faults, .. } = reading;
+    let mut reader = EditReader { sheet, edits: BTreeMap::new(), faults: Vec::new() };
+    reader.read_settings();
+    reader.read_sections();
+    reader.read_removals();
+    reader.read_titles();
+    let EditReader { edits, faults, .. } = reader;
     if !faults.is_empty() {
         return Err(Faults(faults));
     }
     Ok(edits.into_iter().map(|(key, value)| Edit { key, value }).collect())
 }
 
-struct Reading<'a> {
+/// Collects the edits and the faults of one file.
+struct EditReader<'a> {
     sheet: &'a Sheet,
+    /// New values by key; none where the key is removed.
     edits: BTreeMap<String, Option<Vec<u8>>>,
     faults: Vec<Fault>,
 }
 
-impl Reading<'_> {
-    fn settings(&mut self) {
+impl EditReader<'_> {
+    /// Reads the `[set SECTION]` sections.
+    fn read_settings(&mut self) {
         let sheet = self.sheet;
         for section in sheet.named(SET) {
-            let place = format!("{SET} {section}");
-            for (key, value) in sheet.keys(&place) {
+            let heading = format!("{SET} {section}");
+            for (key, value) in sheet.keys(&heading) {
                 if !is_setting(section, key) {
-                    self.wrong(&place, key, "", "there is no such setting");
+                    self.add_fault(&heading, key, "", "unknown setting");
                 } else {
                     let value = kinds::plain(value);
-                    self.edit(&place, key, setting_key(section, key), Some(value.into_bytes()));
+                    self.add_edit(&heading, key, setting_key(section, key), Some(value.into_bytes()));
                 }
             }
         }
     }
 
-    fn sections(&mut self) {
+    /// Reads the `[section SECTION]` sections.
+    fn read_sections(&mut self) {
         let sheet = self.sheet;
         for section in sheet.named(SECTION) {
             let heading = format!("{SECTION} {section}");
             if !is_section(section) {
-                self.wrong(&heading, "", "", "there is no such section");
+                self.add_fault(&heading, "", "", "unknown section");
             }
             for (key, value) in sheet.keys(&heading) {
                 match (key, value.parse::<u32>()) {
                     ("place", Ok(place)) => {
                         let value = place.to_string().into_bytes();
-                        self.edit(&heading, key, setting_key(section, ""), Some(value));
+                        self.add_edit(&heading, key, setting_key(section, ""), Some(value));
                     }
-                    ("place", Err(_)) => self.wrong(&heading, key, value, "a whole number is taken"),
-                    _ => self.wrong(&heading, key, "", "no such key; there is place"),
+                    ("place", Err(_)) => self.add_fault(&heading, key, value, "expected a whole number"),
+                    _ => self.add_fault(&heading, key, "", "unknown key; the only key is place"),
                 }
             }
         }
     }
 
-    fn removals(&mut self) {
+    /// Reads the `[remove SECTION]` and `[remove title ID]` sections.
+    fn read_removals(&mut self) {
         let sheet = self.sheet;
         for section in sheet.named(REMOVE) {
             let heading = format!("{REMOVE} {section}");
             if section.starts_with("title ") {
-                self.edit(&heading, "", section.to_owned(), None);
+                self.add_edit(&heading, "", section.to_owned(), None);
                 continue;
             }
             for (key, value) in sheet.keys(&heading) {
                 match (key, value) {
-                    ("keys", listed) => self.removed_settings(&heading, section, listed),
-                    ("section", "true") => self.edit(&heading, key, setting_key(section, ""), None),
-                    ("section", _) => self.wrong(&heading, key, value, "true is taken"),
-                    _ => self.wrong(&heading, key, "", "no such key; there are keys, section"),
+                    ("keys", listed) => self.read_removed_settings(&heading, section, listed),
+                    ("section", "true") => self.add_edit(&heading, key, setting_key(section, ""), None),
+                    ("section", _) => self.add_fault(&heading, key, value, "expected true"),
+                    _ => self.add_fault(&heading, key, "", "unknown key; the keys are keys, section"),
                 }
             }
         }
     }
 
-    fn removed_settings(&mut self, heading: &str, section: &str, listed: &str) {
+    /// Reads a comma-separated list of removed settings.
+    fn read_removed_settings(&mut self, heading: &str, section: &str, listed: &str) {
         for name in listed.split(',').map(str::trim).filter(|name| !name.is_empty()) {
             if is_setting(section, name) {
-                self.edit(heading, "keys", setting_key(section, name), None);
+                self.add_edit(heading, "keys", setting_key(section, name), None);
             } else {
-                self.wrong(heading, "keys", name, "there is no such setting");
+                self.add_fault(heading, "keys", name, "unknown setting");
             }
         }
     }
 
-    fn titles(&mut self) {
+    /// Reads the `[title ID]` sections.
+    fn read_titles(&mut self) {
         if !self.sheet.sections().any(|section| section.starts_with("title ")) {
             return;
         }
@@ -119,39 +127,45 @@
             Ok(titles) => {
                 for Entry { key, value } in title_entries(&titles.text()) {
                     let heading = key.clone();
-                    self.edit(&heading, "", key, Some(value));
+                    self.add_edit(&heading, "", key, Some(value));
                 }
             }
-            Err(found) => self.faults.extend(found.0),
+            Err(faults) => self.faults.extend(faults.0),
         }
     }
 
-    fn edit(&mut self, heading: &str, name: &str, key: String, value: Option<Vec<u8>>) {
+    /// Adds an edit; a second one of the same key is a fault.
+    fn add_edit(&mut self, heading: &str, name: &str, key: String, value: Option<Vec<u8>>) {
         if self.edits.insert(key, value).is_some() {
-            self.wrong(heading, name, "", "this is edited twice");
+            self.add_fault(heading, name, "", "edited twice");
         }
     }
 
-    fn wrong(&mut self, heading: &str, key: &str, value: &str, why: &str) {
-        self.faults.push(self.sheet.fault(heading, key, value, why));
+    fn add_fault(&mut self, heading: &str, key: &str, value: &str, reason: &str) {
+        self.faults.push(self.sheet.fault(heading, key, value, reason));
     }
 }
 
-fn family(section: &str) -> &str {
+/// The type of a section: the first word of its heading.
+fn section_type(section: &str) -> &str {
     section.split(' ').next().unwrap_or(section)
 }
 
+/// Whether the settings shared by all controllers have such a section.
 fn is_section(section: &str) -> bool {
-    SHARED_SECTIONS.contains(&family(section))
+    SHARED_SECTIONS.contains(&section_type(section))
 }
 
-/// Whether all controllers know such a setting.
+/// Whether the settings shared by all controllers have such a setting.
 fn is_setting(section: &str, key: &str) -> bool {
-    is_section(section) && KINDS.iter().any(|(known, name, _)| *known == family(section) && *name == key)
+    is_section(section)
+        && KINDS
+            .iter()
+            .any(|(section_type_name, name, _)| *section_type_name == section_type(section) && *name == key)
 }
 
-/// The edits that lead from some entries to others, by key.
-pub fn between(from: &[Entry], to: &[Entry]) -> Vec<Edit> {
+/// The edits that turn one set of entries into another, sorted by key.
+pub fn difference(from: &[Entry], to: &[Entry]) -> Vec<Edit> {
     let values = |entries: &[Entry]| -> BTreeMap<String, Vec<u8>> {
         entries.iter().map(|entry| (entry.key.clone(), entry.value.clone())).collect()
     };
@@ -161,7 +175,7 @@
     changed.map(|key| Edit { key: key.clone(), value: to.get(key).cloned() }).collect()
 }
 
-/// Edits in the INI form that [`read`] takes.
+/// Writes edits in the INI form that [`read`] takes.
 pub fn write(edits: &[Edit]) -> String {
     let mut sections: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut removed: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
--- a/crates/relay/src/envelope.rs
+++ b/crates/relay/src/envelope.rs
@@ -1,10 +1,10 @@
-//! Signed envelopes between control machines.
+//! Signed envelopes between control machines: how they are signed, and which are accepted.
 //!
-//! Each direction between two machines has a stream of its own: who has something to say connects. The side that was
-//! connected to sends a challenge first, an unpredictable session number. Each envelope after that is signed over a domain
-//! string, who sends it, whom it is for, the sender's life, the session, its sequence number and the payload. So what was
-//! recorded on one stream is refused on any other, also after the receiver restarted and has no memory of it, and on its
-//! own stream sequence numbers only rise.
+//! Each direction between two machines has its own stream, opened by the sender. The accepting side first sends a challenge,
+//! an unpredictable session number. Each later envelope is signed over a domain string, the sender, the receiver, the
+//! sender's incarnation, the session, its sequence number and the payload. So an envelope that was recorded on one stream is
+//! refused on any other, even if the receiver restarted and remembers nothing. Replays on the same stream are refused because
+//! sequence numbers must rise.
 
 use std::collections::BTreeMap;
 
@@ -14,21 +14,22 @@
 use serde_big_array::BigArray;
 use thiserror::Error;
 
+/// Domain separation: the prefix of the signed bytes.
 const DOMAIN: &[u8] = b"badgerledge control envelope 1";
-/// Bytes of an envelope beside its payload, at most.
-const BESIDE_PAYLOAD: usize = 256;
-/// The longest frame between control machines.
-pub const LONGEST_FRAME: usize = MAX_RELAY_BODY_BYTES + BESIDE_PAYLOAD;
+/// Upper bound on the encoded size of an envelope without its payload.
+const MAX_OVERHEAD_BYTES: usize = 256;
+/// Maximum size of a frame between control machines.
+pub const MAX_FRAME_BYTES: usize = MAX_RELAY_BODY_BYTES + MAX_OVERHEAD_BYTES;
 
-/// Drawn anew by the accepting side of each stream; unpredictable.
+/// An unpredictable number, chosen at random by the accepting side of each stream.
 pub type Session = [u8; 16];
 
 /// A frame between control machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// The first frame of a stream, from the side that was connected to.
+    /// The first frame of a stream, sent by the accepting side.
     Challenge { session: Session },
-    /// Everything else.
+    /// Every later frame.
     Sealed(Envelope),
 }
 
@@ -37,55 +38,55 @@
 pub struct Envelope {
     pub from: MachineId,
     pub to: MachineId,
-    /// The life of the sender's process.
-    pub life: u32,
+    /// The incarnation number of the sender's process.
+    pub incarnation: u32,
     pub session: Session,
-    /// Rises with each envelope of a stream and direction.
+    /// Rises with each envelope in one direction of a stream.
     pub sequence: u64,
-    /// A [`Payload`], encoded.
+    /// A [`Payload`], encoded with postcard.
     pub payload: Vec<u8>,
     #[serde(with = "BigArray")]
     pub signature: Signature,
 }
 
-/// What an envelope holds.
+/// The content of an envelope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Asks for a pong: the connecting side sends one at once and then regularly.
+    /// Requests a pong. The connecting side sends one immediately and then at regular intervals.
     Ping,
-    /// Answers a ping, which it names by its sender's life and its sequence number.
-    Pong { life: u32, sequence: u64 },
-    /// A message of the protocol.
+    /// Answers a ping, identified by its sender's incarnation and its sequence number.
+    Pong { incarnation: u32, sequence: u64 },
+    /// A message of the consensus and distribution protocol.
     Message(PeerMessage),
 }
 
-/// Why a frame of a peer is not taken. The connection that it came on is closed.
+/// Why a frame from a peer is refused. The connection that it arrived on is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
     #[error(transparent)]
     Frame(#[from] FrameFault),
-    #[error("an envelope from {from} to {to}, which is not for here or not from where it came before")]
+    #[error("envelope from {from} to {to}: wrong receiver, or not the sender identified on this stream")]
     Foreign { from: MachineId, to: MachineId },
-    #[error("the signature of an envelope from {0} does not hold")]
+    #[error("envelope from {0}: invalid signature")]
     Unsigned(MachineId),
-    #[error("an envelope from life {found} of {from}, of which a life {known} was heard")]
-    StaleLife { from: MachineId, found: u32, known: u32 },
-    #[error("an envelope of another stream, or one that came before, from {0}")]
+    #[error("envelope from {from}: incarnation {found} is older than the known incarnation {known}")]
+    StaleIncarnation { from: MachineId, found: u32, known: u32 },
+    #[error("envelope from {0}: wrong session, or a sequence number that does not rise")]
     Replayed(MachineId),
-    #[error("an envelope from {0} whose payload can't be decoded")]
+    #[error("envelope from {0}: the payload cannot be decoded")]
     Payload(MachineId),
-    #[error("a frame that has no place here")]
+    #[error("unexpected kind of frame")]
     Unexpected,
 }
 
 impl Refusal {
-    /// A short name, for metrics.
+    /// The reason's label in metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Frame(fault) => frame_fault_label(fault),
             Self::Foreign { .. } => "foreign",
             Self::Unsigned(_) => "unsigned",
-            Self::StaleLife { .. } => "stale_life",
+            Self::StaleIncarnation { .. } => "stale_life",
             Self::Replayed(_) => "replayed",
             Self::Payload(_) => "payload",
             Self::Unexpected => "unexpected",
@@ -93,7 +94,7 @@
     }
 }
 
-/// A short name of what is wrong with a frame, for metrics.
+/// The label of a malformed frame in metrics.
 pub fn frame_fault_label(fault: &FrameFault) -> &'static str {
     match fault {
         FrameFault::TooLong(..) => "too_long",
@@ -104,12 +105,13 @@
 }
 
 impl Envelope {
+    /// The bytes that the signature covers.
     fn signed_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(DOMAIN.len() + 40 + self.payload.len());
         bytes.extend_from_slice(DOMAIN);
         bytes.extend_from_slice(&self.from.to_be_bytes());
         bytes.extend_from_slice(&self.to.to_be_bytes());
-        bytes.extend_from_slice(&self.life.to_be_bytes());
+        bytes.extend_from_slice(&self.incarnation.to_be_bytes());
         bytes.extend_from_slice(&self.session);
         bytes.extend_from_slice(&self.sequence.to_be_bytes());
         bytes.extend_from_slice(&self.payload);
@@ -117,14 +119,15 @@
     }
 }
 
-/// Who speaks: this machine in this life.
+/// The identity that envelopes are signed under: this machine and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
     pub machine: MachineId,
-    pub life: u32,
+    /// The incarnation number of this process.
+    pub incarnation: u32,
 }
 
-/// Signs what goes out on one stream.
+/// Signs the envelopes sent on one stream.
 #[derive(Clone, Debug)]
 pub struct Sealer {
     identity: Identity,
@@ -134,79 +137,83 @@
 }
 
 impl Sealer {
+    /// For a stream to this machine with this session number.
     pub fn new(identity: Identity, to: MachineId, session: Session) -> Self {
         Self { identity, to, session, sequence: 0 }
     }
 
-    /// The next envelope. Its sequence number can be asked for with [`Sealer::sequence`].
-    pub fn seal(&mut self, payload: &Payload, hand: &impl Signer) -> PeerFrame {
+    /// Signs the next envelope. [`Sealer::sequence`] returns its sequence number.
+    pub fn seal(&mut self, payload: &Payload, signer: &impl Signer) -> PeerFrame {
         self.sequence += 1;
         let mut envelope = Envelope {
             from: self.identity.machine,
             to: self.to,
-            life: self.identity.life,
+            incarnation: self.identity.incarnation,
             session: self.session,
             sequence: self.sequence,
-            // The types hold nothing that the encoding can't express.
+            // Encoding cannot fail: postcard can express every value of these types.
             payload: postcard::to_stdvec(payload).unwrap_or_default(),
             signature: [0; 64],
         };
-        envelope.signature = hand.sign(&envelope.signed_bytes());
+        envelope.signature = signer.sign(&envelope.signed_bytes());
         PeerFrame::Sealed(envelope)
     }
 
-    /// The number of the last envelope.
+    /// The sequence number of the last signed envelope.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 }
 
-/// The highest life that was heard of each machine.
+/// The highest known incarnation of each machine.
 #[derive(Clone, Debug, Default)]
-pub struct Lives(BTreeMap<MachineId, u32>);
+pub struct Incarnations(BTreeMap<MachineId, u32>);
 
-/// Checks what comes in on one stream.
+/// Verifies the envelopes received on one stream.
 #[derive(Clone, Debug)]
 pub struct Opener {
-    me: MachineId,
-    /// Who is at the other end: known from the start on a stream that this side made, else from the first envelope on.
+    local_id: MachineId,
+    /// The machine at the other end: known from the start on an outgoing stream, on an incoming one after the first valid
+    /// envelope.
     peer: Option<MachineId>,
     session: Session,
+    /// The sequence number of the last accepted envelope.
     sequence: u64,
 }
 
 impl Opener {
-    /// For a stream to or from `peer`, where that is known.
-    pub fn new(me: MachineId, peer: Option<MachineId>, session: Session) -> Self {
-        Self { me, peer, session, sequence: 0 }
+    /// For a stream to or from `peer`, if it is known.
+    pub fn new(local_id: MachineId, peer: Option<MachineId>, session: Session) -> Self {
+        Self { local_id, peer, session, sequence: 0 }
     }
 
-    /// Who is at the other end, once an envelope showed it.
+    /// The machine at the other end, if it is identified.
     pub fn peer(&self) -> Option<MachineId> {
         self.peer
     }
 
+    /// The session number of this stream.
     pub fn session(&self) -> Session {
         self.session
     }
 
-    /// The payload of an envelope that holds. One that does not changes nothing.
+    /// Verifies an envelope and returns its payload. A refused envelope changes no state.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// The reason for the refusal.
     pub fn open(
-        &mut self, envelope: &Envelope, hand: &impl Signer, lives: &mut Lives,
+        &mut self, envelope: &Envelope, signer: &impl Signer, incarnations: &mut Incarnations,
     ) -> Result<Payload, Refusal> {
-        let Envelope { from, to, life, session, sequence, .. } = *envelope;
-        if to != self.me || from == self.me || self.peer.is_some_and(|peer| peer != from) {
+        let Envelope { from, to, incarnation, session, sequence, .. } = *envelope;
+        if to != self.local_id || from == self.local_id || self.peer.is_some_and(|peer| peer != from) {
             return Err(Refusal::Foreign { from, to });
         }
-        if !hand.verify_member(from, &envelope.signed_bytes(), &envelope.signature) {
+        if !signer.verify_member(from, &envelope.signed_bytes(), &envelope.signature) {
             return Err(Refusal::Unsigned(from));
         }
-        let known = lives.0.get(&from).copied().unwrap_or(0);
-        if life < known {
-            return Err(Refusal::StaleLife { from, found: life, known });
+        let known = incarnations.0.get(&from).copied().unwrap_or(0);
+        if incarnation < known {
+            return Err(Refusal::StaleIncarnation { from, found: incarnation, known });
         }
         if session != self.session || sequence <= self.sequence {
             return Err(Refusal::Replayed(from));
@@ -215,7 +222,7 @@
             Ok((payload, [])) => payload,
             _ => return Err(Refusal::Payload(from)),
         };
-        lives.0.insert(from, life);
+        incarnations.0.insert(from, incarnation);
         (self.peer, self.sequence) = (Some(from), sequence);
         Ok(payload)
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,19 +1,20 @@
-//! `badgerledge-relay`: a control machine of the distribution tier on sockets, and the verbs that operators change and
-//! watch the configuration with.
+//! `badgerledge-relay`: runs a control machine of the distribution tier, and provides the commands with which operators
+//! change and watch the configuration.
 //!
 //! | module | job |
 //! |---|---|
-//! | [`settings`] | the INI file of a control machine, checked |
-//! | [`envelope`] | signed envelopes between control machines: what is accepted, what is refused and why |
+//! | [`settings`] | reads and validates the INI file of a control machine |
+//! | [`envelope`] | signs and verifies the envelopes between control machines |
 //! | `peers` | streams to and from the other control machines |
-//! | `push_check` | whether controllers can act on what a pushed change leads to |
-//! | `watchers` | streams of controllers and of operators' tools |
-//! | [`storage`] | what must be on the disk before anything is said that rests on it |
-//! | `service` | the loop that joins these to [`badgerledge_distribution::control::ControlMachine`] |
-//! | `telemetry` | metrics, and log lines at a bounded rate |
-//! | [`client`] | an operator's connection to a relay |
+//! | `push_check` | rejects pushed changes that controllers could not apply |
+//! | `watchers` | connections of controllers and of operators' tools |
+//! | [`storage`] | durable state, written before any message that depends on it is sent |
+//! | `service` | the event loop around [`badgerledge_distribution::control::ControlMachine`] |
+//! | `telemetry` | metrics, and a rate limit for log lines |
+//! | [`client`] | a blocking connection from an operator's tool to a relay |
 //! | [`edits`] | the INI form of a change |
-//! | `verbs` | what an operator asks for on the command line |
+//! | `verbs` | the operators' commands |
+//! | `backoff` | pauses between connection attempts |
 
 mod backoff;
 pub mod client;
@@ -41,10 +42,10 @@
 
 use crate::settings::RelaySettings;
 
-/// A control machine of the distribution tier, and the verbs of its operators.
+/// Runs a control machine of the distribution tier, and lets operators change and watch the configuration.
 ///
-/// Exit codes: 0 done; 1 something was wrong on the way; 2 rejected, and nothing has changed; 3 not known or not in force
-/// in the time given.
+/// Exit codes: 0 success; 1 error; 2 rejected, nothing has changed; 3 outcome unknown, or not in force within the time
+/// given.
 #[derive(Parser)]
 #[command(name = "badgerledge-relay", version)]
 struct Command {
@@ -58,46 +59,47 @@
     Run {
         /// The control machine's settings, an INI file
         settings: PathBuf,
-        /// How log lines are written, on standard error
+        /// Format of the log lines on standard error
         #[arg(long, value_enum, default_value_t = LogForm::Text)]
         log: LogForm,
-        /// Which log lines: error, warn, info, debug or trace, also by target
+        /// Log filter: error, warn, info, debug or trace, optionally by target
         #[arg(long, default_value = "info")]
         log_level: String,
     },
-    /// Reads a settings file, its ring, key and first configuration, and says all that is wrong with them
+    /// Validates a settings file, its ring, key and first configuration, and prints all errors
     Check {
         /// The control machine's settings, an INI file
         settings: PathBuf,
     },
-    /// Makes the state of an acceptor that was never there: it has signed nothing
+    /// Creates the initial state of a new acceptor, which has signed nothing
     Found {
         /// The control machine's settings, an INI file
         settings: PathBuf,
     },
-    /// Pushes a signed change of single keys, and says what became of it
+    /// Signs and pushes a change of individual keys, and prints its outcome
     Change(verbs::change::Arguments),
-    /// Shows what a control machine knows
+    /// Shows the status of control machines
     Status(verbs::status::Arguments),
-    /// Shows how the highest revision comes into force, until it is
+    /// Shows the progress of the highest revision until it is in force
     Watch(verbs::watch::Arguments),
-    /// Writes the edits that lead from one configuration file to another, as `change` takes them
+    /// Prints the edits from one configuration file to another, in the form that `change` takes
     Diff(verbs::diff::Arguments),
 }
 
+/// Format of the log lines.
 #[derive(Clone, Copy, ValueEnum)]
 enum LogForm {
     Text,
     Json,
 }
 
-/// How a verb ended, as the program's exit code.
+/// The outcome of a command, which becomes the program's exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Done,
     /// Rejected, and nothing has changed.
     Rejected,
-    /// Not known, or not in force in the time given.
+    /// The outcome is unknown, or the revision is not in force within the time given.
     NotYet,
 }
 
@@ -111,23 +113,23 @@
     }
 }
 
-/// Runs the program on these arguments, the first of them its name.
+/// Runs the program with these arguments; the first one is the program name.
 pub fn main_with(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    match carry_out(Command::parse_from(arguments).verb) {
+    match run_command(Command::parse_from(arguments).verb) {
         Ok(outcome) => outcome.into(),
-        Err(fault) => {
-            eprintln!("badgerledge-relay: {fault:#}");
+        Err(error) => {
+            eprintln!("badgerledge-relay: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn carry_out(verb: Verb) -> Result<Outcome> {
+fn run_command(verb: Verb) -> Result<Outcome> {
     match verb {
         Verb::Run { settings, log, log_level } => {
             start_log(log, &log_level)?;
-            let prepared = RelaySettings::read(&settings)?.prepare()?;
-            service::Service::new(prepared)?.run()?;
+            let loaded = RelaySettings::read(&settings)?.load()?;
+            service::Service::new(loaded)?.run()?;
             Ok(Outcome::Done)
         }
         Verb::Check { settings } => verbs::check::run(&settings),
@@ -139,8 +141,9 @@
     }
 }
 
+/// Starts logging to standard error.
 fn start_log(form: LogForm, level: &str) -> Result<()> {
-    let filter = EnvFilter::try_new(level).with_context(|| format!("--log-level {level}"))?;
+    let filter = EnvFilter::try_new(level).with_context(|| format!("invalid --log-level {level}"))?;
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     match form {
         LogForm::Text => log.with_ansi(false).init(),
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,4 +1,4 @@
-//! The control machine's program.
+//! Entry point of `badgerledge-relay`.
 
 use std::process::ExitCode;
 
--- a/crates/relay/src/push_check.rs
+++ b/crates/relay/src/push_check.rs
@@ -1,8 +1,8 @@
-//! Whether controllers can act on what a pushed change leads to. One that they can't act on would have all of them hold new
-//! joins back as soon as it is allowed, so it is rejected where it comes in, with the reason.
+//! Checks whether controllers can apply the state that a pushed change leads to. A change that they cannot apply would make
+//! all of them hold back new joins once it is active, so the relay that receives it rejects it with the reason.
 //!
-//! Each change is judged by itself here, on the highest certified state. Two that fit alone and not together, pushed at
-//! once, are found by [`state_check`], with which the control machine judges whole batches.
+//! [`PushCheck`] checks each change alone, against the highest certified state. Two concurrent changes that are each valid
+//! but conflict with each other are found by [`state_check`], with which the control machine checks whole batches.
 
 use badgerledge_changes::arrange;
 use badgerledge_deployment::{StateReader, Text};
@@ -11,26 +11,28 @@
 use badgerledge_distribution::state::State;
 use badgerledge_keys::Keys;
 
-/// Judges pushed changes.
+/// Checks individual pushed changes.
 pub struct PushCheck {
     keys: Keys,
     reader: StateReader,
 }
 
 impl PushCheck {
+    /// A check that verifies authors' signatures with these keys.
     pub fn new(keys: Keys) -> Self {
         Self { keys, reader: StateReader::default() }
     }
 
-    pub fn take_keys(&mut self, keys: Keys) {
+    /// Replaces the keys that authors' signatures are verified with.
+    pub fn replace_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Whether a change may go on to the sequencer. What is rejected there for another reason, or was taken before, is not
-    /// judged here: nobody without an author's key has states read.
+    /// Checks a change before it goes to the sequencer. A change that the sequencer rejects for another reason, or that was
+    /// applied before, passes: so clients without an author's key cannot cause the cost of reading states.
     ///
     /// # Errors
-    /// Why no controller could act on the state that it leads to.
+    /// Why controllers could not apply the resulting state.
     pub fn check(&mut self, state: &State, change: &Change) -> Result<(), Rejection> {
         let is_new = change.id.sequence > last_sequence(state, change.id.author);
         if !is_new || !change.is_signed(&self.keys) {
@@ -40,33 +42,37 @@
         if next.apply(&change.edits).is_err() {
             return Ok(());
         }
-        can_follow(&mut self.reader, state, &next).map_err(Rejection::State)
+        check_transition(&mut self.reader, state, &next).map_err(Rejection::State)
     }
 }
 
-/// Judges the states that batches lead to.
+/// The check of the state that a whole batch leads to.
 pub fn state_check() -> StateCheck {
     let mut reader = StateReader::default();
-    Box::new(move |before, after| can_follow(&mut reader, before, after))
+    Box::new(move |before, after| check_transition(&mut reader, before, after))
 }
 
-/// Whether controllers that act on one state can act on another one after it.
-fn can_follow(reader: &mut StateReader, before: &State, after: &State) -> Result<(), String> {
+/// Checks whether controllers can change from one state to another, and returns the reason if not.
+fn check_transition(reader: &mut StateReader, before: &State, after: &State) -> Result<(), String> {
     let next = reader.read(after)?;
-    // Where the present state is none that controllers act on, any that they can act on mends it.
+    // If controllers cannot apply the current state either, any state that they can apply is an improvement.
     match reader.read(before) {
-        Ok(present) => follows(&present, &next),
+        Ok(current) => check_texts(&current, &next),
         Err(_) => Ok(()),
     }
 }
 
-/// Whether controllers that act on a configuration can act on another one after it.
-fn follows(before: &Text, after: &Text) -> Result<(), String> {
+/// Checks whether controllers can change from one configuration to another, and returns the reason if not.
+fn check_texts(before: &Text, after: &Text) -> Result<(), String> {
     match (before.titles().is_empty(), after.titles().is_empty()) {
         (true, false) => {
-            Err("it has titles, and titles do not go with the settings in this fleet".to_owned())
+            Err("the change adds titles, but titles are not part of the shared settings in this fleet"
+                .to_owned())
+        }
+        (false, true) => {
+            Err("the change removes all titles, but titles are part of the shared settings in this fleet"
+                .to_owned())
         }
-        (false, true) => Err("it has no titles, and titles go with the settings in this fleet".to_owned()),
         _ => arrange(before.shared(), after.shared().clone()).map(drop),
     }
 }
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -1,4 +1,4 @@
-//! The loop: what comes in goes to the control machine, and what it wants done is done in its order.
+//! The event loop of a control machine: passes received messages to [`ControlMachine`] and executes its outputs in order.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -18,31 +18,37 @@
 use crate::envelope::Identity;
 use crate::peers::{PeerEvent, Peers};
 use crate::push_check::{self, PushCheck};
-use crate::settings::{Prepared, RelaySettings};
-use crate::storage::{begin_life, Storage};
-use crate::telemetry::{self, LineLimit};
+use crate::settings::{LoadedSettings, RelaySettings};
+use crate::storage::{begin_incarnation, Storage};
+use crate::telemetry::{self, LogLimiter};
 use crate::watchers::{Limits, WatcherEvent, Watchers};
 
-/// The clock begins here, so that times before the start can be named.
-const ORIGIN: Duration = Duration::from_secs(3600);
-/// The token of the loop's own due time.
-const SWEEP: u64 = 0;
-/// Silent connections, the ring's file and what is shown are looked at this often.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-/// Storing that takes so long holds up what control machines wait for.
-const SLOW_STORE: Duration = Duration::from_millis(500);
-/// Descriptors that are not watchers': peers, listeners, files, metrics, log.
-const SPARE_DESCRIPTORS: usize = 160;
-/// Connections for metrics at a time, and their bounds.
-const READERS: usize = 16;
-const READER_BOUNDS: Bounds = Bounds { input: 8192, output: 1024 * 1024 };
+/// The loop's clock starts at this time instead of zero, so that times before the start can be represented.
+const CLOCK_START: Duration = Duration::from_secs(3600);
+/// The token of the timer for periodic work.
+const PERIODIC_TOKEN: u64 = 0;
+/// Interval of the periodic work: closing silent connections, checking the ring file for changes, updating metrics.
+const PERIODIC_INTERVAL: Duration = Duration::from_secs(1);
+/// A write that takes at least this long is logged: it delays the answers that other control machines wait for.
+const SLOW_STORE_THRESHOLD: Duration = Duration::from_millis(500);
+/// File descriptors reserved for peers, listeners, files, metrics and the log.
+const RESERVED_DESCRIPTORS: usize = 160;
+/// Maximum number of concurrent metrics connections.
+const MAX_METRICS_CONNECTIONS: usize = 16;
+/// Buffer sizes of one metrics connection, in bytes.
+const METRICS_BOUNDS: Bounds = Bounds { input: 8192, output: 1024 * 1024 };
 
-/// What was logged of regions apart: machines that exclusive changes wait for, and leases that were vouched for.
+/// The partition state that was logged last.
+///
+/// Compared with the current one, so that only changes are logged.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct ApartLogged {
+struct LoggedPartition {
+    /// Machines that exclusive changes wait for.
     waits_for: Vec<MachineId>,
-    vouched: bool,
-    leases: u64,
+    /// Whether regional leases were issued since the previous check.
+    issuing: bool,
+    /// Regional leases issued so far.
+    regional_leases: u64,
 }
 
 /// A running control machine.
@@ -56,53 +62,65 @@
     watchers: Watchers,
     peer_events: Vec<PeerEvent>,
     watcher_events: VecDeque<WatcherEvent>,
-    /// What the control machine wants done.
+    /// Outputs of the control machine that are still to be executed.
     outputs: Vec<ControlOutput>,
-    readers: Vec<Line>,
-    page: PrometheusHandle,
-    ring_read: Option<SystemTime>,
-    /// What was logged last of revisions.
-    logged: (u32, u32),
-    /// What was logged last of regions apart.
-    apart_logged: ApartLogged,
-    lines: LineLimit,
-    /// How long storing took at most since it was last shown.
-    longest_store: Duration,
-    ending: bool,
+    /// Metrics connections, oldest first.
+    metrics_connections: Vec<Line>,
+    metrics_handle: PrometheusHandle,
+    /// Modification time of the ring file when it was last read.
+    ring_modified_at: Option<SystemTime>,
+    /// The certified and the active revision that were logged last.
+    logged_revisions: (u32, u32),
+    logged_partition: LoggedPartition,
+    log_limiter: LogLimiter,
+    /// Longest write since the metric was last updated.
+    max_store_time: Duration,
+    stopping: bool,
 }
 
 impl Service {
-    /// Opens sockets and state.
+    /// Opens the state folder and the listening sockets.
     ///
     /// # Errors
-    /// Where an address or the state's folder can't be had.
-    pub fn new(prepared: Prepared) -> Result<Self> {
-        let Prepared { settings, keys, genesis } = prepared;
+    /// If an address cannot be bound or the state folder cannot be opened.
+    pub fn new(loaded: LoadedSettings) -> Result<Self> {
+        let LoadedSettings { settings, keys, genesis } = loaded;
         let place = settings.place.clone();
-        let page = telemetry::start()?;
-        let mut reactor = Reactor::new(ORIGIN).context("event loop")?;
+        let metrics_handle = telemetry::start()?;
+        let mut reactor = Reactor::new(CLOCK_START).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
             reactor.signal(signal).context("signals")?;
         }
         let (storage, stored) =
             Storage::open(&place.state).with_context(|| format!("state folder {}", place.state.display()))?;
-        let life = begin_life(&place.state).with_context(|| place.state.display().to_string())?;
-        let connections = place.watchers.min(raise_descriptors().saturating_sub(SPARE_DESCRIPTORS)).max(1);
+        let incarnation =
+            begin_incarnation(&place.state).with_context(|| place.state.display().to_string())?;
+        let connections = place.watchers.min(raise_descriptors().saturating_sub(RESERVED_DESCRIPTORS)).max(1);
         if connections < place.watchers {
-            tracing::warn!(wanted = place.watchers, connections, "watchers are bounded by the descriptors");
+            tracing::warn!(
+                wanted = place.watchers,
+                connections,
+                "the file descriptor limit allows fewer watchers than configured"
+            );
         }
-        let limits = Limits { connections, output: place.watcher_bytes, all: place.all_watchers_bytes };
+        let limits = Limits {
+            connections,
+            connection_output_bytes: place.watcher_bytes,
+            total_bytes: place.all_watchers_bytes,
+        };
         let (watcher_listener, listen) = reactor
             .listen(place.listen, Watchers::bounds(limits))
-            .with_context(|| format!("watchers at {}", place.listen))?;
+            .with_context(|| format!("listening for watchers at {}", place.listen))?;
         let (peer_listener, peer_listen) = reactor
             .listen(place.peer_listen, Peers::incoming_bounds())
-            .with_context(|| format!("control machines at {}", place.peer_listen))?;
-        if let Some(at) = place.metrics {
-            reactor.listen(at, READER_BOUNDS).with_context(|| format!("metrics at {at}"))?;
+            .with_context(|| format!("listening for control machines at {}", place.peer_listen))?;
+        if let Some(address) = place.metrics {
+            reactor
+                .listen(address, METRICS_BOUNDS)
+                .with_context(|| format!("listening for metrics requests at {address}"))?;
         }
-        let identity = Identity { machine: place.number, life };
-        let (now, seed) = (reactor.now(), draw_seed()?);
+        let identity = Identity { machine: place.number, incarnation };
+        let (now, seed) = (reactor.now(), random_seed()?);
         let peers = Peers::new(
             identity,
             keys.clone(),
@@ -112,15 +130,15 @@
             now,
             seed.rotate_left(17),
         );
-        let apart = Duration::from_secs(place.apart_s);
-        let config = Config { connections, apart, ..Config::new(place.number, life) };
+        let max_partition = Duration::from_secs(place.apart_s);
+        let config = Config { connections, apart: max_partition, ..Config::new(place.number, incarnation) };
         config.check()?;
         let push_check = PushCheck::new(keys.clone());
         let mut control = ControlMachine::new(config, keys, stored, genesis, seed, now);
         control.set_state_check(push_check::state_check());
         control.set_exclusive_check(Box::new(is_exclusive));
-        let ring_read = modified(&place.ring);
-        tracing::info!(machine = place.number, life, %listen, %peer_listen, connections, "badgerledge-relay serves");
+        let ring_modified_at = modified_at(&place.ring);
+        tracing::info!(machine = place.number, life = incarnation, %listen, %peer_listen, connections, "badgerledge-relay serves");
         Ok(Self {
             reactor,
             settings,
@@ -132,111 +150,120 @@
             peer_events: Vec::new(),
             watcher_events: VecDeque::new(),
             outputs: Vec::new(),
-            readers: Vec::new(),
-            page,
-            ring_read,
-            logged: (0, 0),
-            apart_logged: ApartLogged::default(),
-            lines: LineLimit::default(),
-            longest_store: Duration::ZERO,
-            ending: false,
+            metrics_connections: Vec::new(),
+            metrics_handle,
+            ring_modified_at,
+            logged_revisions: (0, 0),
+            logged_partition: LoggedPartition::default(),
+            log_limiter: LogLimiter::default(),
+            max_store_time: Duration::ZERO,
+            stopping: false,
         })
     }
 
-    /// Serves until a signal ends it.
+    /// Serves until SIGTERM or SIGINT.
     ///
     /// # Errors
-    /// Where the event loop fails, or more waits to be stored than may.
+    /// If the event loop fails, or too many items wait to be written to the disk.
     pub fn run(mut self) -> Result<()> {
-        let mut happenings = Vec::new();
-        self.reactor.due(ORIGIN + SWEEP_EVERY, SWEEP);
-        while !self.ending {
-            let until = self.control.next_due().min(self.peers.next_due());
-            self.reactor.wait(Some(until), &mut happenings).context("event loop")?;
-            for happening in happenings.drain(..) {
-                self.take(happening);
-                self.settle();
+        let mut events = Vec::new();
+        self.reactor.due(CLOCK_START + PERIODIC_INTERVAL, PERIODIC_TOKEN);
+        while !self.stopping {
+            let wake_at = self.control.next_due().min(self.peers.next_poll_at());
+            self.reactor.wait(Some(wake_at), &mut events).context("event loop")?;
+            for event in events.drain(..) {
+                self.handle_event(event);
+                self.process_pending();
             }
-            self.tend();
+            self.poll();
             self.reactor.flush();
             if self.storage.is_overdue() {
-                bail!("{}: it could not be written for too long", self.settings.place.state.display());
+                bail!(
+                    "{}: too many items wait to be written to the state folder; stopping",
+                    self.settings.place.state.display()
+                );
             }
         }
-        // What was decided is stored and goes out; the others notice the rest by the streams' end.
-        self.settle();
+        // Stores and sends what was already decided. Peers and watchers notice the stop when their connections close.
+        self.process_pending();
         self.reactor.flush();
-        self.storage.finish().context("storing what was decided")?;
+        self.storage.finish().context("writing the pending state before exit")?;
         tracing::info!(machine = self.settings.place.number, "badgerledge-relay ends");
         Ok(())
     }
 
-    fn tend(&mut self) {
+    /// Polls the peer connections and the control machine if they are due.
+    fn poll(&mut self) {
         let now = self.reactor.now();
-        if now >= self.peers.next_due() {
-            self.peers.tend(&mut self.reactor, now, &mut self.peer_events);
+        if now >= self.peers.next_poll_at() {
+            self.peers.poll(&mut self.reactor, now, &mut self.peer_events);
         }
         if now >= self.control.next_due() {
             self.control.tend(now, &mut self.outputs);
         }
-        self.settle();
+        self.process_pending();
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn handle_event(&mut self, event: Happening) {
         let (now, reactor) = (self.reactor.now(), &mut self.reactor);
-        match happening {
-            Happening::Accepted { line, listener, .. } => self.accept(line, listener, now),
-            Happening::Opened(line) => self.peers.opened(line, now),
-            Happening::Readable(line) if self.peers.is(line) => {
-                self.peers.readable(reactor, line, now, &mut self.peer_events);
+        match event {
+            Happening::Accepted { line: connection, listener, .. } => self.accept(connection, listener, now),
+            Happening::Opened(connection) => self.peers.on_connected(connection, now),
+            Happening::Readable(connection) if self.peers.contains(connection) => {
+                self.peers.on_readable(reactor, connection, now, &mut self.peer_events);
+            }
+            Happening::Readable(connection) if self.watchers.contains(connection) => {
+                self.with_watchers(|watchers, reactor, events| {
+                    watchers.on_readable(reactor, connection, now, events)
+                });
             }
-            Happening::Readable(line) if self.watchers.is(line) => {
-                self.with_watchers(|watchers, reactor, events| watchers.readable(reactor, line, now, events));
+            Happening::Readable(connection) if self.metrics_connections.contains(&connection) => {
+                self.answer_metrics_request(connection)
             }
-            Happening::Readable(line) if self.readers.contains(&line) => self.show_metrics(line),
-            Happening::Closed(line, _) => {
-                self.readers.retain(|reader| *reader != line);
-                self.peers.closed(line, now, &mut self.peer_events);
-                self.with_watchers(|watchers, _, events| watchers.closed(line, events));
+            Happening::Closed(connection, _) => {
+                self.metrics_connections.retain(|other| *other != connection);
+                self.peers.on_closed(connection, now, &mut self.peer_events);
+                self.with_watchers(|watchers, _, events| watchers.on_closed(connection, events));
             }
-            Happening::Due(_) => self.sweep(now),
+            Happening::Due(_) => self.run_periodic_work(now),
             Happening::Signal(SIGHUP) => self.read_ring(now),
             Happening::Signal(signal) => {
-                tracing::info!(signal, "told to end");
-                self.ending = true;
+                tracing::info!(signal, "signal received; stopping");
+                self.stopping = true;
             }
             Happening::Readable(_) | Happening::Drained(_) | Happening::Datagram { .. } => {}
         }
     }
 
-    fn accept(&mut self, line: Line, listener: Line, now: Duration) {
-        if self.peers.accepts(&mut self.reactor, line, listener, now) {
+    fn accept(&mut self, connection: Line, listener: Line, now: Duration) {
+        if self.peers.on_accepted(&mut self.reactor, connection, listener, now) {
             return;
         }
-        let mut taken = false;
+        let mut is_watcher = false;
         self.with_watchers(|watchers, reactor, events| {
-            taken = watchers.accepts(reactor, line, listener, now, events);
+            is_watcher = watchers.on_accepted(reactor, connection, listener, now, events);
         });
-        if !taken {
-            if self.readers.len() >= READERS {
-                // One that never asks must not take the room of those that do.
-                let oldest = self.readers.remove(0);
+        if !is_watcher {
+            if self.metrics_connections.len() >= MAX_METRICS_CONNECTIONS {
+                // An idle connection must not keep out clients that send requests.
+                let oldest = self.metrics_connections.remove(0);
                 self.reactor.close(oldest);
             }
-            self.readers.push(line);
+            self.metrics_connections.push(connection);
         }
     }
 
+    /// Runs `act` on the watchers' connections and queues the resulting events.
     fn with_watchers(&mut self, act: impl FnOnce(&mut Watchers, &mut Reactor, &mut Vec<WatcherEvent>)) {
         let mut events = Vec::new();
         act(&mut self.watchers, &mut self.reactor, &mut events);
         self.watcher_events.extend(events);
     }
 
-    /// Hands events to the control machine and does what it wants, until nothing is left of either.
-    fn settle(&mut self) {
+    /// Passes queued events to the control machine and executes its outputs, until there are no more of either.
+    fn process_pending(&mut self) {
         loop {
-            self.carry_out();
+            self.execute_outputs();
             let now = self.reactor.now();
             if self.peer_events.is_empty() && self.watcher_events.is_empty() {
                 return;
@@ -252,31 +279,33 @@
             }
             for event in std::mem::take(&mut self.watcher_events) {
                 match event {
-                    WatcherEvent::Opened(line) => self.control.watcher_opened(now, line, &mut self.outputs),
-                    WatcherEvent::Message(line, message) if self.watchers.is(line) => {
-                        if !self.is_rejected(line, &message) {
-                            self.control.watcher_message(now, line, *message, &mut self.outputs);
+                    WatcherEvent::Opened(connection) => {
+                        self.control.watcher_opened(now, connection, &mut self.outputs)
+                    }
+                    WatcherEvent::Message(connection, message) if self.watchers.contains(connection) => {
+                        if !self.reject_unusable(connection, &message) {
+                            self.control.watcher_message(now, connection, *message, &mut self.outputs);
                         }
                     }
                     WatcherEvent::Message(..) => {}
-                    WatcherEvent::Closed(line) => self.control.watcher_closed(now, line),
+                    WatcherEvent::Closed(connection) => self.control.watcher_closed(now, connection),
                 }
             }
         }
     }
 
-    /// Whether a message is a change that no controller could act on; its author is told.
-    fn is_rejected(&mut self, line: Line, message: &ToRelay) -> bool {
+    /// Rejects a pushed change that controllers could not apply, and reports this to its author. Tells whether it did.
+    fn reject_unusable(&mut self, connection: Line, message: &ToRelay) -> bool {
         let ToRelay::Push(change) = message else { return false };
         let Err(rejection) = self.push_check.check(self.control.state(), change) else { return false };
         let outcome = ToWatcher::PushOutcome { change: change.id, outcome: Err(rejection) };
-        self.with_watchers(|watchers, reactor, events| watchers.send(reactor, line, &outcome, events));
+        self.with_watchers(|watchers, reactor, events| watchers.send(reactor, connection, &outcome, events));
         true
     }
 
-    /// Does what the control machine wants, in its order. While something can't be stored nothing is said: the rest is
-    /// dropped as if it were lost.
-    fn carry_out(&mut self) {
+    /// Executes the control machine's outputs in order. While an item could not be stored, no messages are sent: they are
+    /// dropped as if the network had lost them.
+    fn execute_outputs(&mut self) {
         let now = self.reactor.now();
         for output in std::mem::take(&mut self.outputs) {
             match output {
@@ -285,150 +314,163 @@
                     count_peer_message(&message);
                     self.peers.send(&mut self.reactor, to, message);
                 }
-                ControlOutput::ToWatcher(line, message) if self.storage.is_clean() => {
+                ControlOutput::ToWatcher(connection, message) if self.storage.is_clean() => {
                     count_watcher_message(&message);
                     self.with_watchers(|watchers, reactor, events| {
-                        watchers.send(reactor, line, &message, events);
+                        watchers.send(reactor, connection, &message, events);
                     });
                 }
-                ControlOutput::ToPeer(..) => telemetry::count_dropped("peer"),
-                ControlOutput::ToWatcher(..) => telemetry::count_dropped("watcher"),
-                ControlOutput::CloseWatcher(line, reason) => {
-                    self.watchers.finish(&mut self.reactor, line, reason, now);
+                ControlOutput::ToPeer(..) => telemetry::count_dropped_message("peer"),
+                ControlOutput::ToWatcher(..) => telemetry::count_dropped_message("watcher"),
+                ControlOutput::CloseWatcher(connection, reason) => {
+                    self.watchers.finish(&mut self.reactor, connection, reason, now);
                 }
             }
         }
     }
 
     fn store(&mut self, item: StoredItem, now: Duration) {
-        let begun = Instant::now();
-        let done = self.storage.store(item);
-        let took = begun.elapsed();
-        self.longest_store = self.longest_store.max(took);
-        if took >= SLOW_STORE {
-            if let Some(suppressed) = self.lines.allows(now, "slow store") {
-                tracing::warn!(suppressed, ?took, "the disk is slow: nothing is heard or said meanwhile");
+        let started_at = Instant::now();
+        let result = self.storage.store(item);
+        let elapsed = started_at.elapsed();
+        self.max_store_time = self.max_store_time.max(elapsed);
+        if elapsed >= SLOW_STORE_THRESHOLD {
+            if let Some(suppressed) = self.log_limiter.allows(now, "slow store") {
+                tracing::warn!(suppressed, took = ?elapsed, "slow disk write; no messages were received or sent meanwhile");
             }
         }
-        self.note_stored(done, now);
+        self.report_store_result(result, now);
     }
 
-    fn note_stored(&mut self, done: std::io::Result<()>, now: Duration) {
-        let Err(fault) = done else { return };
+    /// Counts and logs a failed write.
+    fn report_store_result(&mut self, result: std::io::Result<()>, now: Duration) {
+        let Err(error) = result else { return };
         counter!(telemetry::STORE_FAULTS).increment(1);
-        if let Some(suppressed) = self.lines.allows(now, "store") {
+        if let Some(suppressed) = self.log_limiter.allows(now, "store") {
             let folder = self.settings.place.state.display();
             tracing::error!(
                 suppressed,
-                "{folder}: could not be written, and nothing is said until it can: {fault}"
+                "{folder}: writing failed; no messages are sent until it succeeds: {error}"
             );
         }
     }
 
-    /// What is looked at once a second.
-    fn sweep(&mut self, now: Duration) {
-        self.reactor.due(now + SWEEP_EVERY, SWEEP);
-        self.with_watchers(|watchers, reactor, events| watchers.sweep(reactor, now, events));
-        let done = self.storage.tend();
-        self.note_stored(done, now);
-        if modified(&self.settings.place.ring) != self.ring_read {
+    /// Runs once per [`PERIODIC_INTERVAL`].
+    fn run_periodic_work(&mut self, now: Duration) {
+        self.reactor.due(now + PERIODIC_INTERVAL, PERIODIC_TOKEN);
+        self.with_watchers(|watchers, reactor, events| watchers.poll(reactor, now, events));
+        let result = self.storage.retry();
+        self.report_store_result(result, now);
+        if modified_at(&self.settings.place.ring) != self.ring_modified_at {
             self.read_ring(now);
         }
         let status = self.control.status(now);
         self.log_revisions(&status);
         if self.settings.place.apart_s > 0 {
-            let apart = self.control.apart_status(now);
-            self.log_apart(&apart);
-            telemetry::show_apart(&apart);
+            let partition = self.control.apart_status(now);
+            self.log_partition(&partition);
+            telemetry::update_partition(&partition);
         }
-        telemetry::show_stores(std::mem::take(&mut self.longest_store));
-        telemetry::show(&status, self.watchers.len(), self.peers.up());
+        telemetry::update_store_time(std::mem::take(&mut self.max_store_time));
+        telemetry::update_status(&status, self.watchers.len(), self.peers.peers_up());
     }
 
+    /// Logs a newly certified or activated revision.
     fn log_revisions(&mut self, status: &ControlStatus) {
         let ControlStatus { certified, active, watchers, prepared, .. } = status;
-        let before = std::mem::replace(&mut self.logged, (*certified, *active));
+        let before = std::mem::replace(&mut self.logged_revisions, (*certified, *active));
         if before.0 != *certified {
             tracing::info!(revision = certified, watchers, "a revision is certified");
         }
         if before.1 != *active {
-            tracing::info!(revision = active, watchers, prepared, "a revision may be acted on");
+            tracing::info!(revision = active, watchers, prepared, "a revision is active");
         }
     }
 
-    fn log_apart(&mut self, apart: &PartitionStatus) {
-        let waits_for: Vec<MachineId> = apart.waits_ms.iter().map(|(machine, _)| *machine).collect();
-        let vouched = apart.regional_leases > self.apart_logged.leases;
-        let leases = apart.regional_leases;
-        let before = std::mem::replace(&mut self.apart_logged, ApartLogged { waits_for, vouched, leases });
-        let waits_for = &self.apart_logged.waits_for;
+    /// Logs when the machines that exclusive changes wait for change, and when regional leases start or stop.
+    fn log_partition(&mut self, partition: &PartitionStatus) {
+        let waits_for: Vec<MachineId> = partition.waits_ms.iter().map(|(machine, _)| *machine).collect();
+        let issuing = partition.regional_leases > self.logged_partition.regional_leases;
+        let regional_leases = partition.regional_leases;
+        let before = std::mem::replace(
+            &mut self.logged_partition,
+            LoggedPartition { waits_for, issuing, regional_leases },
+        );
+        let waits_for = &self.logged_partition.waits_for;
         if before.waits_for != *waits_for {
-            match longest_wait(apart) {
-                Some(at_most) => {
-                    tracing::warn!(?waits_for, ?at_most, "an exclusive change waits for machines")
+            match max_exclusive_wait(partition) {
+                Some(max_wait) => {
+                    tracing::warn!(?waits_for, at_most = ?max_wait, "an exclusive change waits for control machines")
                 }
-                None => tracing::info!("no exclusive change waits for a machine"),
+                None => tracing::info!("no exclusive change waits for a control machine any more"),
             }
         }
-        if before.vouched != vouched {
-            match vouched {
-                true => tracing::warn!(leases, "no quorum of acceptors: regional leases are handed down"),
-                false => tracing::info!(leases, "no regional leases are handed down any more"),
+        if before.issuing != issuing {
+            match issuing {
+                true => {
+                    tracing::warn!(
+                        leases = regional_leases,
+                        "no quorum of acceptors: issuing regional leases"
+                    )
+                }
+                false => tracing::info!(leases = regional_leases, "stopped issuing regional leases"),
             }
         }
     }
 
-    /// Reads the ring anew. One that is not in order changes nothing.
+    /// Reloads the key ring. An invalid one is logged, and the current keys stay in use.
     fn read_ring(&mut self, now: Duration) {
-        self.ring_read = modified(&self.settings.place.ring);
+        self.ring_modified_at = modified_at(&self.settings.place.ring);
         match self.settings.read_keys() {
             Ok(keys) => {
-                tracing::info!("the ring of keys was read anew");
-                self.peers.take_keys(keys.clone());
-                self.push_check.take_keys(keys.clone());
+                tracing::info!("the key ring was reloaded");
+                self.peers.replace_keys(keys.clone());
+                self.push_check.replace_keys(keys.clone());
                 self.control.take_hand(now, keys, &mut self.outputs);
             }
-            Err(fault) => tracing::error!("{fault:#}; the keys read before go on holding"),
+            Err(error) => tracing::error!("{error:#}; the current keys stay in use"),
         }
     }
 
-    /// Any request is answered with the metrics once its head has come.
-    fn show_metrics(&mut self, line: Line) {
-        if self.reactor.input(line).windows(4).any(|bytes| bytes == b"\r\n\r\n") {
-            let answer = telemetry::page(&self.page);
-            self.reactor.send(line, &[&answer]);
-            self.reactor.finish(line);
+    /// Answers any HTTP request with the metrics, once its head is complete.
+    fn answer_metrics_request(&mut self, connection: Line) {
+        if self.reactor.input(connection).windows(4).any(|bytes| bytes == b"\r\n\r\n") {
+            let response = telemetry::metrics_response(&self.metrics_handle);
+            self.reactor.send(connection, &[&response]);
+            self.reactor.finish(connection);
         }
     }
 }
 
-/// How long exclusive changes wait at most.
-fn longest_wait(apart: &PartitionStatus) -> Option<Duration> {
-    apart.waits_ms.iter().map(|(_, left)| Duration::from_millis(*left)).max()
+/// The longest time that exclusive changes still wait for a machine.
+fn max_exclusive_wait(partition: &PartitionStatus) -> Option<Duration> {
+    partition.waits_ms.iter().map(|(_, remaining_ms)| Duration::from_millis(*remaining_ms)).max()
 }
 
 fn count_peer_message(message: &PeerMessage) {
     if matches!(message, PeerMessage::Grant(_)) {
-        counter!(telemetry::GRANTS).increment(1);
+        counter!(telemetry::SIGNED_GRANTS).increment(1);
     }
 }
 
 fn count_watcher_message(message: &ToWatcher) {
     let name = match message {
-        ToWatcher::Lease(_) => telemetry::LEASES,
-        ToWatcher::Snapshot { .. } => telemetry::SNAPSHOTS,
-        ToWatcher::Delta { .. } => telemetry::DELTAS,
+        ToWatcher::Lease(_) => telemetry::SENT_LEASES,
+        ToWatcher::Snapshot { .. } => telemetry::STARTED_SNAPSHOTS,
+        ToWatcher::Delta { .. } => telemetry::SENT_DELTAS,
         _ => return,
     };
     counter!(name).increment(1);
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+/// The modification time of a file, if it can be read.
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|data| data.modified()).ok()
 }
 
-fn draw_seed() -> Result<u64> {
+/// A seed for random numbers, from the operating system.
+fn random_seed() -> Result<u64> {
     let mut seed = [0; 8];
-    getrandom::fill(&mut seed).context("no randomness")?;
+    getrandom::fill(&mut seed).context("the system's random number generator")?;
     Ok(u64::from_le_bytes(seed))
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! The INI file of a control machine, checked.
+//! Reads and validates the INI file of a control machine, and loads the files that it names.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,70 +15,72 @@
 use garde::Validate;
 use serde::Deserialize;
 
-/// What may wait for one connection holds a longest frame and small ones beside it.
-const LEAST_CONNECTION_BYTES: usize = 2 * MAX_RELAY_BODY_BYTES;
+/// Minimum output buffer of a connection: room for a frame of the maximum size and small ones besides.
+const MIN_CONNECTION_BYTES: usize = 2 * MAX_RELAY_BODY_BYTES;
 const MEGABYTE: usize = 1024 * 1024;
 
-/// `[relay]`.
+/// Section `[relay]`.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct RelayPlace {
     /// The number of this control machine, as in the ring.
     #[garde(skip)]
     pub number: MachineId,
-    /// Where controllers and operators' tools come in.
+    /// Address that controllers and operators' tools connect to.
     #[garde(skip)]
     pub listen: SocketAddr,
-    /// Where the other control machines come in.
+    /// Address that the other control machines connect to.
     #[garde(skip)]
     pub peer_listen: SocketAddr,
-    /// The folder of what outlives the process.
+    /// Folder of the durable state.
     #[garde(skip)]
     pub state: PathBuf,
-    /// The file of the control machines' and authors' public keys, the same everywhere.
+    /// File of the public keys of control machines and authors; the same on all control machines.
     #[garde(skip)]
     pub ring: PathBuf,
-    /// The file of this machine's private key, which nobody else may read.
+    /// File of this machine's private key; only its owner may have access.
     #[garde(skip)]
     pub key: PathBuf,
-    /// The file of the first configuration, revision 0, the same everywhere.
+    /// File of the first configuration, revision 0; the same on all control machines.
     #[garde(skip)]
     pub genesis: PathBuf,
-    /// Where metrics are asked for by HTTP; nowhere if it is not given.
+    /// Address that serves metrics by HTTP; none if absent.
     #[garde(skip)]
     pub metrics: Option<SocketAddr>,
-    /// Connections of controllers and tools at most.
+    /// Maximum number of connections of controllers and tools.
     #[garde(custom(within(1, 16_384)))]
     #[serde(default = "default_watchers")]
     pub watchers: usize,
-    /// Bytes that wait for one controller at most.
-    #[garde(custom(within(LEAST_CONNECTION_BYTES, 64 * MEGABYTE)))]
+    /// Maximum number of output bytes buffered for one controller.
+    #[garde(custom(within(MIN_CONNECTION_BYTES, 64 * MEGABYTE)))]
     #[serde(default = "default_watcher_bytes")]
     pub watcher_bytes: usize,
-    /// Bytes that wait for or came from all controllers at most.
-    #[garde(custom(within(LEAST_CONNECTION_BYTES, 16 * 1024 * MEGABYTE)))]
+    /// Maximum number of input and output bytes buffered for all controllers.
+    #[garde(custom(within(MIN_CONNECTION_BYTES, 16 * 1024 * MEGABYTE)))]
     #[serde(default = "default_all_watchers_bytes")]
     pub all_watchers_bytes: usize,
-    /// Bytes that wait for one control machine at most.
-    #[garde(custom(within(LEAST_CONNECTION_BYTES, 64 * MEGABYTE)))]
+    /// Maximum number of output bytes buffered for one control machine.
+    #[garde(custom(within(MIN_CONNECTION_BYTES, 64 * MEGABYTE)))]
     #[serde(default = "default_peer_bytes")]
     pub peer_bytes: usize,
-    /// How long a region that is cut off from the acceptors goes on under its old configuration, and exclusive changes wait
-    /// for it at most, in seconds; 0: it holds back after a lease. To be the same on all control machines.
-    #[garde(custom(apart_within))]
+    /// How long a region that is cut off from the acceptors keeps acting on its old configuration, in seconds; also the
+    /// longest time that exclusive changes wait for it. With 0, it holds back new joins once its lease has expired. Must be
+    /// the same on all control machines.
+    #[garde(custom(check_apart_s))]
     #[serde(default)]
     pub apart_s: u64,
 }
 
-fn apart_within(seconds: &u64, (): &()) -> garde::Result {
-    let (least, most) = (LEAST_APART.as_secs(), MOST_APART.as_secs());
-    if *seconds == 0 || (least..=most).contains(seconds) {
+/// Accepts 0 and the range that the protocol allows.
+fn check_apart_s(seconds: &u64, (): &()) -> garde::Result {
+    let (min, max) = (LEAST_APART.as_secs(), MOST_APART.as_secs());
+    if *seconds == 0 || (min..=max).contains(seconds) {
         return Ok(());
     }
-    Err(garde::Error::new(format!("0, or {least} to {most} is taken")))
+    Err(garde::Error::new(format!("0, or {min} to {max} is taken")))
 }
 
-/// A zone's 617 controllers, those of a lost neighbour, and some tools.
+/// Enough for the 617 controllers of a zone, those of a failed neighbouring zone, and some tools.
 fn default_watchers() -> usize {
     1500
 }
@@ -95,64 +97,67 @@
     8 * MEGABYTE
 }
 
-/// A control machine's file, checked by itself.
+/// A control machine's settings file. The files that it names are not read yet.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
+    /// Section `[relay]`.
     pub place: RelayPlace,
-    /// Where each control machine takes the others' streams, its own address among them.
+    /// Section `[peers]`: the address that each control machine, including this one, accepts peers' streams at.
     pub peers: BTreeMap<MachineId, SocketAddr>,
 }
 
-/// The settings with all that they name, read and checked.
-pub struct Prepared {
+/// The settings with the content of the files that they name.
+pub struct LoadedSettings {
     pub settings: RelaySettings,
     pub keys: Keys,
     pub genesis: State,
 }
 
 impl RelaySettings {
-    /// Reads a file; paths in it are beside it where they are relative.
+    /// Reads a settings file. Relative paths in it are resolved against its folder.
     ///
     /// # Errors
-    /// All that is wrong, each with its file, line and key.
+    /// All errors in the file, each with its file, line and key.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        let mut settings = Self::of(&Sheet::read(path)?)?;
+        let mut settings = Self::from_sheet(&Sheet::read(path)?)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         let place = &mut settings.place;
-        for named in [&mut place.state, &mut place.ring, &mut place.key, &mut place.genesis] {
-            if named.is_relative() {
-                *named = folder.join(&*named);
+        for path in [&mut place.state, &mut place.ring, &mut place.key, &mut place.genesis] {
+            if path.is_relative() {
+                *path = folder.join(&*path);
             }
         }
         Ok(settings)
     }
 
+    /// Reads the settings from a parsed file.
+    ///
     /// # Errors
-    /// All that is wrong, each with its line and key.
-    pub fn of(sheet: &Sheet) -> Result<Self, Faults> {
+    /// All errors in the file, each with its line and key.
+    pub fn from_sheet(sheet: &Sheet) -> Result<Self, Faults> {
         sheet.only(&["relay", "peers"])?;
-        let (place, peers) = Faults::both(sheet.section::<RelayPlace>("relay"), peers(sheet))?;
+        let (place, peers) = Faults::both(sheet.section::<RelayPlace>("relay"), read_peers(sheet))?;
         if !peers.contains_key(&place.number) {
-            let why = "the address of each control machine is wanted, this one's too";
-            return Err(sheet.fault("peers", &place.number.to_string(), "", why).into());
+            let reason = "the address of each control machine is required, including this one";
+            return Err(sheet.fault("peers", &place.number.to_string(), "", reason).into());
         }
         Ok(Self { place, peers })
     }
 
-    /// Reads the ring, the key and the first configuration.
+    /// Loads the ring, the key and the first configuration.
     ///
     /// # Errors
-    /// What is wrong with the first of them that is not in order, or with how they fit together.
-    pub fn prepare(self) -> Result<Prepared> {
+    /// If one of the files is invalid, or they are inconsistent with each other.
+    pub fn load(self) -> Result<LoadedSettings> {
         let keys = self.read_keys()?;
         let genesis = read_genesis(&self.place.genesis)?;
-        Ok(Prepared { settings: self, keys, genesis })
+        Ok(LoadedSettings { settings: self, keys, genesis })
     }
 
-    /// The ring and this machine's key, checked against each other and against the peers.
+    /// Loads the ring and this machine's key, and checks them against each other and against the peers.
     ///
     /// # Errors
-    /// What is wrong with a file, or how they don't fit.
+    /// If a file is invalid, or they are inconsistent with each other.
     pub fn read_keys(&self) -> Result<Keys> {
         let place = &self.place;
         let private = PrivateKey::read(&place.key)?;
@@ -160,10 +165,10 @@
         let (number, ring_file) = (place.number, place.ring.display());
         if private.role() != Role::Member(number) {
             let (file, role) = (place.key.display(), private.role());
-            anyhow::bail!("{file}: the key of {role}, where that of member {number} is wanted");
+            anyhow::bail!("{file}: expected the key of member {number}, found the key of {role}");
         }
         if ring.acceptors().is_empty() {
-            anyhow::bail!("{ring_file}: it names no acceptors; `badgerledge-keys keepers` does");
+            anyhow::bail!("{ring_file}: no acceptors are listed; add them with `badgerledge-keys keepers`");
         }
         for member in ring.members() {
             if !self.peers.contains_key(member) {
@@ -171,22 +176,27 @@
             }
         }
         let keys = Keys::new(private, ring);
-        keys.with_context(|| format!("{ring_file}: the key of member {number} does not hold there"))
+        keys.with_context(|| {
+            format!("{ring_file}: the key of member {number} is not valid according to this ring")
+        })
     }
 }
 
-/// `[peers]`: the address of each control machine, by its number.
-fn peers(sheet: &Sheet) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
+/// Reads section `[peers]`: the address of each control machine, by its number.
+fn read_peers(sheet: &Sheet) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
     let (mut peers, mut faults) = (BTreeMap::new(), Vec::<Fault>::new());
     for (key, value) in sheet.keys("peers") {
         match (key.parse(), value.parse()) {
             (Ok(number), Ok(address)) => {
                 peers.insert(number, address);
             }
-            (Err(_), _) => {
-                faults.push(sheet.fault("peers", key, value, "a key is a control machine's number"))
-            }
-            (_, Err(_)) => faults.push(sheet.fault("peers", key, value, "an address and a port are taken")),
+            (Err(_), _) => faults.push(sheet.fault(
+                "peers",
+                key,
+                value,
+                "the key must be the number of a control machine",
+            )),
+            (_, Err(_)) => faults.push(sheet.fault("peers", key, value, "expected an address and a port")),
         }
     }
     if faults.is_empty() {
@@ -196,10 +206,10 @@
     }
 }
 
-/// The state of revision 0.
+/// Reads the first configuration, the state of revision 0.
 ///
 /// # Errors
-/// Where the file is not a configuration.
+/// If the file is not a valid configuration.
 pub fn read_genesis(path: &Path) -> Result<State> {
     let sheet = Sheet::read(path)?;
     let text = kinds::canonical(&sheet);
--- a/crates/relay/src/tests/mod.rs
+++ b/crates/relay/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The parts by themselves: what they take, and what they refuse.
+//! Unit tests of the modules: what each accepts and refuses.
 
 mod edits;
 mod envelope;
--- a/crates/relay/src/tests/peers.rs
+++ b/crates/relay/src/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Streams between control machines on loopback: several in one loop, and strangers that speak to them.
+//! Streams between control machines on loopback: several machines in one loop, and unidentified clients.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -10,12 +10,12 @@
 use badgerledge_reactor::{Happening, Line, Reactor};
 
 use super::support::keys;
-use crate::envelope::{Identity, Payload, PeerFrame, Sealer, Session, LONGEST_FRAME};
-use crate::peers::{PeerEvent, Peers, SILENT_AFTER};
+use crate::envelope::{Identity, Payload, PeerFrame, Sealer, Session, MAX_FRAME_BYTES};
+use crate::peers::{PeerEvent, Peers, SILENCE_TIMEOUT};
 
-/// A stream that was made is up within a ping; a pause before one more try has two seconds at most.
-const UP_WITHIN: Duration = Duration::from_secs(5);
-const LIFE: u32 = 10;
+/// A new stream is up after one ping; the pause before another connection attempt is at most two seconds.
+const UP_TIMEOUT: Duration = Duration::from_secs(5);
+const INCARNATION: u32 = 10;
 
 struct Machine {
     reactor: Reactor,
@@ -25,26 +25,27 @@
 }
 
 impl Machine {
+    /// Runs one iteration of the event loop.
     fn turn(&mut self) {
-        let mut happenings = Vec::new();
+        let mut reactor_events = Vec::new();
         let until = self.reactor.clock() + Duration::from_millis(5);
-        self.reactor.wait(Some(until), &mut happenings).unwrap();
+        self.reactor.wait(Some(until), &mut reactor_events).unwrap();
         let now = self.reactor.now();
-        for happening in happenings {
-            match happening {
-                Happening::Accepted { line, listener, .. } => {
-                    assert!(self.peers.accepts(&mut self.reactor, line, listener, now));
+        for event in reactor_events {
+            match event {
+                Happening::Accepted { line: connection, listener, .. } => {
+                    assert!(self.peers.on_accepted(&mut self.reactor, connection, listener, now));
                 }
-                Happening::Opened(line) => self.peers.opened(line, now),
-                Happening::Readable(line) => {
-                    self.peers.readable(&mut self.reactor, line, now, &mut self.events);
+                Happening::Opened(connection) => self.peers.on_connected(connection, now),
+                Happening::Readable(connection) => {
+                    self.peers.on_readable(&mut self.reactor, connection, now, &mut self.events);
                 }
-                Happening::Closed(line, _) => self.peers.closed(line, now, &mut self.events),
+                Happening::Closed(connection, _) => self.peers.on_closed(connection, now, &mut self.events),
                 _ => {}
             }
         }
-        if now >= self.peers.next_due() {
-            self.peers.tend(&mut self.reactor, now, &mut self.events);
+        if now >= self.peers.next_poll_at() {
+            self.peers.poll(&mut self.reactor, now, &mut self.events);
         }
         self.reactor.flush();
     }
@@ -53,8 +54,8 @@
         self.peers.send(&mut self.reactor, to, message);
     }
 
-    /// Messages that came since this was last asked.
-    fn heard(&mut self) -> Vec<PeerMessage> {
+    /// Messages received since the last call.
+    fn take_messages(&mut self) -> Vec<PeerMessage> {
         let events = std::mem::take(&mut self.events);
         let messages = events.into_iter().filter_map(|event| match event {
             PeerEvent::Message(_, message) => Some(message),
@@ -63,14 +64,14 @@
         messages.collect()
     }
 
-    fn was_told_down(&self, peer: u16) -> bool {
+    fn reported_down(&self, peer: u16) -> bool {
         self.events.iter().any(|event| matches!(event, PeerEvent::Down(down) if *down == peer))
     }
 }
 
-/// Machines of which each lets this many bytes wait for another.
+/// Machines that buffer at most this many output bytes for each other machine.
 fn machines_with(keys: &[Keys], output_bytes: usize) -> Vec<Machine> {
-    let listening: Vec<(Reactor, Line, SocketAddr)> = keys
+    let listeners: Vec<(Reactor, Line, SocketAddr)> = keys
         .iter()
         .map(|_| {
             let mut reactor = Reactor::new(Duration::from_secs(1)).unwrap();
@@ -80,168 +81,181 @@
         })
         .collect();
     let addresses: BTreeMap<u16, SocketAddr> =
-        listening.iter().enumerate().map(|(number, it)| (number as u16, it.2)).collect();
-    let made = listening.into_iter().zip(keys).enumerate();
-    let made = made.map(|(number, ((reactor, line, address), keys))| {
-        let identity = Identity { machine: number as u16, life: LIFE };
+        listeners.iter().enumerate().map(|(number, listener)| (number as u16, listener.2)).collect();
+    let numbered = listeners.into_iter().zip(keys).enumerate();
+    let machines = numbered.map(|(number, ((reactor, line, address), keys))| {
+        let identity = Identity { machine: number as u16, incarnation: INCARNATION };
         let listener = (line, address);
         let (now, seed) = (reactor.now(), number as u64);
         let peers = Peers::new(identity, keys.clone(), listener, &addresses, output_bytes, now, seed);
         Machine { reactor, peers, address, events: Vec::new() }
     });
-    made.collect()
+    machines.collect()
 }
 
 fn machines(keys: &[Keys]) -> Vec<Machine> {
-    machines_with(keys, 4 * LONGEST_FRAME)
+    machines_with(keys, 4 * MAX_FRAME_BYTES)
 }
 
-/// Turns all machines until something is so.
-fn until(machines: &mut [Machine], within: Duration, mut so: impl FnMut(&mut [Machine]) -> bool) {
-    let end = machines[0].reactor.clock() + within;
-    while !so(machines) {
-        assert!(machines[0].reactor.clock() < end, "not within {within:?}");
+/// Runs all machines until a condition holds.
+fn until(machines: &mut [Machine], timeout: Duration, mut condition: impl FnMut(&mut [Machine]) -> bool) {
+    let deadline = machines[0].reactor.clock() + timeout;
+    while !condition(machines) {
+        assert!(machines[0].reactor.clock() < deadline, "not within {timeout:?}");
         machines.iter_mut().for_each(Machine::turn);
     }
 }
 
 fn bring_up(machines: &mut [Machine]) {
     let others = machines.len() - 1;
-    until(machines, UP_WITHIN, |machines| machines.iter().all(|machine| machine.peers.up() == others));
+    until(machines, UP_TIMEOUT, |machines| machines.iter().all(|machine| machine.peers.peers_up() == others));
 }
 
-fn asks(seed: u8) -> PeerMessage {
+fn grant_request(seed: u8) -> PeerMessage {
     PeerMessage::RequestGrant { root: [seed; 32] }
 }
 
 #[test]
-fn messages_go_both_ways_and_a_peer_that_is_gone_is_told() {
+fn messages_pass_in_both_directions_and_a_stopped_peer_is_reported_down() {
     let keys = keys(3);
     let mut machines = machines(&keys);
     bring_up(&mut machines);
     for (from, to) in [(0, 1), (1, 0), (2, 1)] {
-        machines[from].send(to, asks(from as u8));
+        machines[from].send(to, grant_request(from as u8));
     }
     let (mut first, mut second) = (Vec::new(), Vec::new());
-    until(&mut machines, UP_WITHIN, |machines| {
-        first.extend(machines[0].heard());
-        second.extend(machines[1].heard());
+    until(&mut machines, UP_TIMEOUT, |machines| {
+        first.extend(machines[0].take_messages());
+        second.extend(machines[1].take_messages());
         first.len() + second.len() == 3
     });
-    assert!(first == [asks(1)] && second.contains(&asks(0)) && second.contains(&asks(2)));
+    assert!(
+        first == [grant_request(1)]
+            && second.contains(&grant_request(0))
+            && second.contains(&grant_request(2))
+    );
     drop(machines.pop());
-    until(&mut machines, SILENT_AFTER * 2, |machines| machines.iter().all(|it| it.was_told_down(2)));
+    until(&mut machines, SILENCE_TIMEOUT * 2, |machines| {
+        machines.iter().all(|machine| machine.reported_down(2))
+    });
 }
 
-/// The other end stands still: its sockets are open, and nothing comes.
+/// The peer is frozen: its sockets stay open, but it sends nothing. Only the missing pongs show that it failed.
 #[test]
-fn a_half_open_stream_is_noticed() {
+fn a_half_open_stream_is_closed() {
     let keys = keys(2);
     let mut machines = machines(&keys);
     bring_up(&mut machines);
     let frozen = machines.pop();
-    until(&mut machines, SILENT_AFTER * 2, |machines| machines[0].was_told_down(1));
+    until(&mut machines, SILENCE_TIMEOUT * 2, |machines| machines[0].reported_down(1));
     drop(frozen);
 }
 
-/// Somebody who connected to machine 0 and was challenged.
-struct Stranger {
+/// A client that connected to machine 0 and received its challenge.
+struct UnidentifiedClient {
     stream: TcpStream,
     session: Session,
 }
 
-impl Stranger {
+impl UnidentifiedClient {
     fn new(machines: &mut [Machine]) -> Self {
         let mut stream = TcpStream::connect(machines[0].address).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let (mut bytes, mut session) = (Vec::new(), None);
-        until(machines, UP_WITHIN, |_| {
-            let mut some = [0; 512];
-            let count = stream.read(&mut some).unwrap_or(0);
-            bytes.extend_from_slice(&some[..count]);
-            if let Ok(Some((PeerFrame::Challenge { session: told }, _))) = decode(&bytes, LONGEST_FRAME) {
-                session = Some(told);
+        until(machines, UP_TIMEOUT, |_| {
+            let mut buffer = [0; 512];
+            let count = stream.read(&mut buffer).unwrap_or(0);
+            bytes.extend_from_slice(&buffer[..count]);
+            if let Ok(Some((PeerFrame::Challenge { session: received }, _))) = decode(&bytes, MAX_FRAME_BYTES)
+            {
+                session = Some(received);
             }
             session.is_some()
         });
         Self { stream, session: session.unwrap() }
     }
 
-    /// A frame of machine 1 that holds on this stream.
-    fn good(&self, life: u32, keys: &[Keys]) -> Vec<u8> {
-        let identity = Identity { machine: 1, life };
-        let payload = Payload::Message(asks(9));
+    /// A frame of machine 1 that is valid on this stream.
+    fn valid_frame(&self, incarnation: u32, keys: &[Keys]) -> Vec<u8> {
+        let identity = Identity { machine: 1, incarnation };
+        let payload = Payload::Message(grant_request(9));
         encode(&Sealer::new(identity, 0, self.session).seal(&payload, &keys[1]))
     }
 
-    fn expect_close_after(mut self, machines: &mut [Machine], bytes: &[u8], within: Duration) {
+    fn expect_close_after(mut self, machines: &mut [Machine], bytes: &[u8], timeout: Duration) {
         self.stream.write_all(bytes).unwrap();
-        until(machines, within, |_| match self.stream.read(&mut [0; 512]) {
+        until(machines, timeout, |_| match self.stream.read(&mut [0; 512]) {
             Ok(count) => count == 0,
-            Err(e) => e.kind() == std::io::ErrorKind::ConnectionReset,
+            Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         });
     }
 }
 
 #[test]
-fn bad_frames_close_their_own_stream_and_the_others_go_on() {
-    type Bad<'a> = Box<dyn Fn(&Stranger) -> Vec<u8> + 'a>;
+fn bad_frames_close_only_their_own_stream() {
+    type BadFrame<'a> = Box<dyn Fn(&UnidentifiedClient) -> Vec<u8> + 'a>;
     let keys = keys(2);
     let mut machines = machines(&keys);
     bring_up(&mut machines);
-    let recorded = Stranger::new(&mut machines).good(LIFE, &keys);
-    let altered = |stranger: &Stranger, change: &dyn Fn(&mut Vec<u8>)| {
-        let mut frame = stranger.good(LIFE, &keys);
+    let recorded = UnidentifiedClient::new(&mut machines).valid_frame(INCARNATION, &keys);
+    let altered = |client: &UnidentifiedClient, change: &dyn Fn(&mut Vec<u8>)| {
+        let mut frame = client.valid_frame(INCARNATION, &keys);
         change(&mut frame);
         frame
     };
-    let bad: [(&str, Bad); 7] = [
+    let bad: [(&str, BadFrame); 7] = [
         ("recorded on another stream", Box::new(|_| recorded.clone())),
         (
             "unsigned",
-            Box::new(|it| altered(it, &|frame| frame.iter_mut().rev().take(64).for_each(|byte| *byte = 0))),
+            Box::new(|client| {
+                altered(client, &|frame| frame.iter_mut().rev().take(64).for_each(|byte| *byte = 0))
+            }),
         ),
-        ("of an earlier life", Box::new(|it| it.good(LIFE - 1, &keys))),
-        ("twice the same", Box::new(|it| it.good(LIFE, &keys).repeat(2))),
-        ("of another version", Box::new(|it| altered(it, &|frame| frame[6] = b'2'))),
+        ("of an earlier incarnation", Box::new(|client| client.valid_frame(INCARNATION - 1, &keys))),
+        ("twice the same", Box::new(|client| client.valid_frame(INCARNATION, &keys).repeat(2))),
+        ("of another version", Box::new(|client| altered(client, &|frame| frame[6] = b'2'))),
         ("too long", Box::new(|_| u32::MAX.to_be_bytes().to_vec())),
-        ("a challenge", Box::new(|it| encode(&PeerFrame::Challenge { session: it.session }))),
+        ("a challenge", Box::new(|client| encode(&PeerFrame::Challenge { session: client.session }))),
     ];
     for (name, frame) in &bad {
         println!("{name}");
-        let stranger = Stranger::new(&mut machines);
-        let frame = frame(&stranger);
-        stranger.expect_close_after(&mut machines, &frame, UP_WITHIN);
+        let client = UnidentifiedClient::new(&mut machines);
+        let frame = frame(&client);
+        client.expect_close_after(&mut machines, &frame, UP_TIMEOUT);
     }
-    // One that is cut off in the middle of a frame, and one that says nothing.
-    let cut = Stranger::new(&mut machines);
-    let half = cut.good(LIFE, &keys);
-    cut.expect_close_after(&mut machines, &half[..half.len() / 2], SILENT_AFTER * 2);
-    Stranger::new(&mut machines).expect_close_after(&mut machines, &[], SILENT_AFTER * 2);
-    assert_eq!(machines[0].peers.up(), 1, "the machines' own streams stand");
-    assert_eq!(machines[0].heard(), [asks(9)], "of them all the first of the two alike");
-    machines[1].send(0, asks(4));
-    until(&mut machines, UP_WITHIN, |machines| machines[0].heard().contains(&asks(4)));
+    // A frame that is incomplete, and a client that sends nothing.
+    let cut = UnidentifiedClient::new(&mut machines);
+    let half = cut.valid_frame(INCARNATION, &keys);
+    cut.expect_close_after(&mut machines, &half[..half.len() / 2], SILENCE_TIMEOUT * 2);
+    UnidentifiedClient::new(&mut machines).expect_close_after(&mut machines, &[], SILENCE_TIMEOUT * 2);
+    assert_eq!(machines[0].peers.peers_up(), 1, "the streams between the machines stay up");
+    assert_eq!(
+        machines[0].take_messages(),
+        [grant_request(9)],
+        "only the first of the two identical frames was accepted"
+    );
+    machines[1].send(0, grant_request(4));
+    until(&mut machines, UP_TIMEOUT, |machines| machines[0].take_messages().contains(&grant_request(4)));
 }
 
-/// What does not fit is dropped: no more than the bound waits for a machine that reads nothing.
+/// Messages that do not fit are dropped: at most the configured number of bytes is buffered for a peer that reads nothing.
 #[test]
 fn output_to_a_peer_that_reads_nothing_is_bounded() {
-    const BOUND: usize = 64 * 1024;
+    const OUTPUT_BYTES: usize = 64 * 1024;
     let keys = keys(2);
-    let mut machines = machines_with(&keys, BOUND);
+    let mut machines = machines_with(&keys, OUTPUT_BYTES);
     bring_up(&mut machines);
     for _ in 0..32 {
         machines[0].send(1, PeerMessage::Agreement(vec![7; 16 * 1024]));
     }
-    let waiting: usize = (0..100).map(|line| machines[0].reactor.unwritten(line)).sum();
-    assert!(waiting > BOUND / 2 && waiting <= BOUND, "{waiting} bytes");
-    // And the stream carries on.
-    let mut heard = 0;
-    until(&mut machines, UP_WITHIN, |machines| {
-        heard += machines[1].heard().len();
-        heard == 3
+    let waiting: usize = (0..100).map(|connection| machines[0].reactor.unwritten(connection)).sum();
+    assert!(waiting > OUTPUT_BYTES / 2 && waiting <= OUTPUT_BYTES, "{waiting} bytes");
+    // The stream still works.
+    let mut received = 0;
+    until(&mut machines, UP_TIMEOUT, |machines| {
+        received += machines[1].take_messages().len();
+        received == 3
     });
-    machines[0].send(1, asks(5));
-    until(&mut machines, UP_WITHIN, |machines| machines[1].heard() == [asks(5)]);
+    machines[0].send(1, grant_request(5));
+    until(&mut machines, UP_TIMEOUT, |machines| machines[1].take_messages() == [grant_request(5)]);
 }
--- a/crates/relay/src/tests/storage.rs
+++ b/crates/relay/src/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What is found again after the process ended, whole or in the middle of a write.
+//! What is recovered after the process ended, also in the middle of a write.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use badgerledge_distribution::Certified;
 use badgerledge_revisions::{Head, Signed};
 
-use crate::storage::{begin_life, found, Storage};
+use crate::storage::{begin_incarnation, create_acceptor_state, Storage};
 
 fn batch(number: u32) -> StoredItem {
     let bytes = vec![number as u8; 100];
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn all_that_was_stored_is_found_and_old_batches_go_with_a_checkpoint() {
+fn stored_items_are_recovered_and_a_checkpoint_drops_old_batches() {
     let folder = tempfile::tempdir().unwrap();
     let agreement = StoredItem::Agreement(b"second".to_vec());
     let items = [StoredItem::Agreement(b"first".to_vec()), batch(1), batch(2), agreement, batch(2), batch(3)];
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_torn_record_is_none_and_what_comes_later_is_found_behind_the_whole_ones() {
+fn a_torn_record_is_ignored_and_later_records_are_recovered_after_the_valid_ones() {
     let folder = tempfile::tempdir().unwrap();
     drop(store(folder.path(), &[StoredItem::Agreement(b"kept".to_vec()), batch(1), batch(2)]));
     let path = folder.path().join("batches");
-    let whole = std::fs::read(&path).unwrap();
-    for torn in [&whole[..whole.len() - 1], &[&whole[..], b"bcs1\0"].concat()] {
+    let valid = std::fs::read(&path).unwrap();
+    for torn in [&valid[..valid.len() - 1], &[&valid[..], b"bcs1\0"].concat()] {
         std::fs::write(&path, torn).unwrap();
         drop(store(folder.path(), &[batch(9)]));
         let (_, stored) = Storage::open(folder.path()).unwrap();
@@ -66,37 +66,37 @@
     assert_eq!(Storage::open(folder.path()).unwrap().1.agreement, None);
 }
 
-/// A folder that can't be written, as on a full disk: something stands where a record is written first.
+/// A folder that cannot be written, as on a full disk: a folder occupies the temporary file's name.
 #[test]
-fn what_could_not_be_stored_is_stored_first_later() {
+fn failed_writes_are_retried_before_later_ones() {
     let folder = tempfile::tempdir().unwrap();
     let mut storage = store(folder.path(), &[batch(1)]);
     let obstacle = folder.path().join("agreement.fresh");
     std::fs::create_dir(&obstacle).unwrap();
     assert!(storage.store(StoredItem::Agreement(b"a".to_vec())).is_err());
-    assert!(storage.store(batch(2)).is_err(), "in their order");
+    assert!(storage.store(batch(2)).is_err(), "items are written in order");
     assert!(storage.store(StoredItem::Agreement(b"b".to_vec())).is_err());
     assert!(!storage.is_clean() && !storage.is_overdue());
     std::fs::remove_dir(&obstacle).unwrap();
-    storage.tend().unwrap();
+    storage.retry().unwrap();
     assert!(storage.is_clean());
     let (_, stored) = Storage::open(folder.path()).unwrap();
     assert_eq!((stored.agreement.as_deref(), stored.batches), (Some(&b"b"[..]), vec![batch(1), batch(2)]));
 }
 
-/// What is said after it rests on it: there are no batches that lead to it.
+/// Messages after such a checkpoint depend on it, since there are no batches from which its state could be restored.
 #[test]
-fn a_checkpoint_without_its_batches_is_on_the_disk_at_once() {
+fn a_checkpoint_without_its_batches_is_written_synchronously() {
     let folder = tempfile::tempdir().unwrap();
-    let jump = StoredItem::Checkpoint(Box::new(checkpoint(9)));
-    let running = store(folder.path(), &[batch(1), jump, batch(10)]);
+    let received_checkpoint = StoredItem::Checkpoint(Box::new(checkpoint(9)));
+    let running = store(folder.path(), &[batch(1), received_checkpoint, batch(10)]);
     let (_, stored) = Storage::open(folder.path()).unwrap();
     assert_eq!((stored.checkpoint, stored.batches), (Some(checkpoint(9)), vec![batch(10)]));
     drop(running);
 }
 
 #[test]
-fn what_waits_to_be_stored_is_bounded() {
+fn the_number_of_waiting_items_is_bounded() {
     let folder = tempfile::tempdir().unwrap();
     let mut storage = store(folder.path(), &[]);
     std::fs::create_dir(folder.path().join("agreement.fresh")).unwrap();
@@ -106,20 +106,20 @@
 }
 
 #[test]
-fn an_acceptor_is_founded_once() {
+fn an_acceptor_state_is_created_only_once() {
     let folder = tempfile::tempdir().unwrap();
-    found(folder.path()).unwrap();
+    create_acceptor_state(folder.path()).unwrap();
     let (_, stored) = Storage::open(folder.path()).unwrap();
     let agreement = badgerledge_revisions::StoredState::read(&stored.agreement.unwrap()).unwrap();
     assert!(agreement.acceptor.is_some());
-    assert!(found(folder.path()).is_err());
+    assert!(create_acceptor_state(folder.path()).is_err());
 }
 
 #[test]
-fn lives_rise_also_where_the_clock_was_set_back() {
+fn incarnations_rise_even_if_the_clock_was_set_back() {
     let folder = tempfile::tempdir().unwrap();
-    let first = begin_life(folder.path()).unwrap();
-    assert!(begin_life(folder.path()).unwrap() > first);
+    let first = begin_incarnation(folder.path()).unwrap();
+    assert!(begin_incarnation(folder.path()).unwrap() > first);
     std::fs::write(folder.path().join("life"), format!("{}\n", u32::MAX - 5)).unwrap();
-    assert_eq!(begin_life(folder.path()).unwrap(), u32::MAX - 4);
+    assert_eq!(begin_incarnation(folder.path()).unwrap(), u32::MAX - 4);
 }
--- a/crates/relay/src/tests/support.rs
+++ b/crates/relay/src/tests/support.rs
@@ -1,18 +1,18 @@
-//! Keys and files for tests.
+//! Keys and a configuration for tests.
 
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
 use badgerledge_settings::Sheet;
 
-/// The keys of some control machines, of which the first is the acceptor.
+/// The keys of this many control machines, of which the first is the acceptor.
 pub fn keys(machines: u16) -> Vec<Keys> {
-    let made: Vec<PrivateKey> =
+    let private_keys: Vec<PrivateKey> =
         (0..machines).map(|number| PrivateKey::make(Role::Member(number)).unwrap()).collect();
-    let text = ring_text(&made.iter().map(PrivateKey::public).collect::<Vec<_>>());
+    let text = ring_text(&private_keys.iter().map(PrivateKey::public).collect::<Vec<_>>());
     let ring = Ring::of(&Sheet::parse("ring.ini", &text).unwrap()).unwrap();
-    made.into_iter().map(|key| Keys::new(key, ring.clone()).unwrap()).collect()
+    private_keys.into_iter().map(|key| Keys::new(key, ring.clone()).unwrap()).collect()
 }
 
-/// A ring's file with one key for each member, of whom the first is the acceptor.
+/// The text of a ring file with one key for each member, of whom the first is the acceptor.
 fn ring_text(keys: &[String]) -> String {
     let member = |(number, key): (usize, &String)| format!("[member {number}]\nkeys = {key}\n");
     keys.iter().enumerate().map(member).collect::<String>() + "[keepers]\nmembers = 0\n"
--- a/crates/relay/src/tests/telemetry.rs
+++ b/crates/relay/src/tests/telemetry.rs
@@ -1,15 +1,15 @@
-//! Log lines at a bounded rate.
+//! The rate limit for log lines.
 
 use std::time::Duration;
 
-use crate::telemetry::LineLimit;
+use crate::telemetry::LogLimiter;
 
 #[test]
-fn a_flood_of_one_kind_leaves_few_lines_and_a_count() {
-    let mut lines = LineLimit::default();
+fn a_flood_of_one_kind_is_limited_and_counted() {
+    let mut limiter = LogLimiter::default();
     let at = Duration::from_secs;
-    let written = (0..1000).filter(|_| lines.allows(at(1), "version").is_some()).count();
+    let written = (0..1000).filter(|_| limiter.allows(at(1), "version").is_some()).count();
     assert_eq!(written, 5);
-    assert_eq!(lines.allows(at(1), "unsigned"), Some(0), "other kinds are not silenced by it");
-    assert_eq!(lines.allows(at(12), "version"), Some(995));
+    assert_eq!(limiter.allows(at(1), "unsigned"), Some(0), "other kinds are not limited by it");
+    assert_eq!(limiter.allows(at(12), "version"), Some(995));
 }
--- a/crates/relay/src/verbs.rs
+++ b/crates/relay/src/verbs.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for on the command line.
+//! The operators' commands.
 
 pub mod change;
 pub mod check;
--- a/crates/relay/src/verbs/change.rs
+++ b/crates/relay/src/verbs/change.rs
@@ -1,4 +1,4 @@
-//! `change`: pushes a signed change of single keys.
+//! The `change` command: signs and pushes a change of individual keys.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,19 +13,20 @@
 use crate::client::{Client, ClientFault};
 use crate::{edits, Outcome};
 
+/// Command line arguments of `change`.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// A control machine: where it takes controllers and tools
+    /// The address that a control machine accepts controllers and tools at
     #[arg(long)]
     relay: SocketAddr,
-    /// The file of the author's private key
+    /// File of the author's private key
     #[arg(long)]
     author: PathBuf,
-    /// The revision that the edits are made against, by number, or `latest`
+    /// The revision that the edits are based on: a number, or `latest`
     #[arg(long)]
     base: Base,
-    /// The number of this change: higher than that of the author's last one. Pushed again with the same number, it is
-    /// applied once
+    /// The number of this change, which must exceed that of the author's previous change. A change that is pushed again
+    /// with the same number is applied once
     #[arg(long)]
     sequence: u64,
     /// How long to wait for the outcome, in seconds
@@ -35,7 +36,7 @@
     file: PathBuf,
 }
 
-/// What a change is made against.
+/// The revision that a change is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Base {
     Latest,
@@ -49,14 +50,16 @@
         match text {
             "latest" => Ok(Self::Latest),
             number => {
-                number.parse().map(Self::Revision).map_err(|_| "a number or `latest` is taken".to_owned())
+                number.parse().map(Self::Revision).map_err(|_| "expected a number or `latest`".to_owned())
             }
         }
     }
 }
 
+/// Runs the command.
+///
 /// # Errors
-/// Where the key, the file or the relay is not in order; a rejection is an outcome.
+/// If the key or the file is invalid, or the relay cannot be reached. A rejection is an outcome.
 pub fn run(arguments: &Arguments) -> Result<Outcome> {
     let (private, author) = read_author(&arguments.author)?;
     let edits = edits::read(&Sheet::read(&arguments.file)?)?;
@@ -77,13 +80,14 @@
             Ok(outcome_of(&rejection))
         }
         Err(fault @ (ClientFault::Closed(_) | ClientFault::Silent(..) | ClientFault::Io(..))) => {
-            println!("{name}: not known whether it was taken: {fault}; push the same change again");
+            println!("{name}: outcome unknown: {fault}; push the same change again");
             Ok(Outcome::NotYet)
         }
         Err(fault) => Err(fault.into()),
     }
 }
 
+/// The exit code of a rejection.
 fn outcome_of(rejection: &Rejection) -> Outcome {
     match rejection {
         Rejection::Unknown | Rejection::Busy(_) => Outcome::NotYet,
@@ -91,10 +95,11 @@
     }
 }
 
+/// Reads the author's private key.
 fn read_author(file: &std::path::Path) -> Result<(PrivateKey, Author)> {
     let private = PrivateKey::read(file)?;
     match private.role() {
         Role::Author(author) => Ok((private, author)),
-        role => bail!("{}: the key of {role}; changes are signed by an author", file.display()),
+        role => bail!("{}: this is the key of {role}, but changes are signed by an author", file.display()),
     }
 }
--- a/crates/relay/src/verbs/check.rs
+++ b/crates/relay/src/verbs/check.rs
@@ -1,4 +1,4 @@
-//! `check`: says all that is wrong with a settings file and what it names.
+//! The `check` command: validates a settings file and the files that it names.
 
 use std::path::Path;
 
@@ -8,8 +8,10 @@
 use crate::settings::{read_genesis, RelaySettings};
 use crate::Outcome;
 
+/// Runs the command.
+///
 /// # Errors
-/// All that is wrong, a line each.
+/// All errors found, one per line.
 pub fn run(file: &Path) -> Result<Outcome> {
     let settings = RelaySettings::read(file)?;
     let (keys, genesis) = (settings.read_keys(), read_genesis(&settings.place.genesis));
@@ -19,7 +21,7 @@
             let acceptors = keys.acceptors().len();
             let root = hex::encode(genesis.root());
             println!(
-                "{}: in order, {peers} control machines, {acceptors} of them acceptors, {entries} entries, root {root}",
+                "{}: valid, {peers} control machines, {acceptors} of them acceptors, {entries} entries, root {root}",
                 file.display()
             );
             Ok(Outcome::Done)
--- a/crates/relay/src/verbs/diff.rs
+++ b/crates/relay/src/verbs/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: the edits that lead from one configuration file to another.
+//! The `diff` command: prints the edits from one configuration file to another.
 
 use std::path::{Path, PathBuf};
 
@@ -9,18 +9,21 @@
 
 use crate::{edits, Outcome};
 
+/// Command line arguments of `diff`.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// The configuration that counts now
+    /// The current configuration
     from: PathBuf,
-    /// The configuration that is to count
+    /// The new configuration
     to: PathBuf,
 }
 
+/// Runs the command.
+///
 /// # Errors
-/// Where a file is not a configuration.
+/// If a file is not a valid configuration.
 pub fn run(arguments: &Arguments) -> Result<Outcome> {
-    let edits = edits::between(&read(&arguments.from)?, &read(&arguments.to)?);
+    let edits = edits::difference(&read(&arguments.from)?, &read(&arguments.to)?);
     print!("{}", edits::write(&edits));
     Ok(Outcome::Done)
 }
--- a/crates/relay/src/verbs/status.rs
+++ b/crates/relay/src/verbs/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows what a control machine knows.
+//! The `status` command: shows the status of control machines.
 
 use std::net::SocketAddr;
 
@@ -9,43 +9,47 @@
 use crate::client::{Client, ClientFault};
 use crate::Outcome;
 
+/// Command line arguments of `status`.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// Control machines: where they take controllers and tools
+    /// The addresses that control machines accept controllers and tools at
     #[arg(long, required = true, num_args = 1..)]
     relay: Vec<SocketAddr>,
-    /// A line of JSON for each control machine
+    /// Print one line of JSON for each control machine
     #[arg(long)]
     json: bool,
 }
 
+/// Runs the command.
+///
 /// # Errors
-/// Where a control machine does not answer; the others are shown.
+/// If a control machine does not answer; the others are shown.
 pub fn run(arguments: &Arguments) -> Result<Outcome> {
-    let mut fault = None;
+    let mut last_fault = None;
     for relay in &arguments.relay {
-        match ask(*relay) {
-            Ok((status, apart)) if arguments.json => println!("{}", as_json(&status, &apart)),
-            Ok((status, apart)) => println!("{}", as_table(&status, &apart)),
-            Err(found) => {
-                eprintln!("badgerledge-relay: {found}");
-                fault = Some(found);
+        match request_status(*relay) {
+            Ok((status, partition)) if arguments.json => println!("{}", to_json(&status, &partition)),
+            Ok((status, partition)) => println!("{}", to_table(&status, &partition)),
+            Err(fault) => {
+                eprintln!("badgerledge-relay: {fault}");
+                last_fault = Some(fault);
             }
         }
     }
-    match fault {
+    match last_fault {
         Some(fault) => Err(fault.into()),
         None => Ok(Outcome::Done),
     }
 }
 
-fn ask(relay: SocketAddr) -> Result<(ControlStatus, PartitionStatus), ClientFault> {
+/// Requests a control machine's status, over two connections: an old version closes the one with the second request.
+fn request_status(relay: SocketAddr) -> Result<(ControlStatus, PartitionStatus), ClientFault> {
     let status = Client::connect(relay)?.status()?;
-    let apart = Client::connect(relay)?.apart()?;
-    Ok((status, apart.unwrap_or_default()))
+    let partition = Client::connect(relay)?.partition_status()?;
+    Ok((status, partition.unwrap_or_default()))
 }
 
-fn as_json(status: &ControlStatus, apart: &PartitionStatus) -> serde_json::Value {
+fn to_json(status: &ControlStatus, partition: &PartitionStatus) -> serde_json::Value {
     let ControlStatus {
         machine,
         acceptor,
@@ -77,31 +81,34 @@
         "log_floor": log_floor,
         "entries": entries,
         "state_bytes": state_bytes,
-        "apart_ms": apart.max_partition_ms,
-        "vouches": apart.vouches,
-        "regional_leases": apart.regional_leases,
-        "exclusive_waits_ms": apart.waits_ms,
+        "apart_ms": partition.max_partition_ms,
+        "vouches": partition.vouches,
+        "regional_leases": partition.regional_leases,
+        "exclusive_waits_ms": partition.waits_ms,
     })
 }
 
-/// Machines that exclusive changes wait for, and for how long at most.
-pub fn exclusive_waits(apart: &PartitionStatus) -> String {
-    let wait = |(machine, left): &(u16, u64)| format!("{machine} ({} s at most)", left.div_ceil(1000));
-    listed(&apart.waits_ms.iter().map(wait).collect::<Vec<_>>())
+/// Lists the machines that exclusive changes wait for, each with the longest remaining time.
+pub fn format_exclusive_waits(partition: &PartitionStatus) -> String {
+    let wait = |(machine, remaining_ms): &(u16, u64)| {
+        format!("{machine} ({} s at most)", remaining_ms.div_ceil(1000))
+    };
+    join_numbers(&partition.waits_ms.iter().map(wait).collect::<Vec<_>>())
 }
 
-fn as_apart(apart: &PartitionStatus) -> String {
-    match apart.max_partition_ms {
-        0 => "a region that is cut off holds back".to_owned(),
+/// Describes what a region that is cut off from the acceptors does.
+fn format_partition_mode(partition: &PartitionStatus) -> String {
+    match partition.max_partition_ms {
+        0 => "a region that is cut off holds back new joins".to_owned(),
         ms => format!(
-            "a region that is cut off goes on for {} s; {} regional leases so far",
+            "a region that is cut off continues for {} s; {} regional leases so far",
             ms / 1000,
-            apart.regional_leases
+            partition.regional_leases
         ),
     }
 }
 
-fn as_table(status: &ControlStatus, apart: &PartitionStatus) -> String {
+fn to_table(status: &ControlStatus, partition: &PartitionStatus) -> String {
     let role = if status.acceptor { "acceptor and relay" } else { "relay" };
     let rows = [
         ("machine", format!("{} ({role})", status.machine)),
@@ -110,18 +117,18 @@
         ("root", hex::encode(status.root)),
         ("bound T", format!("{} ms, of a lease of {} ms", status.bound_ms, status.lease_ms)),
         ("watchers", format!("{}, {} prepared", status.watchers, status.prepared)),
-        ("lagging", listed(&status.lagging)),
-        ("waited for", listed(&status.waited_for)),
+        ("lagging", join_numbers(&status.lagging)),
+        ("waited for", join_numbers(&status.waited_for)),
         ("deltas", format!("from revision {}", status.log_floor)),
-        ("apart", as_apart(apart)),
-        ("exclusive", format!("waits for {}", exclusive_waits(apart))),
+        ("apart", format_partition_mode(partition)),
+        ("exclusive", format!("waits for {}", format_exclusive_waits(partition))),
         ("state", format!("{} entries, {} bytes", status.entries, status.state_bytes)),
     ];
     rows.iter().map(|(name, value)| format!("{name:<12}{value}\n")).collect()
 }
 
-/// Numbers with commas between, or a dash.
-pub fn listed<T: ToString>(numbers: &[T]) -> String {
+/// Joins numbers with commas; a dash if there are none.
+pub fn join_numbers<T: ToString>(numbers: &[T]) -> String {
     match numbers {
         [] => "-".to_owned(),
         numbers => numbers.iter().map(T::to_string).collect::<Vec<_>>().join(", "),
--- a/crates/relay/src/verbs/watch.rs
+++ b/crates/relay/src/verbs/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: shows how a revision comes into force.
+//! The `watch` command: shows the progress of a revision until it is in force.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,18 +8,19 @@
 use badgerledge_distribution::Number;
 
 use crate::client::Client;
-use crate::verbs::status::{exclusive_waits, listed};
+use crate::verbs::status::{format_exclusive_waits, join_numbers};
 use crate::Outcome;
 
-/// What is shown changes no faster than this is worth reading.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// Interval between status requests: short enough to follow the progress on a screen.
+const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Command line arguments of `watch`.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// A control machine: where it takes controllers and tools
+    /// The address that a control machine accepts controllers and tools at
     #[arg(long)]
     relay: SocketAddr,
-    /// The revision that is to come into force; without it the highest that is certified at the start
+    /// The revision to wait for; by default the highest one that is certified at the start
     #[arg(long)]
     revision: Option<Number>,
     /// How long to wait, in seconds
@@ -27,54 +28,57 @@
     wait: u64,
 }
 
+/// Runs the command.
+///
 /// # Errors
-/// Where the relay does not answer.
+/// If the relay does not answer.
 pub fn run(arguments: &Arguments) -> Result<Outcome> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut client = Client::connect(arguments.relay)?;
     let mut status = client.status()?;
-    let wanted = arguments.revision.unwrap_or(status.certified);
-    let apart = || Client::connect(arguments.relay)?.apart();
-    let mut waits = apart()?.filter(|apart| apart.max_partition_ms > 0);
-    let mut shown = String::new();
-    while status.active < wanted && begun.elapsed() < Duration::from_secs(arguments.wait) {
-        let line = progress(&status, wanted);
-        if line != shown {
-            let waits = waits.as_ref().map_or(String::new(), waits_for);
-            println!("{:>7} ms  {line}{waits}", begun.elapsed().as_millis());
-            shown = line;
+    let target = arguments.revision.unwrap_or(status.certified);
+    let partition_status = || Client::connect(arguments.relay)?.partition_status();
+    let mut partition = partition_status()?.filter(|partition| partition.max_partition_ms > 0);
+    let mut last_line = String::new();
+    while status.active < target && started_at.elapsed() < Duration::from_secs(arguments.wait) {
+        let line = progress(&status, target);
+        if line != last_line {
+            let waits = partition.as_ref().map_or(String::new(), format_waits);
+            println!("{:>7} ms  {line}{waits}", started_at.elapsed().as_millis());
+            last_line = line;
         }
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(STATUS_INTERVAL);
         status = client.status()?;
-        if waits.is_some() {
-            waits = apart()?;
+        if partition.is_some() {
+            partition = partition_status()?;
         }
     }
-    let ms = begun.elapsed().as_millis();
-    if status.active < wanted {
-        println!("{ms:>7} ms  revision {wanted} is not in force: {}", progress(&status, wanted));
+    let ms = started_at.elapsed().as_millis();
+    if status.active < target {
+        println!("{ms:>7} ms  revision {target} is not in force: {}", progress(&status, target));
         return Ok(Outcome::NotYet);
     }
     println!("{ms:>7} ms  revision {} is in force", status.active);
     Ok(Outcome::Done)
 }
 
-/// What an exclusive change waits for, if it does.
-fn waits_for(apart: &PartitionStatus) -> String {
-    match apart.waits_ms.is_empty() {
+/// Describes the machines that an exclusive change waits for; empty if there are none.
+fn format_waits(partition: &PartitionStatus) -> String {
+    match partition.waits_ms.is_empty() {
         true => String::new(),
-        false => format!(", an exclusive change waits for {}", exclusive_waits(apart)),
+        false => format!(", an exclusive change waits for {}", format_exclusive_waits(partition)),
     }
 }
 
-fn progress(status: &ControlStatus, wanted: Number) -> String {
+/// Describes how far a revision has progressed.
+fn progress(status: &ControlStatus, target: Number) -> String {
     let ControlStatus { active, certified, watchers, prepared, lagging, waited_for, .. } = status;
-    if *certified < wanted {
-        return format!("revision {wanted} is not certified, {certified} is the highest");
+    if *certified < target {
+        return format!("revision {target} is not certified, {certified} is the highest");
     }
     format!(
         "certified {certified}, active {active}, {prepared} of {watchers} watchers prepared, lagging {}, waits for {}",
-        listed(lagging),
-        listed(waited_for)
+        join_numbers(lagging),
+        join_numbers(waited_for)
     )
 }
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -1,4 +1,4 @@
-//! Streams of controllers and of operators' tools.
+//! Connections of controllers (watchers) and of operators' tools: admission, buffer limits and timeouts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,189 +9,216 @@
 use metrics::counter;
 
 use crate::envelope::frame_fault_label;
-use crate::telemetry::{self, LineLimit};
-
-/// The name of these streams in metrics.
-const KIND: &str = "watcher";
-/// One that has said nothing whole for so long after it connected is closed.
-pub const FIRST_MESSAGE_WITHIN: Duration = Duration::from_secs(5);
-/// One that has said nothing for so long since is gone: a watcher asks for a lease every few seconds.
-const SILENT_AFTER: Duration = Duration::from_secs(60);
-/// How long one that is turned away should wait.
+use crate::telemetry::{self, LogLimiter};
+
+/// The label of these connections in metrics.
+const STREAM_LABEL: &str = "watcher";
+/// A connection that sends no complete message within this time is closed.
+pub const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection is closed when no message was received for this long: a watcher requests a lease every few seconds.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a client that was turned away should wait before it connects again.
 const RETRY_AFTER_MS: u32 = 2000;
-/// A frame's length and mark.
-const HEADER: usize = 7;
+/// Bytes of a frame's length field and version tag.
+const FRAME_HEADER_BYTES: usize = 7;
 
-/// What comes of these streams.
+/// An event on a watcher's or tool's connection.
 #[derive(Debug)]
 pub enum WatcherEvent {
+    /// A connection was admitted.
     Opened(ConnectionId),
+    /// A message was received.
     Message(ConnectionId, Box<ToRelay>),
+    /// A connection has closed.
     Closed(ConnectionId),
 }
 
-/// How much these streams may take.
+/// Limits on the watchers' connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Bytes that wait for one at most.
-    pub output: usize,
-    /// Bytes that wait for or came from all at most.
-    pub all: usize,
+    /// Maximum number of output bytes buffered for one connection.
+    pub connection_output_bytes: usize,
+    /// Maximum number of input and output bytes buffered for all connections.
+    pub total_bytes: usize,
 }
 
 struct Connection {
-    /// Closed if nothing came by then.
-    until: Duration,
-    /// Bytes held for it, when they were last looked at.
-    held: usize,
+    /// The connection is closed at this time unless a message is received before.
+    expires_at: Duration,
+    /// Input and output bytes buffered for the connection when they were last counted.
+    buffered_bytes: usize,
 }
 
-/// All connections of controllers and tools. The number of a connection is that of its line, which is never used twice.
+/// All connections of controllers and tools. A connection is identified by its number in the reactor, which is never
+/// reused.
 pub struct Watchers {
     listener: Line,
     limits: Limits,
     connections: BTreeMap<Line, Connection>,
-    held: usize,
-    lines: LineLimit,
+    /// Sum of the buffered bytes of all connections.
+    buffered_bytes: usize,
+    log_limiter: LogLimiter,
 }
 
 impl Watchers {
-    /// The bounds of one connection.
+    /// The buffer sizes of one connection.
     pub fn bounds(limits: Limits) -> Bounds {
-        Bounds { input: MAX_WATCHER_BODY_BYTES + HEADER, output: limits.output }
+        Bounds { input: MAX_WATCHER_BODY_BYTES + FRAME_HEADER_BYTES, output: limits.connection_output_bytes }
     }
 
+    /// Serves the connections accepted by this listener.
     pub fn new(listener: Line, limits: Limits) -> Self {
-        Self { listener, limits, connections: BTreeMap::new(), held: 0, lines: LineLimit::default() }
+        Self {
+            listener,
+            limits,
+            connections: BTreeMap::new(),
+            buffered_bytes: 0,
+            log_limiter: LogLimiter::default(),
+        }
     }
 
-    pub fn is(&self, line: Line) -> bool {
-        self.connections.contains_key(&line)
+    /// Whether this connection is a watcher's or tool's.
+    pub fn contains(&self, id: Line) -> bool {
+        self.connections.contains_key(&id)
     }
 
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Takes a connection that came in, if it is one of these. One too many is told to come later.
-    pub fn accepts(
-        &mut self, reactor: &mut Reactor, line: Line, listener: Line, now: Duration,
+    /// Takes over a connection accepted by the watchers' listener, and returns whether it did. Beyond the limits, the client
+    /// is told to retry later and the connection is closed.
+    pub fn on_accepted(
+        &mut self, reactor: &mut Reactor, id: Line, listener: Line, now: Duration,
         events: &mut Vec<WatcherEvent>,
     ) -> bool {
         if listener != self.listener {
             return false;
         }
-        if self.connections.len() >= self.limits.connections || self.held >= self.limits.all {
-            counter!(telemetry::BUSY).increment(1);
-            reactor.send(line, &[&encode(&ToWatcher::Busy { retry_after_ms: RETRY_AFTER_MS })]);
-            reactor.finish(line);
+        if self.connections.len() >= self.limits.connections || self.buffered_bytes >= self.limits.total_bytes
+        {
+            counter!(telemetry::REFUSED_CONNECTIONS).increment(1);
+            reactor.send(id, &[&encode(&ToWatcher::Busy { retry_after_ms: RETRY_AFTER_MS })]);
+            reactor.finish(id);
             return true;
         }
-        self.connections.insert(line, Connection { until: now + FIRST_MESSAGE_WITHIN, held: 0 });
-        events.push(WatcherEvent::Opened(line));
+        self.connections
+            .insert(id, Connection { expires_at: now + FIRST_MESSAGE_TIMEOUT, buffered_bytes: 0 });
+        events.push(WatcherEvent::Opened(id));
         true
     }
 
-    /// Takes what came in on a connection.
-    pub fn readable(
-        &mut self, reactor: &mut Reactor, line: Line, now: Duration, events: &mut Vec<WatcherEvent>,
+    /// Handles the messages received on a connection; an invalid frame closes it.
+    pub fn on_readable(
+        &mut self, reactor: &mut Reactor, id: Line, now: Duration, events: &mut Vec<WatcherEvent>,
     ) {
         loop {
-            let Some(connection) = self.connections.get_mut(&line) else { return };
-            match decode::<ToRelay>(reactor.input(line), MAX_WATCHER_BODY_BYTES) {
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            match decode::<ToRelay>(reactor.input(id), MAX_WATCHER_BODY_BYTES) {
                 Ok(None) => break,
                 Ok(Some((message, used))) => {
-                    connection.until = now + SILENT_AFTER;
-                    reactor.consume(line, used);
-                    telemetry::count_bytes(KIND, "in", used);
-                    events.push(WatcherEvent::Message(line, Box::new(message)));
+                    connection.expires_at = now + SILENCE_TIMEOUT;
+                    reactor.consume(id, used);
+                    telemetry::count_bytes(STREAM_LABEL, "in", used);
+                    events.push(WatcherEvent::Message(id, Box::new(message)));
                 }
                 Err(fault) => {
-                    telemetry::count_refused(KIND, frame_fault_label(&fault));
-                    if let Some(suppressed) = self.lines.allows(now, frame_fault_label(&fault)) {
-                        tracing::warn!(line, suppressed, "refused on a watcher's stream: {fault}");
+                    telemetry::count_refused_frame(STREAM_LABEL, frame_fault_label(&fault));
+                    if let Some(suppressed) = self.log_limiter.allows(now, frame_fault_label(&fault)) {
+                        tracing::warn!(
+                            line = id,
+                            suppressed,
+                            "frame from a watcher refused; closing the connection: {fault}"
+                        );
                     }
-                    return self.close(reactor, line, events);
+                    return self.close(reactor, id, events);
                 }
             }
         }
-        self.account(reactor, line, events);
+        self.update_buffered(reactor, id, events);
     }
 
-    /// Counts what is held for a connection anew. Over the bound of all it is closed.
-    fn account(&mut self, reactor: &mut Reactor, line: Line, events: &mut Vec<WatcherEvent>) {
-        let Some(connection) = self.connections.get_mut(&line) else { return };
-        let held = reactor.input(line).len() + reactor.unwritten(line);
-        self.held = self.held - connection.held + held;
-        connection.held = held;
-        if self.held > self.limits.all {
-            telemetry::count_closed("memory");
-            self.close(reactor, line, events);
+    /// Recounts the bytes buffered for a connection, and closes it if the total exceeds the limit.
+    fn update_buffered(&mut self, reactor: &mut Reactor, id: Line, events: &mut Vec<WatcherEvent>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let buffered_bytes = reactor.input(id).len() + reactor.unwritten(id);
+        self.buffered_bytes = self.buffered_bytes - connection.buffered_bytes + buffered_bytes;
+        connection.buffered_bytes = buffered_bytes;
+        if self.buffered_bytes > self.limits.total_bytes {
+            telemetry::count_closed_connection("memory");
+            self.close(reactor, id, events);
         }
     }
 
-    /// Sends a message. A watcher that reads so slowly that it does not fit is closed: it comes again, here or elsewhere, and
-    /// gets what it lacks in one piece.
+    /// Sends a message. If it does not fit into the output buffer, the watcher reads too slowly and its connection is closed:
+    /// it reconnects, to this relay or another, and gets the missing state in one transfer.
     pub fn send(
-        &mut self, reactor: &mut Reactor, line: Line, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
+        &mut self, reactor: &mut Reactor, id: Line, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
     ) {
-        if !self.is(line) {
-            return telemetry::count_dropped(KIND);
+        if !self.contains(id) {
+            return telemetry::count_dropped_message(STREAM_LABEL);
         }
         let bytes = encode(message);
-        if reactor.send(line, &[&bytes]) {
-            telemetry::count_bytes(KIND, "out", bytes.len());
-            return self.account(reactor, line, events);
+        if reactor.send(id, &[&bytes]) {
+            telemetry::count_bytes(STREAM_LABEL, "out", bytes.len());
+            return self.update_buffered(reactor, id, events);
         }
-        telemetry::count_dropped(KIND);
-        telemetry::count_closed("slow");
-        self.close(reactor, line, events);
+        telemetry::count_dropped_message(STREAM_LABEL);
+        telemetry::count_closed_connection("slow");
+        self.close(reactor, id, events);
     }
 
-    /// Ends a connection for the control machine, once what was sent on it is written.
-    pub fn finish(&mut self, reactor: &mut Reactor, line: Line, reason: CloseReason, now: Duration) {
-        if self.remove(line) {
-            telemetry::count_closed(close_label(reason));
-            if let Some(suppressed) = self.lines.allows(now, close_label(reason)) {
-                tracing::info!(line, suppressed, "a watcher's connection is closed: {reason}");
+    /// Closes a connection on behalf of the control machine, after the buffered output is written.
+    pub fn finish(&mut self, reactor: &mut Reactor, id: Line, reason: CloseReason, now: Duration) {
+        if self.remove(id) {
+            telemetry::count_closed_connection(close_label(reason));
+            if let Some(suppressed) = self.log_limiter.allows(now, close_label(reason)) {
+                tracing::info!(line = id, suppressed, "closing a watcher's connection: {reason}");
             }
-            reactor.finish(line);
+            reactor.finish(id);
         }
     }
 
-    /// A connection has ended.
-    pub fn closed(&mut self, line: Line, events: &mut Vec<WatcherEvent>) {
-        if self.remove(line) {
-            events.push(WatcherEvent::Closed(line));
+    /// A connection has closed.
+    pub fn on_closed(&mut self, id: Line, events: &mut Vec<WatcherEvent>) {
+        if self.remove(id) {
+            events.push(WatcherEvent::Closed(id));
         }
     }
 
-    fn close(&mut self, reactor: &mut Reactor, line: Line, events: &mut Vec<WatcherEvent>) {
-        reactor.close(line);
-        self.closed(line, events);
+    fn close(&mut self, reactor: &mut Reactor, id: Line, events: &mut Vec<WatcherEvent>) {
+        reactor.close(id);
+        self.on_closed(id, events);
     }
 
-    fn remove(&mut self, line: Line) -> bool {
-        let Some(connection) = self.connections.remove(&line) else { return false };
-        self.held -= connection.held;
+    fn remove(&mut self, id: Line) -> bool {
+        let Some(connection) = self.connections.remove(&id) else { return false };
+        self.buffered_bytes -= connection.buffered_bytes;
         true
     }
 
-    /// Closes those that are silent, and counts anew what is held. To be called about once a second.
-    pub fn sweep(&mut self, reactor: &mut Reactor, now: Duration, events: &mut Vec<WatcherEvent>) {
-        let silent: Vec<Line> =
-            self.connections.iter().filter(|(_, it)| now >= it.until).map(|(line, _)| *line).collect();
-        for line in silent {
-            telemetry::count_closed("silent");
-            self.close(reactor, line, events);
+    /// Closes silent connections and recounts the buffered bytes. To be called about once a second.
+    pub fn poll(&mut self, reactor: &mut Reactor, now: Duration, events: &mut Vec<WatcherEvent>) {
+        let silent: Vec<Line> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| now >= connection.expires_at)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in silent {
+            telemetry::count_closed_connection("silent");
+            self.close(reactor, id, events);
         }
-        for line in self.connections.keys().copied().collect::<Vec<_>>() {
-            self.account(reactor, line, events);
+        for id in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.update_buffered(reactor, id, events);
         }
     }
 }
 
+/// The label of a close reason in metrics.
 fn close_label(reason: CloseReason) -> &'static str {
     match reason {
         CloseReason::Full(_) => "full",
--- a/crates/relay/tests/it/rig.rs
+++ b/crates/relay/tests/it/harness.rs
@@ -1,4 +1,4 @@
-//! Several control machines as processes, with keys and settings in a folder of their own.
+//! Test harness: several control machines as processes, with keys and settings in a temporary folder.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -39,18 +39,19 @@
 
 pub const MACHINES: u16 = 5;
 pub const ACCEPTORS: [u16; 3] = [0, 1, 2];
-/// The author whose key each rig has.
+/// The author whose key each harness creates.
 pub const AUTHOR: u16 = 1;
 
-/// A process that was started listens within this: it reads a few small files, and makes its sockets.
-const LISTENS_WITHIN: Duration = Duration::from_secs(5);
-/// A tool that pushed a change learns within this what became of it, or that it is not known.
-pub const OUTCOME_WITHIN: Duration = Duration::from_secs(10);
-/// A change whose outcome was not known is pushed once more.
-const PUSHED_WITHIN: Duration = Duration::from_secs(2 * OUTCOME_WITHIN.as_secs());
-/// A change is in force within this: its outcome, two seconds for slow watchers, and a lease for a silent machine.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_secs(18);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// A started process reads a few small files and listens within this time.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// The tool that pushed a change reports the outcome within this time, or that it is unknown.
+pub const OUTCOME_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for two pushes: a change whose outcome is unknown is pushed once more.
+const PUSH_TIMEOUT: Duration = Duration::from_secs(2 * OUTCOME_TIMEOUT.as_secs());
+/// A change is in force within this time: its outcome, two seconds for slow watchers, and a lease for a silent machine.
+pub const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(18);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One control machine.
 struct Machine {
@@ -63,56 +64,63 @@
     process: Option<Child>,
 }
 
-/// The control machines of one play.
-pub struct Rig {
+/// The control machines of one test.
+pub struct Harness {
     machines: Vec<Machine>,
     pub proxy: Option<Proxy>,
     stalls: StallWatch,
-    /// Last, so that it is removed when nobody writes to it.
+    /// The last field, so that the folder is removed when nothing writes to it any more.
     folder: TempDir,
 }
 
-/// Plays of one process have loopback addresses of their own, so that a port that is free stays so.
-static PLAYS: AtomicU8 = AtomicU8::new(0);
+/// Number of harnesses created in this process. Each one uses its own loopback addresses, so that a port found free is not
+/// taken by another one.
+static HARNESS_COUNT: AtomicU8 = AtomicU8::new(0);
 
-impl Rig {
-    /// Machines whose streams go straight to each other. All are started.
+impl Harness {
+    /// Starts machines that connect directly to each other.
     pub fn new() -> Self {
-        Self::made(false)
+        Self::start_all(false)
     }
 
-    /// Machines whose streams go through a proxy.
-    pub fn proxied() -> Self {
-        Self::made(true)
+    /// Starts machines that connect to each other through a proxy.
+    pub fn with_proxy() -> Self {
+        Self::start_all(true)
     }
 
-    fn made(proxied: bool) -> Self {
+    fn start_all(proxied: bool) -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
+        let harness_number = HARNESS_COUNT.fetch_add(1, Ordering::Relaxed);
         let process = std::process::id();
         let ip = |machine: u16| {
             let (high, low) = ((process >> 8) as u8 % 250, process as u8);
-            IpAddr::from(Ipv4Addr::new(127, 1 + high, low, play.wrapping_mul(8) + machine as u8 + 1))
+            IpAddr::from(Ipv4Addr::new(
+                127,
+                1 + high,
+                low,
+                harness_number.wrapping_mul(8) + machine as u8 + 1,
+            ))
         };
         let machines: Vec<Machine> =
             (0..MACHINES).map(|number| Machine::new(folder.path(), number, ip(number))).collect();
-        let own: Vec<SocketAddr> = machines.iter().map(|machine| machine.peers).collect();
-        let proxy = proxied.then(|| Proxy::start(own.clone()));
+        let own_addresses: Vec<SocketAddr> = machines.iter().map(|machine| machine.peers).collect();
+        let proxy = proxied.then(|| Proxy::start(own_addresses.clone()));
         let stalls = StallWatch::start(folder.path());
-        let mut rig = Self { machines, proxy, stalls, folder };
-        rig.make_keys();
-        std::fs::write(rig.path("genesis.ini"), GENESIS).unwrap();
-        let reached = rig.proxy.as_ref().map_or(own.clone(), |proxy| proxy.reached.clone());
+        let mut harness = Self { machines, proxy, stalls, folder };
+        harness.make_keys();
+        std::fs::write(harness.path("genesis.ini"), GENESIS).unwrap();
+        let peer_addresses =
+            harness.proxy.as_ref().map_or(own_addresses.clone(), |proxy| proxy.proxy_addresses.clone());
         for number in 0..MACHINES {
-            rig.write_settings(number, &own, &reached);
+            harness.write_settings(number, &own_addresses, &peer_addresses);
         }
         for number in ACCEPTORS {
-            assert!(rig.verb(&["found", &rig.settings(number)]).status.success());
+            assert!(harness.verb(&["found", &harness.settings(number)]).status.success());
         }
-        (0..MACHINES).for_each(|number| rig.start(number));
-        (0..MACHINES).for_each(|number| rig.wait_for_listening(number));
-        rig.wait_for_peers();
-        rig
+        (0..MACHINES).for_each(|number| harness.start(number));
+        (0..MACHINES).for_each(|number| harness.wait_for_listening(number));
+        harness.wait_for_peers();
+        harness
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
@@ -138,18 +146,18 @@
         Ring::of(&Sheet::read(&self.path("ring.ini")).unwrap()).unwrap()
     }
 
-    /// Takes the author's key out of the ring.
+    /// Revokes the author's key in the ring file.
     pub fn revoke_author(&self) {
         let ring = std::fs::read_to_string(self.path("ring.ini")).unwrap();
         let (before, author) = ring.split_once(&format!("[author {AUTHOR}]\nkeys = ")).unwrap();
         let (key, after) = author.split_once('\n').unwrap();
         let revoked = format!("{before}[author {AUTHOR}]\nkeys =\nrevoked = {key}\n{after}");
-        let fresh = self.path("ring.fresh");
-        std::fs::write(&fresh, revoked).unwrap();
-        std::fs::rename(&fresh, self.path("ring.ini")).unwrap();
+        let temporary = self.path("ring.fresh");
+        std::fs::write(&temporary, revoked).unwrap();
+        std::fs::rename(&temporary, self.path("ring.ini")).unwrap();
     }
 
-    fn write_settings(&self, number: u16, own: &[SocketAddr], reached: &[SocketAddr]) {
+    fn write_settings(&self, number: u16, own_addresses: &[SocketAddr], peer_addresses: &[SocketAddr]) {
         let machine = &self.machines[usize::from(number)];
         let (state, watchers) = (machine.state.display(), machine.watchers);
         let (peers, metrics) = (machine.peers, machine.metrics);
@@ -157,8 +165,8 @@
             "[relay]\nnumber = {number}\nlisten = {watchers}\npeer_listen = {peers}\nstate = {state}\n\
              ring = ring.ini\nkey = member-{number}.key\ngenesis = genesis.ini\nmetrics = {metrics}\n[peers]\n"
         );
-        for (other, address) in reached.iter().enumerate() {
-            let address = if other == usize::from(number) { own[other] } else { *address };
+        for (other, address) in peer_addresses.iter().enumerate() {
+            let address = if other == usize::from(number) { own_addresses[other] } else { *address };
             text += &format!("{other} = {address}\n");
         }
         std::fs::write(&machine.settings, text).unwrap();
@@ -168,7 +176,7 @@
         self.machines[usize::from(number)].settings.display().to_string()
     }
 
-    /// Where a machine takes watchers and tools.
+    /// The address that a machine accepts watchers and tools at.
     pub fn relay(&self, number: u16) -> SocketAddr {
         self.machines[usize::from(number)].watchers
     }
@@ -188,7 +196,7 @@
         machine.process = Some(command.unwrap());
     }
 
-    /// Ends a machine at once, as a lost power supply does.
+    /// Kills a machine's process, as a power failure would.
     pub fn kill(&mut self, number: u16) {
         if let Some(mut process) = self.machines[usize::from(number)].process.take() {
             process.kill().unwrap();
@@ -196,7 +204,7 @@
         }
     }
 
-    /// Ends a machine in order, and tells how it ended.
+    /// Stops a machine with SIGTERM, and returns whether it exited successfully.
     pub fn stop(&mut self, number: u16) -> bool {
         self.signal(number, Signal::TERM);
         let mut process = self.machines[usize::from(number)].process.take().unwrap();
@@ -222,13 +230,13 @@
 
     pub fn wait_for_listening(&self, number: u16) {
         let relay = self.relay(number);
-        self.until(LISTENS_WITHIN, &format!("machine {number} listens"), || Client::connect(relay).is_ok());
+        self.until(START_TIMEOUT, &format!("machine {number} listens"), || Client::connect(relay).is_ok());
     }
 
-    /// Waits until each machine hears each other one.
+    /// Waits until each machine has a stream to each other one.
     fn wait_for_peers(&self) {
         let up = f64::from(MACHINES - 1);
-        self.until(LISTENS_WITHIN, "all machines hear each other", || {
+        self.until(START_TIMEOUT, "all machines are connected to each other", || {
             (0..MACHINES).all(|number| self.metric(number, "badgerledge_relay_peers") == Some(up))
         });
     }
@@ -251,20 +259,20 @@
     pub fn metrics(&self, number: u16) -> Option<String> {
         use std::io::{Read, Write};
         let address = self.machines[usize::from(number)].metrics;
-        let mut stream = std::net::TcpStream::connect_timeout(&address, LISTENS_WITHIN).ok()?;
-        stream.set_read_timeout(Some(LISTENS_WITHIN)).ok()?;
+        let mut stream = std::net::TcpStream::connect_timeout(&address, START_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(START_TIMEOUT)).ok()?;
         stream.write_all(b"GET /metrics HTTP/1.1\r\n\r\n").ok()?;
         let mut page = String::new();
         stream.read_to_string(&mut page).ok()?;
         Some(page)
     }
 
-    /// Runs one of the program's verbs.
+    /// Runs one of the operators' commands.
     pub fn verb(&self, arguments: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_badgerledge-relay")).args(arguments).output().unwrap()
     }
 
-    /// Pushes a change of the number of cells, with this sequence number: the exit code, and what was said.
+    /// Pushes a change of the number of cells, with this sequence number. Returns the exit code and the output.
     pub fn change(&self, relay: u16, base: &str, sequence: u64, cells: u32) -> (i32, String) {
         let file = self.path(&format!("change-{sequence}-{cells}.ini"));
         std::fs::write(&file, format!("[set fleet]\ncells = {cells}\n")).unwrap();
@@ -281,45 +289,47 @@
             &sequence.to_string(),
             &file.display().to_string(),
         ]);
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
-        (output.status.code().unwrap_or(-1), said + &String::from_utf8_lossy(&output.stderr))
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+        (output.status.code().unwrap_or(-1), stdout + &String::from_utf8_lossy(&output.stderr))
     }
 
-    /// Pushes a change until it is certified: with the same number, where its outcome is not known, as an operator is told to.
-    /// Tells what was said at last.
+    /// Pushes a change until it is certified. While the outcome is unknown, it is pushed again with the same number, as the
+    /// tool tells operators to. Returns the last output.
     pub fn push(&self, relay: u16, base: &str, sequence: u64, cells: u32) -> String {
         let mut last = String::new();
-        self.until(PUSHED_WITHIN, &format!("change {sequence} is certified"), || {
-            let (code, said) = self.change(relay, base, sequence, cells);
-            assert!(code == 0 || code == 3, "exit code {code}: {said}");
-            last = said;
+        self.until(PUSH_TIMEOUT, &format!("change {sequence} is certified"), || {
+            let (code, text) = self.change(relay, base, sequence, cells);
+            assert!(code == 0 || code == 3, "exit code {code}: {text}");
+            last = text;
             code == 0
         });
         last
     }
 
-    /// Waits until something is so. A bound that is missed while the machine stood still for as long makes the play void.
-    pub fn until(&self, bound: Duration, what: &str, mut so: impl FnMut() -> bool) {
-        let (begun, stalled) = (Instant::now(), self.stalls.stalled());
+    /// Waits until a condition holds. Missing the bound is a failure, unless the machine stalled for at least as long: then the
+    /// run is reported as void.
+    pub fn until(&self, bound: Duration, description: &str, mut condition: impl FnMut() -> bool) {
+        let (started_at, stalled_before) = (Instant::now(), self.stalls.stalled());
         loop {
-            let is_so = so();
-            let stalled = self.stalls.stalled() - stalled;
-            match judge(begun.elapsed(), bound, stalled) {
-                Verdict::Met if is_so => return,
-                Verdict::Void if is_so => {
-                    println!("VOID: {what}: {:?} where {bound:?}; stood still {stalled:?}", begun.elapsed());
-                    eprintln!("VOID: {what}: the bound says nothing, since this machine stood still");
+            let holds = condition();
+            let stalled = self.stalls.stalled() - stalled_before;
+            match judge(started_at.elapsed(), bound, stalled) {
+                Verdict::Met if holds => return,
+                Verdict::Void if holds => {
+                    println!("VOID: {description}: took {:?} instead of {bound:?}; this machine stalled for {stalled:?}",
+                        started_at.elapsed());
+                    eprintln!("VOID: {description}: the bound proves nothing, because this machine stalled");
                     return;
                 }
-                Verdict::Missed => panic!("{what}: not within {bound:?}\n{}", self.all_logs()),
-                Verdict::Met | Verdict::Void => std::thread::sleep(LOOK_EVERY),
+                Verdict::Missed => panic!("{description}: not within {bound:?}\n{}", self.all_logs()),
+                Verdict::Met | Verdict::Void => std::thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// Waits until all running machines act on a revision.
+    /// Waits until a revision is active on all running machines.
     pub fn wait_for_active(&self, number: u32) {
-        self.until(IN_FORCE_WITHIN, &format!("revision {number} is in force at all machines"), || {
+        self.until(IN_FORCE_TIMEOUT, &format!("revision {number} is in force at all machines"), || {
             let running = (0..MACHINES).filter(|at| self.machines[usize::from(*at)].process.is_some());
             running.into_iter().all(|at| self.status(at).is_some_and(|status| status.active >= number))
         });
@@ -331,7 +341,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         for machine in &mut self.machines {
             if let Some(mut process) = machine.process.take() {
--- a/crates/relay/tests/it/main.rs
+++ b/crates/relay/tests/it/main.rs
@@ -1,10 +1,10 @@
-//! Control machines as processes on loopback, with scripted watchers and the operators' verbs.
+//! Integration tests: control machines as processes on loopback, with test watchers and the operators' commands.
 
 mod changes;
 mod faults;
 mod frames;
+mod harness;
 mod proxy;
-mod rig;
 mod stall;
 mod verbs;
 mod watcher;
--- a/crates/relay/tests/it/proxy.rs
+++ b/crates/relay/tests/it/proxy.rs
@@ -1,4 +1,4 @@
-//! The network between control machines: a thread that hands on what goes between them, and can be told to cut a way.
+//! The network between control machines: a thread that forwards their streams and can block some directions.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -8,71 +8,77 @@
 use badgerledge_reactor::Reactor;
 use badgerledge_ways::{End, Way, Ways};
 
-/// The thread looks for orders this often.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// The thread checks for commands at this interval.
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-enum Order {
-    Cut(Vec<End>, Vec<End>),
+enum ProxyCommand {
+    /// Block the links from some machines to others.
+    Block(Vec<End>, Vec<End>),
+    /// Unblock all links.
     Heal,
-    End,
+    Stop,
 }
 
+/// The proxy thread.
 pub struct Proxy {
-    /// Where each machine is reached through it.
-    pub reached: Vec<SocketAddr>,
-    orders: Sender<Order>,
+    /// The address at which the proxy accepts streams to each machine.
+    pub proxy_addresses: Vec<SocketAddr>,
+    commands: Sender<ProxyCommand>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Proxy {
-    /// For machines that are at these addresses themselves.
-    pub fn start(own: Vec<SocketAddr>) -> Self {
-        let (orders, taken) = channel();
-        let (told, reached) = channel();
-        let thread = std::thread::spawn(move || run(&own, &taken, &told));
-        Self { reached: reached.recv().unwrap(), orders, thread: Some(thread) }
+    /// Starts a proxy for machines that listen at these addresses.
+    pub fn start(machine_addresses: Vec<SocketAddr>) -> Self {
+        let (commands, command_receiver) = channel();
+        let (address_sender, addresses) = channel();
+        let thread = std::thread::spawn(move || run(&machine_addresses, &command_receiver, &address_sender));
+        Self { proxy_addresses: addresses.recv().unwrap(), commands, thread: Some(thread) }
     }
 
-    /// Nothing passes from some machines to others; what goes back passes.
+    /// Blocks the links from some machines to others; the reverse direction stays open.
     pub fn cut(&self, from: &[End], to: &[End]) {
-        self.orders.send(Order::Cut(from.to_vec(), to.to_vec())).unwrap();
+        self.commands.send(ProxyCommand::Block(from.to_vec(), to.to_vec())).unwrap();
     }
 
+    /// Unblocks all links.
     pub fn heal(&self) {
-        self.orders.send(Order::Heal).unwrap();
+        self.commands.send(ProxyCommand::Heal).unwrap();
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        let _ = self.orders.send(Order::End);
+        let _ = self.commands.send(ProxyCommand::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn run(own: &[SocketAddr], orders: &Receiver<Order>, told: &Sender<Vec<SocketAddr>>) {
-    let usual = Way { loss: 0.0, late: Duration::ZERO, spread: Duration::ZERO, ..Way::default() };
+fn run(
+    machine_addresses: &[SocketAddr], commands: &Receiver<ProxyCommand>, addresses: &Sender<Vec<SocketAddr>>,
+) {
+    let link_defaults = Way { loss: 0.0, late: Duration::ZERO, spread: Duration::ZERO, ..Way::default() };
     let mut reactor = Reactor::new(Duration::from_secs(1)).unwrap();
-    let mut ways = Ways::new(&mut reactor, own, usual, 1).unwrap();
-    told.send((0..own.len()).map(|end| ways.reached(end)).collect()).unwrap();
-    let mut happenings = Vec::new();
+    let mut links = Ways::new(&mut reactor, machine_addresses, link_defaults, 1).unwrap();
+    addresses.send((0..machine_addresses.len()).map(|end| links.reached(end)).collect()).unwrap();
+    let mut events = Vec::new();
     loop {
-        let look = reactor.clock() + LOOK_EVERY;
-        let until = ways.next_due().map_or(look, |due| due.min(look));
-        reactor.wait(Some(until), &mut happenings).unwrap();
+        let next_check = reactor.clock() + COMMAND_POLL_INTERVAL;
+        let wake_at = links.next_due().map_or(next_check, |due| due.min(next_check));
+        reactor.wait(Some(wake_at), &mut events).unwrap();
         let now = reactor.now();
-        for happening in happenings.drain(..) {
-            ways.take(&mut reactor, now, &happening);
+        for event in events.drain(..) {
+            links.take(&mut reactor, now, &event);
         }
-        ways.tend(&mut reactor, now);
+        links.tend(&mut reactor, now);
         reactor.flush();
-        while let Ok(order) = orders.try_recv() {
-            match order {
-                Order::Cut(from, to) => ways.strike(&from, &to, |way| way.cut = true),
-                Order::Heal => ways.heal(),
-                Order::End => return,
+        while let Ok(command) = commands.try_recv() {
+            match command {
+                ProxyCommand::Block(from, to) => links.strike(&from, &to, |link| link.cut = true),
+                ProxyCommand::Heal => links.heal(),
+                ProxyCommand::Stop => return,
             }
         }
     }
--- a/crates/relay/tests/it/stall.rs
+++ b/crates/relay/tests/it/stall.rs
@@ -1,5 +1,5 @@
-//! Bounds of time come from the protocol. Where this machine itself, or its disk, stood still meanwhile, a missed one says
-//! nothing: the play is void, and says so.
+//! Detects stalls of the test machine. The tests' time bounds come from the protocol, so a bound that is missed while this
+//! machine or its disk stalled proves nothing: such a run is reported as void.
 
 use std::fs::File;
 use std::io::Write;
@@ -9,72 +9,73 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The watch looks up this often.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// The disk is probed this often.
-const PROBE_EVERY: Duration = Duration::from_millis(200);
-/// Looking up so late is a stall: all timers of the protocol have slack for less.
-const STALL: Duration = Duration::from_millis(500);
+/// Interval of the processor check.
+const PROCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between writes that check the disk.
+const DISK_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A check that is late by at least this is a stall: the protocol's timers tolerate less.
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// What a span of time says.
+/// The result of comparing a duration with its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Met,
-    /// Missed, and the machine stood still for at least as long as it was missed by.
+    /// Missed, but by no more than the time that the machine stalled.
     Void,
     Missed,
 }
 
-/// Judges how long something took, while the machine stood still for `stalled` in all.
-pub fn judge(took: Duration, bound: Duration, stalled: Duration) -> Verdict {
-    match took {
-        took if took <= bound => Verdict::Met,
-        took if took <= bound + stalled => Verdict::Void,
+/// Compares a duration with its bound, when the machine stalled for `stalled` in total meanwhile.
+pub fn judge(elapsed: Duration, bound: Duration, stalled: Duration) -> Verdict {
+    match elapsed {
+        elapsed if elapsed <= bound => Verdict::Met,
+        elapsed if elapsed <= bound + stalled => Verdict::Void,
         _ => Verdict::Missed,
     }
 }
 
-/// Adds up for how long this process got no processor, or a file of some bytes was not on the disk.
+/// Measures for how long in total this process got no processor time, or writes of a small file did not reach the disk.
 pub struct StallWatch {
     stalled_ms: Arc<AtomicU64>,
-    ends: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl StallWatch {
-    /// Watches the processor, and the disk that has this folder.
+    /// Starts watching the processor, and the disk that holds this folder.
     pub fn start(folder: &Path) -> Self {
-        let (stalled_ms, ends) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
+        let (stalled_ms, stop_requested) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
         let probe: PathBuf = folder.join("probe");
         let watch = |expected: Duration, act: Box<dyn Fn() + Send>| {
-            let (sum, stop) = (stalled_ms.clone(), ends.clone());
+            let (sum, stop) = (stalled_ms.clone(), stop_requested.clone());
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    let before = Instant::now();
+                    let started_at = Instant::now();
                     act();
-                    let late = before.elapsed().saturating_sub(expected);
-                    if late >= STALL {
-                        sum.fetch_add(late.as_millis() as u64, Ordering::Relaxed);
+                    let delay = started_at.elapsed().saturating_sub(expected);
+                    if delay >= STALL_THRESHOLD {
+                        sum.fetch_add(delay.as_millis() as u64, Ordering::Relaxed);
                     }
                 }
             })
         };
         let threads = vec![
-            watch(LOOK_EVERY, Box::new(|| std::thread::sleep(LOOK_EVERY))),
-            watch(PROBE_EVERY, Box::new(move || probe_disk(&probe))),
+            watch(PROCESSOR_CHECK_INTERVAL, Box::new(|| std::thread::sleep(PROCESSOR_CHECK_INTERVAL))),
+            watch(DISK_CHECK_INTERVAL, Box::new(move || probe_disk(&probe))),
         ];
-        Self { stalled_ms, ends, threads }
+        Self { stalled_ms, stop_requested, threads }
     }
 
-    /// For how long the machine stood still since the start.
+    /// Total time that the machine stalled since the start.
     pub fn stalled(&self) -> Duration {
         Duration::from_millis(self.stalled_ms.load(Ordering::Relaxed))
     }
 }
 
+/// Waits for the interval, then writes and syncs a small file.
 fn probe_disk(probe: &Path) {
-    std::thread::sleep(PROBE_EVERY);
-    // A folder that is just being removed has none.
+    std::thread::sleep(DISK_CHECK_INTERVAL);
+    // The file cannot be created while the folder is being removed.
     if let Ok(mut file) = File::create(probe) {
         let _ = file.write_all(b"probe").and_then(|()| file.sync_all());
     }
@@ -82,7 +83,7 @@
 
 impl Drop for StallWatch {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop_requested.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_missed_bound_is_void_only_for_as_long_as_the_machine_stood_still() {
+fn a_missed_bound_is_void_only_up_to_the_length_of_the_stall() {
     let seconds = Duration::from_secs;
     assert_eq!(judge(seconds(9), seconds(10), seconds(0)), Verdict::Met);
     assert_eq!(judge(seconds(11), seconds(10), seconds(0)), Verdict::Missed);
--- a/crates/revision_tool/src/client.rs
+++ b/crates/revision_tool/src/client.rs
@@ -1,4 +1,4 @@
-//! One controller's stream of orders.
+//! A connection to one controller's interface for revision requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,64 +8,89 @@
 use badgerledge_revisions::requests::{self, Report, Request, Response, MAX_LINE_BYTES};
 use badgerledge_revisions::MAX_TEXT_BYTES;
 
-/// A controller answers within a round; a text of the longest kind takes well under this on any network in use.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Bounds connecting and each read and write. A controller answers within one round of its loop, and a text of the
+/// maximum length takes well under this on any network in use.
+const IO_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// A blocking connection that sends requests to a controller one at a time.
 pub struct Client {
-    at: SocketAddr,
+    address: SocketAddr,
     stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn connect(at: SocketAddr) -> Result<Self> {
-        let stream =
-            TcpStream::connect_timeout(&at, PATIENCE).with_context(|| format!("controller at {at}"))?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.set_write_timeout(Some(PATIENCE))?;
-        Ok(Self { at, stream: BufReader::new(stream) })
+    /// Connects to the controller whose gossip listens at this address.
+    ///
+    /// # Errors
+    /// If the controller does not accept the connection in time.
+    pub fn connect(address: SocketAddr) -> Result<Self> {
+        let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)
+            .with_context(|| format!("controller at {address}"))?;
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        stream.set_write_timeout(Some(IO_TIMEOUT))?;
+        Ok(Self { address, stream: BufReader::new(stream) })
     }
 
-    /// Asks, with a text behind it, and takes the answer with the bytes behind that.
-    pub fn ask(&mut self, order: &Request, text: &[u8]) -> Result<(Response, Vec<u8>)> {
-        let at = self.at;
-        let out = self.stream.get_mut();
-        out.write_all(&requests::encode_line(order))
-            .and_then(|()| out.write_all(text))
-            .with_context(|| format!("{at}"))?;
+    /// Sends a request followed by `text`, and returns the response with the bytes that follow it.
+    ///
+    /// # Errors
+    /// If the connection fails or ends early, or the response cannot be parsed.
+    pub fn ask(&mut self, request: &Request, text: &[u8]) -> Result<(Response, Vec<u8>)> {
+        let address = self.address;
+        let output = self.stream.get_mut();
+        output
+            .write_all(&requests::encode_line(request))
+            .and_then(|()| output.write_all(text))
+            .with_context(|| format!("{address}: the request could not be sent"))?;
         let mut line = Vec::new();
-        let mut head = (&mut self.stream).take(MAX_LINE_BYTES as u64 + 1);
-        head.read_until(b'\n', &mut line).with_context(|| format!("{at}: no answer"))?;
-        let told = requests::parse_line::<Response>(&line)
+        let mut limited_stream = (&mut self.stream).take(MAX_LINE_BYTES as u64 + 1);
+        limited_stream.read_until(b'\n', &mut line).with_context(|| format!("{address}: no response"))?;
+        let parsed = requests::parse_line::<Response>(&line)
             .map_err(anyhow::Error::msg)
-            .with_context(|| format!("{at}"))?;
-        let Some((answer, _)) = told else { bail!("{at}: the connection ended before an answer") };
-        let count = if let Response::Bytes(count) = answer { count.min(MAX_TEXT_BYTES) } else { 0 };
-        let mut bytes = vec![0; count];
-        self.stream.read_exact(&mut bytes).with_context(|| format!("{at}: a text that ended early"))?;
-        Ok((answer, bytes))
+            .with_context(|| format!("{address}: invalid response"))?;
+        let Some((response, _)) = parsed else { bail!("{address}: connection closed before a response") };
+        let length = if let Response::Bytes(length) = response { length.min(MAX_TEXT_BYTES) } else { 0 };
+        let mut bytes = vec![0; length];
+        self.stream
+            .read_exact(&mut bytes)
+            .with_context(|| format!("{address}: connection closed before all {length} bytes of the text"))?;
+        Ok((response, bytes))
     }
 
+    /// The controller's status report.
+    ///
+    /// # Errors
+    /// If the request fails or the response is not a status.
     pub fn status(&mut self) -> Result<Report> {
         match self.ask(&Request::Status, &[])? {
             (Response::Status(report), _) => Ok(*report),
-            (other, _) => bail!("{}: no status but {other:?}", self.at),
+            (other, _) => bail!("{}: expected a status, got {other:?}", self.address),
         }
     }
 
-    /// The text that it acts on.
+    /// The text of the revision that the controller acts on.
+    ///
+    /// # Errors
+    /// If the request fails or the response is not a UTF-8 text.
     pub fn active(&mut self) -> Result<String> {
-        self.text(&Request::Active)
+        self.request_text(&Request::Active)
     }
 
-    /// The text of the highest certified revision: a change that is not acted on yet must not be lost by the next.
+    /// The text of the highest certified revision. The next change is based on it, so that a change that is certified but
+    /// not active yet is not lost.
+    ///
+    /// # Errors
+    /// If the request fails or the response is not a UTF-8 text.
     pub fn latest(&mut self) -> Result<String> {
-        self.text(&Request::Latest)
+        self.request_text(&Request::Latest)
     }
 
-    fn text(&mut self, order: &Request) -> Result<String> {
-        match self.ask(order, &[])? {
-            (Response::Bytes(_), text) => String::from_utf8(text).with_context(|| format!("{}", self.at)),
-            (other, _) => bail!("{}: no text but {other:?}", self.at),
+    fn request_text(&mut self, request: &Request) -> Result<String> {
+        match self.ask(request, &[])? {
+            (Response::Bytes(_), text) => {
+                String::from_utf8(text).with_context(|| format!("{}: the text is not UTF-8", self.address))
+            }
+            (other, _) => bail!("{}: expected a text, got {other:?}", self.address),
         }
     }
 }
