--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -1,4 +1,5 @@
-//! `badgerledge-revision`: checks, compares, pushes and watches revisions of the shared settings.
+//! The `badgerledge-revision` command line tool: checks, compares and pushes revisions of the shared settings, and shows
+//! their status on controllers.
 
 mod client;
 
@@ -24,12 +25,12 @@
 
 /// Revisions of the settings that all controllers share.
 ///
-/// Exit codes: 0 done; 1 something was wrong on the way; 2 refused, and nothing has changed; 3 certified or pushed, and
-/// not acted on in the time given.
+/// Exit codes: 0 success; 1 error; 2 refused, nothing has changed; 3 pushed or certified, but not active within the time
+/// given.
 #[derive(Parser)]
 #[command(name = "badgerledge-revision", version)]
 struct Command {
-    /// A line of JSON for each thing said
+    /// Print one line of JSON per result instead of text
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -38,39 +39,40 @@
 
 #[derive(Subcommand)]
 enum What {
-    /// Says whether a file's shared sections are in order, and their digest
+    /// Validates a file's shared sections and prints their digest
     Check {
         file: PathBuf,
-        /// A file of titles that goes with it, where the titles go with revisions
+        /// The file of titles to include, where titles are part of revisions
         #[arg(long)]
         catalogue: Option<PathBuf>,
     },
-    /// Says what changes from one file to another, or from what a controller acts on
+    /// Shows the changes from one file to another, or from the active revision of a controller
     Diff {
-        /// The file that counts now
+        /// The current file
         #[arg(required_unless_present = "at")]
         from: Option<PathBuf>,
-        /// The file that is to count
+        /// The new file
         #[arg(long)]
         to: PathBuf,
-        /// Take what the controller at this address acts on as what counts now
+        /// Compare with the active revision of the controller at this address instead of a file
         #[arg(long, conflicts_with = "from")]
         at: Option<SocketAddr>,
-        /// A file of titles that goes with the one that is to count
+        /// The file of titles to include in the new file
         #[arg(long)]
         catalogue: Option<PathBuf>,
     },
-    /// Makes a file's shared sections the next revision, and waits until they are acted on
+    /// Pushes a file's shared sections as the next revision, and waits until it is active
     Push(Push),
-    /// The same with the file that counted before: going back is a new number
+    /// Pushes an earlier file: a rollback is a new revision with a new number
     Back(Push),
-    /// Says what controllers act on, who is waited for, and who holds back
+    /// Shows each controller's active revision, the members it waits for, and whether it holds back new joins
     Status {
-        /// Where they take orders: the address of their gossip
+        /// The gossip address of each controller, which also takes requests
         #[arg(required = true)]
         at: Vec<SocketAddr>,
     },
-    /// Says that a member is off for good, so that no change waits for it; what it acts on, if it is not, is not bounded
+    /// Removes a member for good, so that no change waits for it. If it still runs, nothing bounds how long it acts on an
+    /// old revision
     Force {
         #[arg(long)]
         at: SocketAddr,
@@ -79,72 +81,78 @@
         /// The member's number
         #[arg(long)]
         gone: Member,
-        /// It is there again, and waited for
+        /// Restore the member: changes wait for it again
         #[arg(long)]
         back: bool,
     },
-    /// Makes the state of a keeper that was never there, in its state folder
+    /// Creates the initial state of a new acceptor in its state folder
     Found { state: PathBuf },
 }
 
+/// Arguments of `push` and `back`.
 #[derive(clap::Args)]
 pub struct Push {
-    /// A controller that takes orders: the address of its gossip
+    /// The gossip address of a controller, which also takes requests
     #[arg(long)]
     pub at: SocketAddr,
     /// The author's private key
     #[arg(long)]
     pub key: PathBuf,
-    /// An INI file with all shared sections, and where the titles go with revisions all titles; others are passed over
+    /// An INI file with all shared sections, and with all titles where titles are part of revisions; other sections are
+    /// ignored
     pub file: PathBuf,
-    /// A file of titles that goes with it
+    /// The file of titles to include
     #[arg(long)]
     pub catalogue: Option<PathBuf>,
-    /// How long to wait until that controller acts on it, in seconds; 0 does not wait
+    /// How long to wait until the revision is active on that controller, in seconds; 0 does not wait
     #[arg(long, default_value_t = 60)]
     pub wait: u64,
 }
 
+/// Exit code: the command succeeded.
 pub const DONE: u8 = 0;
+/// Exit code: refused, and nothing has changed.
 pub const REFUSED: u8 = 2;
+/// Exit code: pushed or certified, but not active within the time given.
 pub const NOT_YET: u8 = 3;
 
-/// Runs the program on these arguments, the first of them its name.
+/// Runs the program with these arguments; the first one is the program name.
 pub fn main_with(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let command = Command::parse_from(arguments);
-    match carry_out(command.what, &Voice { json: command.json }) {
+    match run(command.what, &Voice { json: command.json }) {
         Ok(code) => ExitCode::from(code),
-        Err(fault) => {
-            eprintln!("badgerledge-revision: {fault:#}");
+        Err(error) => {
+            eprintln!("badgerledge-revision: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// How things are said.
+/// Where results go: standard output, as text or as JSON.
 pub struct Voice {
+    /// Print JSON lines instead of text.
     pub json: bool,
 }
 
 impl Voice {
-    fn say(&self, line: serde_json::Value, text: &str) {
+    fn print(&self, json_line: serde_json::Value, text: &str) {
         if self.json {
-            println!("{line}");
+            println!("{json_line}");
         } else {
             println!("{text}");
         }
     }
 }
 
-fn carry_out(what: What, voice: &Voice) -> Result<u8> {
+fn run(what: What, output: &Voice) -> Result<u8> {
     match what {
         What::Check { file, catalogue } => {
             let text = canonical(&read(&file, catalogue.as_deref())?);
-            let of = hex::encode(digest(text.as_bytes()));
+            let digest_hex = hex::encode(digest(text.as_bytes()));
             let (path, bytes) = (file.display().to_string(), text.len());
-            voice.say(
-                json!({"file": path, "bytes": bytes, "digest": of}),
-                &format!("{path}: in order, {bytes} bytes, {of}"),
+            output.print(
+                json!({"file": path, "bytes": bytes, "digest": digest_hex}),
+                &format!("{path}: valid, {bytes} bytes, digest {digest_hex}"),
             );
             Ok(DONE)
         }
@@ -152,29 +160,32 @@
             let from = match (from, at) {
                 (Some(from), _) => read(&from, None)?,
                 (None, Some(at)) => Sheet::parse(&at.to_string(), &Client::connect(at)?.active()?)?,
-                (None, None) => bail!("a file or --at is wanted"),
+                (None, None) => bail!("a file or --at is required"),
             };
-            tell_changes(&changes(&from, &read(&to, catalogue.as_deref())?), voice);
+            print_changes(&changes(&from, &read(&to, catalogue.as_deref())?), output);
             Ok(DONE)
         }
-        What::Push(told) | What::Back(told) => push(&told, voice),
+        What::Push(arguments) | What::Back(arguments) => push(&arguments, output),
         What::Status { at } => {
-            for at in at {
-                tell_status(at, &Client::connect(at)?.status()?, voice);
+            for address in at {
+                print_status(address, &Client::connect(address)?.status()?, output);
             }
             Ok(DONE)
         }
-        What::Force { at, key, gone, back } => force(at, &key, gone, !back, voice),
+        What::Force { at, key, gone, back } => force(at, &key, gone, !back, output),
         What::Found { state } => {
             badgerledge_controller::revising::create_state(&state)?;
             let path = state.display().to_string();
-            voice.say(json!({"founded": path}), &format!("{path}: a keeper's state, with nothing signed"));
+            output.print(
+                json!({"founded": path}),
+                &format!("{path}: created the state of a new acceptor, which has signed nothing"),
+            );
             Ok(DONE)
         }
     }
 }
 
-/// A file whose shared sections are in order, with its titles or those of another file.
+/// Reads and validates a file's shared sections, with its own titles or those of another file.
 fn read(file: &Path, catalogue: Option<&Path>) -> Result<Sheet> {
     let mut sheet = Sheet::read(file)?;
     if let Some(titles) = catalogue {
@@ -185,162 +196,174 @@
     Ok(sheet)
 }
 
-fn author(key: &Path) -> Result<(PrivateKey, Member)> {
+/// Reads an author's private key.
+fn read_author_key(key: &Path) -> Result<(PrivateKey, Member)> {
     let private = PrivateKey::read(key)?;
     match private.role() {
         Role::Author(author) => Ok((private, author)),
-        role => bail!("{}: the key of {role}; revisions are signed by an author", key.display()),
+        role => bail!("{}: this is the key of {role}, but revisions are signed by an author", key.display()),
     }
 }
 
-/// Makes a file's shared sections the next revision.
+/// Pushes a file's shared sections as the next revision and returns the exit code.
 ///
 /// # Errors
-/// Where the key, the file or the controller is not in order; what the controller refuses is an exit code.
-pub fn push(told: &Push, voice: &Voice) -> Result<u8> {
-    let (private, author) = author(&told.key)?;
-    let sheet = read(&told.file, told.catalogue.as_deref())?;
+/// If the key or the file is invalid, or the controller cannot be reached. A refusal by the controller is an exit code.
+pub fn push(arguments: &Push, output: &Voice) -> Result<u8> {
+    let (private, author) = read_author_key(&arguments.key)?;
+    let sheet = read(&arguments.file, arguments.catalogue.as_deref())?;
     let text = canonical(&sheet);
-    let mut client = Client::connect(told.at)?;
+    let mut client = Client::connect(arguments.at)?;
     let latest = Sheet::parse("certified", &client.latest()?)?;
-    let found = changes(&latest, &sheet);
-    tell_changes(&found, voice);
-    if found.is_empty() {
+    let changes = changes(&latest, &sheet);
+    print_changes(&changes, output);
+    if changes.is_empty() {
         return Ok(DONE);
     }
-    let before = client.status()?;
-    let follows = hex::decode(&before.digest).ok().and_then(|of| of.try_into().ok()).context("a digest")?;
-    let head = Head::new(before.certified + 1, follows, author, text.as_bytes());
+    let status = client.status()?;
+    let predecessor = hex::decode(&status.digest)
+        .ok()
+        .and_then(|bytes| bytes.try_into().ok())
+        .context("invalid digest in the controller's status")?;
+    let head = Head::new(status.certified + 1, predecessor, author, text.as_bytes());
     let signed = Signed { head, signature: private.sign(&head.signed_bytes()) };
-    let order = Request::Push { head: requests::to_hex(&signed), bytes: text.len() };
-    let begun = Instant::now();
-    match client.ask(&order, text.as_bytes())? {
+    let request = Request::Push { head: requests::to_hex(&signed), bytes: text.len() };
+    let pushed_at = Instant::now();
+    match client.ask(&request, text.as_bytes())? {
         (Response::Taken, _) => {}
-        (Response::Refused(why), _) => {
-            voice.say(json!({"refused": why}), &format!("refused: {why}"));
+        (Response::Refused(reason), _) => {
+            output.print(json!({"refused": reason}), &format!("refused: {reason}"));
             return Ok(REFUSED);
         }
-        (other, _) => bail!("{}: answers {other:?}", told.at),
+        (other, _) => bail!("{}: unexpected response to the push: {other:?}", arguments.at),
     }
     let number = head.number;
-    voice.say(json!({"pushed": number}), &format!("revision {number} is pushed"));
-    wait_for(&mut client, told, &signed, begun, voice)
+    output.print(json!({"pushed": number}), &format!("pushed revision {number}"));
+    wait_until_active(&mut client, arguments, &signed, pushed_at, output)
 }
 
-/// Waits until the controller acts on it, saying who is waited for.
-fn wait_for(client: &mut Client, told: &Push, signed: &Signed, begun: Instant, voice: &Voice) -> Result<u8> {
-    let (number, ours) = (signed.head.number, hex::encode(signed.head.digest()));
-    let mut said = None;
-    while begun.elapsed() < Duration::from_secs(told.wait) {
+/// Waits until the revision is active on the controller, and prints which members it waits for.
+fn wait_until_active(
+    client: &mut Client, arguments: &Push, signed: &Signed, pushed_at: Instant, output: &Voice,
+) -> Result<u8> {
+    let (number, own_digest) = (signed.head.number, hex::encode(signed.head.digest()));
+    let mut last_progress = None;
+    while pushed_at.elapsed() < Duration::from_secs(arguments.wait) {
         let status = client.status()?;
-        if status.certified == number && status.digest != ours {
-            let why = format!("another revision was certified as {number}");
-            voice.say(json!({"refused": why}), &format!("refused: {why}"));
+        if status.certified == number && status.digest != own_digest {
+            let reason = format!("another revision was certified as {number}");
+            output.print(json!({"refused": reason}), &format!("refused: {reason}"));
             return Ok(REFUSED);
         }
         if status.active >= number {
-            let ms = begun.elapsed().as_millis() as u64;
-            voice.say(
+            let ms = pushed_at.elapsed().as_millis() as u64;
+            output.print(
                 json!({"active": number, "ms": ms}),
-                &format!("revision {number} is acted on, after {ms} ms"),
+                &format!("revision {number} is active after {ms} ms"),
             );
             return Ok(DONE);
         }
-        let now = (status.certified >= number, status.waited_for);
-        if said.as_ref() != Some(&now) {
-            let (certified, waited_for) = &now;
+        let progress = (status.certified >= number, status.waited_for);
+        if last_progress.as_ref() != Some(&progress) {
+            let (certified, waited_for) = &progress;
             let text = match certified {
-                true => format!("certified; waits for {waited_for:?}"),
-                false => "waits for the keepers".to_owned(),
+                true => format!("certified; waiting for members {waited_for:?}"),
+                false => "waiting for the acceptors to certify it".to_owned(),
             };
-            voice.say(json!({"certified": certified, "waited_for": waited_for}), &text);
-            said = Some(now);
+            output.print(json!({"certified": certified, "waited_for": waited_for}), &text);
+            last_progress = Some(progress);
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    if told.wait > 0 {
-        voice.say(
+    if arguments.wait > 0 {
+        output.print(
             json!({"not_yet": number}),
-            &format!("revision {number} is not acted on yet; `status` says who is waited for"),
+            &format!("revision {number} is not active yet; `status` shows which members it waits for"),
         );
         return Ok(NOT_YET);
     }
     Ok(DONE)
 }
 
-fn force(at: SocketAddr, key: &Path, member: Member, gone: bool, voice: &Voice) -> Result<u8> {
-    let (private, author) = author(key)?;
-    // Later than all words before it, by this operator's clock: one that is behind is refused, and says so.
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
-    let mut word =
-        MemberRemoval { member, sequence: since.as_secs() as u32, removed: gone, author, signature: [0; 64] };
-    word.signature = private.sign(&word.signed_bytes());
-    match Client::connect(at)?.ask(&Request::Gone { gone: requests::to_hex(&word) }, &[])? {
+/// Removes a member from those that changes wait for, or restores it.
+fn force(at: SocketAddr, key: &Path, member: Member, removed: bool, output: &Voice) -> Result<u8> {
+    let (private, author) = read_author_key(key)?;
+    // The sequence number is this machine's clock in seconds, so that it exceeds that of earlier statements. With a clock
+    // that is behind, the statement is refused with that reason.
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
+    let mut removal =
+        MemberRemoval { member, sequence: since_epoch.as_secs() as u32, removed, author, signature: [0; 64] };
+    removal.signature = private.sign(&removal.signed_bytes());
+    match Client::connect(at)?.ask(&Request::Gone { gone: requests::to_hex(&removal) }, &[])? {
         (Response::Taken, _) => {
-            let how = if gone { "is waited for no more" } else { "is waited for" };
-            voice.say(json!({"member": member, "gone": gone}), &format!("member {member} {how}"));
+            let effect = if removed {
+                "is removed: no change waits for it"
+            } else {
+                "is restored: changes wait for it"
+            };
+            output.print(json!({"member": member, "gone": removed}), &format!("member {member} {effect}"));
             Ok(DONE)
         }
-        (Response::Refused(why), _) => {
-            voice.say(json!({"refused": why}), &format!("refused: {why}"));
+        (Response::Refused(reason), _) => {
+            output.print(json!({"refused": reason}), &format!("refused: {reason}"));
             Ok(REFUSED)
         }
-        (other, _) => bail!("{at}: answers {other:?}"),
+        (other, _) => bail!("{at}: unexpected response to the removal: {other:?}"),
     }
 }
 
-fn tell_changes(found: &[Change], voice: &Voice) {
-    if found.is_empty() {
-        voice.say(json!({"changes": 0}), "nothing changes");
+fn print_changes(changes: &[Change], output: &Voice) {
+    if changes.is_empty() {
+        output.print(json!({"changes": 0}), "no changes");
     }
-    for change in found {
+    for change in changes {
         let Change { section, key, from, to, kind } = change;
         let (kind, effect) = effect(*kind);
-        let shown = |value: &Option<String>| value.clone().unwrap_or_else(|| "(not given)".to_owned());
-        voice.say(
+        let display = |value: &Option<String>| value.clone().unwrap_or_else(|| "(unset)".to_owned());
+        output.print(
             json!({"section": section, "key": key, "from": from, "to": to, "kind": kind, "effect": effect}),
-            &format!("[{section}] {key}: {} to {}, {kind}: {effect}", shown(from), shown(to)),
+            &format!("[{section}] {key}: {} to {}, {kind}: {effect}", display(from), display(to)),
         );
     }
 }
 
-/// A kind's name, and what a change of such a key will do.
+/// The name of a kind of setting, and how a change of such a setting takes effect.
 fn effect(kind: Kind) -> (&'static str, &'static str) {
     match kind {
-        Kind::Free => ("free", "each acts on it once it has it"),
-        Kind::Exclusive => ("exclusive", "nobody acts on it before all that are not excused have it"),
+        Kind::Free => ("free", "each controller applies it on receipt"),
+        Kind::Exclusive => ("exclusive", "no controller applies it before all members, except excused ones, have it"),
         Kind::Stricter(side) => (
             "stricter",
             match side {
-                Side::Lower => "until all have it, each that has it keeps to the lower value",
-                Side::Higher => "until all have it, each that has it keeps to the higher value",
+                Side::Lower => "until all have it, each controller that has it applies the lower value",
+                Side::Higher => "until all have it, each controller that has it applies the higher value",
                 Side::LowerBut0 => {
-                    "until all have it, each that has it keeps to the lower value, 0 being none"
+                    "until all have it, each controller that has it applies the lower value, where 0 means none"
                 }
-                Side::False => "until all have it, each that has it does what both permit",
+                Side::False => "until all have it, each controller that has it does only what both values permit",
             },
         ),
     }
 }
 
-fn tell_status(at: SocketAddr, told: &Report, voice: &Voice) {
+fn print_status(address: SocketAddr, report: &Report, output: &Voice) {
     let mut text = format!(
-        "{at} member {}: acts on {} ({}), certified {}, {}, contradictions end within {} ms",
-        told.member, told.active, told.source, told.certified, told.regime, told.bound_ms
+        "{address} member {}: active {} ({}), certified {}, {}, contradictions end within {} ms",
+        report.member, report.active, report.source, report.certified, report.regime, report.bound_ms
     );
-    if let Some(prepared) = told.prepared {
+    if let Some(prepared) = report.prepared {
         text += &format!("; prepared {prepared}");
     }
-    if !told.waited_for.is_empty() {
-        text += &format!("; waits for {:?}", told.waited_for);
+    if !report.waited_for.is_empty() {
+        text += &format!("; waits for members {:?}", report.waited_for);
     }
-    if let Some(held) = &told.held {
-        text += &format!("; holds new joins back ({held})");
+    if let Some(hold_reason) = &report.held {
+        text += &format!("; holds back new joins ({hold_reason})");
     }
-    if let Some(keeper) = &told.keeper {
-        text += &format!("; keeper, {keeper}");
+    if let Some(acceptor) = &report.keeper {
+        text += &format!("; acceptor, {acceptor}");
     }
-    let mut line = serde_json::to_value(told).unwrap_or_default();
-    line["at"] = json!(at);
-    voice.say(line, &text);
+    let mut json_line = serde_json::to_value(report).unwrap_or_default();
+    json_line["at"] = json!(address);
+    output.print(json_line, &text);
 }
--- a/crates/revision_tool/src/main.rs
+++ b/crates/revision_tool/src/main.rs
@@ -1,4 +1,4 @@
-//! The program's entry.
+//! Entry point of `badgerledge-revision`.
 
 use std::process::ExitCode;
 
