--- a/crates/relay/src/backoff.rs
+++ b/crates/relay/src/backoff.rs
@@ -5,7 +5,7 @@
 use badgerledge_core::random::Rng;
 
 const INITIAL_PAUSE: Duration = Duration::from_millis(100);
-/// Upper bound of a pause, so that a restarted control machine is connected again soon.
+/// Upper bound of a pause. A restarted control machine is connected again within this time and half as much again.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// A pause that doubles with each failed attempt, up to [`MAX_PAUSE`]. Each returned pause is random between half and all
