--- a/crates/exchange/src/admission.rs
+++ b/crates/exchange/src/admission.rs
@@ -1,69 +1,80 @@
-//! Whether there is room for one more subscription, and when a viewer that is turned away may come back.
+//! Admission control: whether there is room for one more subscription, and when a throttled viewer may retry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use badgerledge_core::chance::Chance;
 
-/// Room at a controller, by count: what one subscription holds there (two connections, buffers, a record) is much
-/// the same for all.
+/// Limits the number of subscriptions of a controller. A plain count suffices since all use much the same
+/// resources: two connections, buffers, a record.
 pub struct Admission {
-    most: usize,
-    held: usize,
-    chance: Chance,
-    /// When subscriptions left, of late: the pace at which room comes free.
-    left: VecDeque<Duration>,
-    /// Until when viewers that were turned away have been asked to stay away, as places in a queue.
-    asked_back: Duration,
+    max_subscriptions: usize,
+    count: usize,
+    rng: Chance,
+    /// When recent subscriptions ended: the rate at which room becomes free.
+    departures: VecDeque<Duration>,
+    /// End of the queue of throttled viewers: until when retries are already scheduled.
+    scheduled_until: Duration,
 }
 
-/// How far back departures are counted: some tens of them at the pace that a full controller has.
-const COUNTED_OVER: Duration = Duration::from_secs(10);
-/// Departures kept at most: far more than matter for a pace.
-const KEPT: usize = 1024;
-/// The shortest and the longest time that is named. Half a second is what the module names; a viewer that is
-/// asked to stay away for over 8 s comes back sooner by itself, or not at all.
-const SHORTEST: Duration = Duration::from_millis(500);
-const LONGEST: Duration = Duration::from_secs(8);
+/// Period over which departures are counted: a full controller has some tens of them in it.
+const DEPARTURE_WINDOW: Duration = Duration::from_secs(10);
+/// Maximum of departures stored: far more than the rate needs.
+const MAX_DEPARTURES: usize = 1024;
+/// Shortest and longest cool-down. Half a second is what the decision module uses; a viewer that is told to
+/// stay away for more than 8 s retries sooner by itself, or not at all.
+const MIN_COOL_DOWN: Duration = Duration::from_millis(500);
+const MAX_COOL_DOWN: Duration = Duration::from_secs(8);
 
 impl Admission {
-    pub fn new(most: usize, seed: u64) -> Self {
-        Self { most, held: 0, chance: Chance(seed), left: VecDeque::new(), asked_back: Duration::ZERO }
+    /// Admits up to `max_subscriptions`; `seed` is that of the random part of cool-downs.
+    pub fn new(max_subscriptions: usize, seed: u64) -> Self {
+        Self {
+            max_subscriptions,
+            count: 0,
+            rng: Chance(seed),
+            departures: VecDeque::new(),
+            scheduled_until: Duration::ZERO,
+        }
     }
 
-    pub fn held(&self) -> usize {
-        self.held
+    /// The number of admitted subscriptions.
+    pub fn count(&self) -> usize {
+        self.count
     }
 
-    /// Takes a subscription in, or names when the viewer may come back. Viewers that are turned away while the
-    /// controller is full are given places in a queue that moves at the pace of departures, so that they come
-    /// back as room does, not all at once (a wave of them would be turned away again, whole). Harm: where the
-    /// pace picks up, the last of a queue wait longer than they had to, at most [`LONGEST`].
-    pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
-        if self.held < self.most {
-            self.held += 1;
+    /// Admits a subscription, or returns the viewer's cool-down. While the controller is full, throttled
+    /// viewers are queued at the rate of departures, so that they return as room becomes free. If they all
+    /// returned at once, most would be throttled again. If the rate increases later, the last of the queue
+    /// wait longer than necessary, at most [`MAX_COOL_DOWN`].
+    pub fn admit(&mut self, now: Duration) -> Result<(), Duration> {
+        if self.count < self.max_subscriptions {
+            self.count += 1;
             return Ok(());
         }
-        let turn = Duration::from_secs_f64(1.0 / self.pace(now));
-        self.asked_back = self.asked_back.max(now + SHORTEST).min(now + LONGEST) + turn;
-        let wait = self.asked_back.saturating_sub(now).min(LONGEST);
-        // A random part up to a quarter: controllers that filled up together must not call all back together.
-        Err(wait.mul_f64(1.0 - 0.25 * self.chance.share()).max(SHORTEST))
+        let interval = Duration::from_secs_f64(1.0 / self.departure_rate(now));
+        self.scheduled_until =
+            self.scheduled_until.max(now + MIN_COOL_DOWN).min(now + MAX_COOL_DOWN) + interval;
+        let cool_down = self.scheduled_until.saturating_sub(now).min(MAX_COOL_DOWN);
+        // Random part of up to a quarter, so that controllers that filled up together do not get all retries
+        // together.
+        Err(cool_down.mul_f64(1.0 - 0.25 * self.rng.share()).max(MIN_COOL_DOWN))
     }
 
+    /// Frees the place of a subscription that has ended.
     pub fn leave(&mut self, now: Duration) {
-        self.held = self.held.saturating_sub(1);
-        self.left.push_back(now);
-        if self.left.len() > KEPT {
-            self.left.pop_front();
+        self.count = self.count.saturating_sub(1);
+        self.departures.push_back(now);
+        if self.departures.len() > MAX_DEPARTURES {
+            self.departures.pop_front();
         }
     }
 
-    /// Departures a second; one where none are known of.
-    fn pace(&mut self, now: Duration) -> f64 {
-        while self.left.front().is_some_and(|at| *at + COUNTED_OVER < now) {
-            self.left.pop_front();
+    /// Departures per second; one if there were none.
+    fn departure_rate(&mut self, now: Duration) -> f64 {
+        while self.departures.front().is_some_and(|at| *at + DEPARTURE_WINDOW < now) {
+            self.departures.pop_front();
         }
-        (self.left.len() as f64 / COUNTED_OVER.as_secs_f64()).max(1.0)
+        (self.departures.len() as f64 / DEPARTURE_WINDOW.as_secs_f64()).max(1.0)
     }
 }
--- a/crates/exchange/src/book.rs
+++ b/crates/exchange/src/book.rs
@@ -1,4 +1,4 @@
-//! The records of subscriptions: plain state, with the checks that keep it whole. Nothing is sent from here.
+//! The subscription records: plain state and the checks that keep it consistent. Nothing is sent from here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,38 +8,39 @@
 
 use crate::Line;
 
-/// The join of a subscription that is out, or that it plays on.
+/// The join of a subscription that is outstanding or that it plays on.
 #[derive(Clone, Debug)]
 pub struct Join {
-    /// Its number among the subscription's joins, from 0.
+    /// Its number among the joins of the subscription, from 0.
     pub number: u16,
     pub streamer: StreamerId,
     pub sent: Duration,
-    /// When it is given up, while it is not playing.
+    /// When it times out unless it plays.
     pub until: Duration,
-    /// SETUP has gone, with this rung.
+    /// SETUP was sent, with this rung.
     pub set_up: Option<Option<u8>>,
-    /// The streamer granted PLAY; and a first packet of media came.
+    /// The streamer granted PLAY; the first media packet has arrived.
     pub granted: bool,
     pub media: bool,
 }
 
 impl Join {
+    /// Whether media flows to the viewer.
     pub fn flows(&self) -> bool {
         self.granted && self.media
     }
 }
 
-/// One subscription that was taken and is not over.
+/// A subscription that was admitted and has not ended.
 #[derive(Debug)]
 pub struct Held {
     pub asked: Asked,
     pub taken: Duration,
-    /// Lines that wait for the answer: the newest is the viewer's present one.
+    /// Connections that wait for the answer; the viewer's current one is last.
     pub waiting: Vec<Line>,
-    /// The line that it plays to.
+    /// The connection that it plays on.
     pub plays_to: Option<Line>,
-    /// When it must have its answer whatever the module does.
+    /// When it must be answered, whether or not the decision module has decided.
     pub last_call: Duration,
     pub joins: u16,
     pub join: Option<Join>,
@@ -47,91 +48,98 @@
     pub span: Span,
 }
 
-/// Lines that may wait for one answer: a viewer that retries on more connections than this is terminated on the
+/// Maximum of connections that wait for one answer: a viewer that retries on more is terminated on the
 /// newest.
 pub const WAITING: usize = 4;
 
-/// Ends of unsafe subscriptions that are kept in mind: some thousand viewers a second would have to lose theirs for
-/// one to be forgotten too soon.
-const REMEMBERED: usize = 4096;
+/// Maximum of ended unsafe subscriptions that are remembered: one is forgotten too soon only if some thousand
+/// viewers a second lose theirs.
+const MAX_REMEMBERED: usize = 4096;
 
-/// All subscriptions of a controller.
+/// All subscriptions of a controller, with their indexes.
 #[derive(Debug, Default)]
 pub struct Book {
-    held: BTreeMap<JobId, Held>,
-    /// By viewer and title, and by line.
+    subscriptions: BTreeMap<JobId, Held>,
+    /// By viewer and title, and by connection.
     by_viewer: BTreeMap<(u64, u64), JobId>,
-    by_line: BTreeMap<Line, JobId>,
-    /// When a subscription is looked at: its join's end, or its last call.
+    by_connection: BTreeMap<Line, JobId>,
+    /// When a subscription must be checked: at its join's time limit or its answer deadline.
     due: BTreeSet<(Duration, JobId)>,
     last_job: JobId,
-    /// Streamers that the list says drain or are gone.
-    off: BTreeSet<StreamerId>,
-    /// Viewers and titles of unsafe room types that were terminated of late, and until when that counts.
-    ended_unsafe: BTreeMap<(u64, u64), Duration>,
+    /// Streamers that are draining or removed from the list.
+    unavailable: BTreeSet<StreamerId>,
+    /// Viewers and titles of unsafe room types that were recently terminated, and until when retries are
+    /// rejected.
+    recently_terminated: BTreeMap<(u64, u64), Duration>,
 }
 
 impl Book {
+    /// The record of a subscription.
     pub fn get(&self, job: JobId) -> Option<&Held> {
-        self.held.get(&job)
+        self.subscriptions.get(&job)
     }
 
+    /// The number of subscriptions.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.subscriptions.len()
     }
 
+    /// Whether there are no subscriptions.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.subscriptions.is_empty()
     }
 
+    /// The number of playing subscriptions.
     pub fn playing(&self) -> usize {
-        self.held.values().filter(|held| held.plays_to.is_some()).count()
+        self.subscriptions.values().filter(|subscription| subscription.plays_to.is_some()).count()
     }
 
-    /// All lines that wait or are played to, with their subscriptions.
+    /// All connections that wait or play, with their subscriptions.
     pub fn lines(&self) -> impl Iterator<Item = (Line, JobId)> + '_ {
-        self.by_line.iter().map(|(line, job)| (*line, *job))
+        self.by_connection.iter().map(|(connection, job)| (*connection, *job))
     }
 
-    /// The id that the next subscription gets. Ids count up; over 2^32 subscriptions they come again, long after
-    /// the first.
+    /// The id of the next subscription. Ids count up and wrap after 2^32 subscriptions, long after the
+    /// earlier ones have ended.
     pub fn next_job(&self) -> JobId {
         let mut job = self.last_job.wrapping_add(1);
-        while self.held.contains_key(&job) {
+        while self.subscriptions.contains_key(&job) {
             job = job.wrapping_add(1);
         }
         job
     }
 
-    /// All subscriptions that play, with their joins.
+    /// All playing subscriptions, with their joins.
     pub fn flowing(&self) -> impl Iterator<Item = (JobId, &Held, &Join)> + '_ {
-        let joined = self.held.iter().filter(|(_, held)| held.plays_to.is_some());
-        joined.filter_map(|(job, held)| Some((*job, held, held.join.as_ref()?)))
+        let playing = self.subscriptions.iter().filter(|(_, subscription)| subscription.plays_to.is_some());
+        playing.filter_map(|(job, subscription)| Some((*job, subscription, subscription.join.as_ref()?)))
     }
 
-    /// All joins that are out, and not playing.
+    /// All outstanding joins that do not play yet.
     pub fn out(&self) -> impl Iterator<Item = (JobId, &Held, &Join)> + '_ {
-        let waiting = self.held.iter().filter(|(_, held)| held.plays_to.is_none());
-        waiting.filter_map(|(job, held)| Some((*job, held, held.join.as_ref()?)))
+        let waiting = self.subscriptions.iter().filter(|(_, subscription)| subscription.plays_to.is_none());
+        waiting.filter_map(|(job, subscription)| Some((*job, subscription, subscription.join.as_ref()?)))
     }
 
-    pub fn of_line(&self, line: Line) -> Option<JobId> {
-        self.by_line.get(&line).copied()
+    /// The subscription that a connection waits for or plays.
+    pub fn of_line(&self, connection: Line) -> Option<JobId> {
+        self.by_connection.get(&connection).copied()
     }
 
-    pub fn of_viewer(&self, asked: &Asked) -> Option<JobId> {
-        self.by_viewer.get(&(asked.path_key, asked.title)).copied()
+    /// The subscription of a viewer to a title.
+    pub fn of_viewer(&self, request: &Asked) -> Option<JobId> {
+        self.by_viewer.get(&(request.path_key, request.title)).copied()
     }
 
-    /// Opens a record and names it.
-    pub fn open(&mut self, line: Line, asked: Asked, taken: Duration, last_call: Duration) -> JobId {
+    /// Adds a record for a new subscription, and returns its id.
+    pub fn open(&mut self, connection: Line, request: Asked, taken: Duration, last_call: Duration) -> JobId {
         let job = self.next_job();
         self.last_job = job;
-        let span = tracing::info_span!("subscription", job, viewer = asked.path_key, title = asked.title);
-        let held = Held {
-            asked,
+        let span = tracing::info_span!("subscription", job, viewer = request.path_key, title = request.title);
+        let subscription = Held {
+            asked: request,
             taken,
-            waiting: vec![line],
+            waiting: vec![connection],
             plays_to: None,
             last_call,
             joins: 0,
@@ -139,168 +147,182 @@
             rung: None,
             span,
         };
-        self.by_viewer.insert((asked.path_key, asked.title), job);
-        self.by_line.insert(line, job);
+        self.by_viewer.insert((request.path_key, request.title), job);
+        self.by_connection.insert(connection, job);
         self.due.insert((last_call, job));
-        self.held.insert(job, held);
+        self.subscriptions.insert(job, subscription);
         job
     }
 
-    /// Lets a further line wait for the same answer, unless too many do. The answer is due when the first of
-    /// them gives up.
-    pub fn wait_too(&mut self, job: JobId, line: Line, last_call: Duration) -> bool {
-        let Some(held) = self.held.get_mut(&job) else { return false };
-        if held.waiting.contains(&line) {
+    /// Adds a connection that waits for the same answer, unless there are too many. The answer is due when
+    /// the first of them times out.
+    pub fn wait_too(&mut self, job: JobId, connection: Line, last_call: Duration) -> bool {
+        let Some(subscription) = self.subscriptions.get_mut(&job) else { return false };
+        if subscription.waiting.contains(&connection) {
             return true;
         }
-        if held.waiting.len() >= WAITING || self.by_line.contains_key(&line) {
+        if subscription.waiting.len() >= WAITING || self.by_connection.contains_key(&connection) {
             return false;
         }
-        held.waiting.push(line);
-        self.by_line.insert(line, job);
-        if last_call < held.last_call {
-            held.last_call = last_call;
+        subscription.waiting.push(connection);
+        self.by_connection.insert(connection, job);
+        if last_call < subscription.last_call {
+            subscription.last_call = last_call;
             self.due.insert((last_call, job));
         }
         true
     }
 
-    /// Takes a line off its subscription, and tells which that was.
-    pub fn leave(&mut self, line: Line) -> Option<JobId> {
-        let job = self.by_line.remove(&line)?;
-        let held = self.held.get_mut(&job)?;
-        held.waiting.retain(|waiting| *waiting != line);
-        held.plays_to = held.plays_to.filter(|viewer| *viewer != line);
+    /// Removes a connection from its subscription, and returns the subscription.
+    pub fn leave(&mut self, connection: Line) -> Option<JobId> {
+        let job = self.by_connection.remove(&connection)?;
+        let subscription = self.subscriptions.get_mut(&job)?;
+        subscription.waiting.retain(|waiting| *waiting != connection);
+        subscription.plays_to = subscription.plays_to.filter(|viewer| *viewer != connection);
         Some(job)
     }
 
-    /// Sends a join: none may be out.
+    /// Adds a join; none may be outstanding. Returns its number.
     pub fn join(&mut self, job: JobId, streamer: StreamerId, sent: Duration, until: Duration) -> Option<u16> {
-        let held = self.held.get_mut(&job).filter(|held| held.join.is_none() && held.plays_to.is_none())?;
-        let number = held.joins;
-        held.joins += 1;
-        held.join = Some(Join { number, streamer, sent, until, set_up: None, granted: false, media: false });
+        let subscription = self
+            .subscriptions
+            .get_mut(&job)
+            .filter(|subscription| subscription.join.is_none() && subscription.plays_to.is_none())?;
+        let number = subscription.joins;
+        subscription.joins += 1;
+        subscription.join =
+            Some(Join { number, streamer, sent, until, set_up: None, granted: false, media: false });
         self.due.insert((until, job));
         Some(number)
     }
 
-    /// The join of that number, if it is the one that is out or plays.
+    /// The join of that number, if it is outstanding or plays.
     pub fn current(&mut self, job: JobId, number: u16) -> Option<&mut Join> {
-        self.held.get_mut(&job)?.join.as_mut().filter(|join| join.number == number)
+        self.subscriptions.get_mut(&job)?.join.as_mut().filter(|join| join.number == number)
     }
 
-    /// Takes a join away, if it is the one that is out or plays.
+    /// Removes a join, if it is outstanding or plays.
     pub fn end_join(&mut self, job: JobId, number: u16) -> Option<Join> {
         self.current(job, number)?;
-        self.held.get_mut(&job)?.join.take()
+        self.subscriptions.get_mut(&job)?.join.take()
     }
 
+    /// Records the rung of a subscription, and returns its record.
     pub fn set_rung(&mut self, job: JobId, rung: u8) -> Option<&Held> {
-        let held = self.held.get_mut(&job)?;
-        held.rung = Some(rung);
-        Some(held)
+        let subscription = self.subscriptions.get_mut(&job)?;
+        subscription.rung = Some(rung);
+        Some(subscription)
     }
 
-    /// Its title lies elsewhere from now on.
+    /// Changes the cells that hold its title.
     pub fn relocate(&mut self, job: JobId, first_cell: u32, copies: u32) {
-        if let Some(held) = self.held.get_mut(&job) {
-            (held.asked.first_cell, held.asked.copies) = (first_cell, copies);
+        if let Some(subscription) = self.subscriptions.get_mut(&job) {
+            (subscription.asked.first_cell, subscription.asked.copies) = (first_cell, copies);
         }
     }
 
-    /// All subscriptions, in order.
+    /// All subscriptions, in order of their ids.
     pub fn all(&self) -> impl Iterator<Item = (JobId, &Held)> + '_ {
-        self.held.iter().map(|(job, held)| (*job, held))
+        self.subscriptions.iter().map(|(job, subscription)| (*job, subscription))
     }
 
-    /// The subscription plays: its newest line gets it, the others are told otherwise.
+    /// Marks the subscription as playing on its newest connection; returns that one, and the others, which
+    /// must be answered differently.
     pub fn play(&mut self, job: JobId) -> Option<(Line, Vec<Line>)> {
-        let held = self.held.get_mut(&job)?;
-        let viewer = held.waiting.pop()?;
-        held.plays_to = Some(viewer);
-        let others = std::mem::take(&mut held.waiting);
-        for line in &others {
-            self.by_line.remove(line);
+        let subscription = self.subscriptions.get_mut(&job)?;
+        let viewer = subscription.waiting.pop()?;
+        subscription.plays_to = Some(viewer);
+        let abandoned = std::mem::take(&mut subscription.waiting);
+        for connection in &abandoned {
+            self.by_connection.remove(connection);
         }
-        Some((viewer, others))
+        Some((viewer, abandoned))
     }
 
-    /// Hands a subscription that plays to a newer line of its viewer, and tells which line had it.
-    pub fn hand_over(&mut self, job: JobId, line: Line) -> Option<Line> {
-        let held = self.held.get_mut(&job)?;
-        let before = held.plays_to.replace(line)?;
-        self.by_line.remove(&before);
-        self.by_line.insert(line, job);
-        Some(before)
+    /// Passes a playing subscription to a newer connection of its viewer, and returns the previous one.
+    pub fn hand_over(&mut self, job: JobId, connection: Line) -> Option<Line> {
+        let subscription = self.subscriptions.get_mut(&job)?;
+        let previous = subscription.plays_to.replace(connection)?;
+        self.by_connection.remove(&previous);
+        self.by_connection.insert(connection, job);
+        Some(previous)
     }
 
-    /// Keeps in mind that a subscription that must not be set up twice has ended without a promise.
-    pub fn remember_unsafe(&mut self, asked: &Asked, until: Duration) {
-        if self.ended_unsafe.len() >= REMEMBERED {
-            let first = self.ended_unsafe.iter().min_by_key(|(_, until)| **until).map(|(viewer, _)| *viewer);
-            first.map(|viewer| self.ended_unsafe.remove(&viewer));
+    /// Remembers an ended subscription that must not be set up twice and may have run.
+    pub fn remember_unsafe(&mut self, request: &Asked, until: Duration) {
+        if self.recently_terminated.len() >= MAX_REMEMBERED {
+            let oldest =
+                self.recently_terminated.iter().min_by_key(|(_, until)| **until).map(|(viewer, _)| *viewer);
+            oldest.map(|viewer| self.recently_terminated.remove(&viewer));
         }
-        self.ended_unsafe.insert((asked.path_key, asked.title), until);
+        self.recently_terminated.insert((request.path_key, request.title), until);
     }
 
-    /// Whether such a one ended so lately that a request of its viewer was sent before its end was known.
-    pub fn ended_unsafe(&mut self, asked: &Asked, now: Duration) -> bool {
-        self.ended_unsafe.retain(|_, until| *until > now);
-        self.ended_unsafe.contains_key(&(asked.path_key, asked.title))
+    /// Whether such a subscription ended so recently that its viewer sent this request before it knew.
+    pub fn ended_unsafe(&mut self, request: &Asked, now: Duration) -> bool {
+        self.recently_terminated.retain(|_, until| *until > now);
+        self.recently_terminated.contains_key(&(request.path_key, request.title))
     }
 
-    /// Ends a subscription: its record is handed out, and no index knows it any more.
+    /// Removes the record of a subscription from the table and all indexes, and returns it.
     pub fn close(&mut self, job: JobId) -> Option<Held> {
-        let held = self.held.remove(&job)?;
-        let viewer = (held.asked.path_key, held.asked.title);
+        let subscription = self.subscriptions.remove(&job)?;
+        let viewer = (subscription.asked.path_key, subscription.asked.title);
         if self.by_viewer.get(&viewer) == Some(&job) {
             self.by_viewer.remove(&viewer);
         }
-        for line in held.waiting.iter().chain(&held.plays_to) {
-            self.by_line.remove(line);
+        for connection in subscription.waiting.iter().chain(&subscription.plays_to) {
+            self.by_connection.remove(connection);
         }
-        Some(held)
+        Some(subscription)
     }
 
-    /// When a subscription is next to be looked at.
+    /// When the next subscription must be checked.
     pub fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|due| due.0)
     }
 
-    /// The next subscription whose time has come. Old times of one that went on since are passed over.
+    /// Returns the next subscription that is overdue. Outdated times of subscriptions that have progressed
+    /// are skipped.
     pub fn overdue(&mut self, now: Duration) -> Option<JobId> {
         while let Some((at, job)) = self.due.first().copied().filter(|due| due.0 <= now) {
             self.due.remove(&(at, job));
-            let Some(held) = self.held.get(&job).filter(|held| held.plays_to.is_none()) else { continue };
-            if held.last_call <= now || held.join.as_ref().is_some_and(|join| join.until <= now) {
+            let Some(subscription) =
+                self.subscriptions.get(&job).filter(|subscription| subscription.plays_to.is_none())
+            else {
+                continue;
+            };
+            if subscription.last_call <= now
+                || subscription.join.as_ref().is_some_and(|join| join.until <= now)
+            {
                 return Some(job);
             }
         }
         None
     }
 
-    /// What the list says of a streamer.
+    /// Applies a list entry.
     pub fn listed(&mut self, streamer: StreamerId, health: Health) {
         match health {
-            Health::Ready => self.off.remove(&streamer),
-            Health::Draining | Health::Gone => self.off.insert(streamer),
+            Health::Ready => self.unavailable.remove(&streamer),
+            Health::Draining | Health::Gone => self.unavailable.insert(streamer),
         };
     }
 
-    /// A complete list begins: streamers that it does not name are gone.
+    /// Begins a complete list: streamers that it does not name are gone.
     pub fn relist(&mut self, known: impl Iterator<Item = StreamerId>) {
-        self.off.extend(known);
+        self.unavailable.extend(known);
     }
 
-    /// Whether a streamer may be sent something new: the list may have changed while a connection was made.
+    /// Whether a streamer accepts new joins: the list may have changed while a connection was established.
     pub fn may_send(&self, streamer: StreamerId) -> bool {
-        !self.off.contains(&streamer)
+        !self.unavailable.contains(&streamer)
     }
 }
 
-/// How a streamer's answer to SETUP or PLAY ends a join; nothing where it goes on. 453 and 503 are given before
-/// anything is set up (RFC 2326 sections 11.3.6 and 7.1.1), so they prove that the join never ran. They prove
-/// nothing once SETUP was granted.
+/// How a streamer's response to SETUP or PLAY ends a join; `None` if it does not. 453 and 503 are sent before
+/// anything is set up (RFC 2326 sections 11.3.6 and 7.1.1), so they prove that the join never ran, but only
+/// until SETUP was granted.
 pub fn ending(status: u16, set_up: bool) -> Option<Ending> {
     match status {
         200..=299 => None,
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! A round.
+//! Rounds of one controller.
 
 use std::time::Duration;
 
@@ -6,83 +6,105 @@
 use serde_json::{Map, Value};
 
 use crate::book::Book;
-use crate::desk::{Carrier, Desk, Owed};
+use crate::decision_executor::{Carrier, DecisionExecutor, PendingOutcome};
 use crate::{Admission, Floor, Steps};
 
-/// One controller's decisions and records.
+/// The decision module and the subscriptions of one controller.
 pub struct Exchange {
     module: Controller,
     book: Book,
     admission: Admission,
-    owed: Vec<Owed>,
-    unsafe_types: Vec<usize>,
-    hold: Option<Duration>,
+    pending_outcomes: Vec<PendingOutcome>,
+    unsafe_room_types: Vec<usize>,
+    /// Set while new joins are held back: viewers are throttled with this cool-down.
+    hold_cool_down: Option<Duration>,
 }
 
 impl Exchange {
-    /// `told` is the plain map of the settings that the module reads; `most` bounds the subscriptions held.
-    pub fn new(now: Duration, seed: u64, told: Map<String, Value>, most: usize) -> Self {
-        let unsafe_types = unsafe_types(&told);
+    /// `settings` is the plain map of settings that the decision module reads; `max_subscriptions` limits the
+    /// subscriptions held.
+    pub fn new(now: Duration, seed: u64, settings: Map<String, Value>, max_subscriptions: usize) -> Self {
+        let unsafe_room_types = unsafe_room_types(&settings);
         Self {
-            module: Controller::new(now, seed, told),
+            module: Controller::new(now, seed, settings),
             book: Book::default(),
-            admission: Admission::new(most, seed.rotate_left(32)),
-            owed: Vec::new(),
-            unsafe_types,
-            hold: None,
+            admission: Admission::new(max_subscriptions, seed.rotate_left(32)),
+            pending_outcomes: Vec::new(),
+            unsafe_room_types,
+            hold_cool_down: None,
         }
     }
 
-    /// Whether new joins are held back, and when viewers that are turned away for it may come back: to be said before
-    /// anything that may send one. What plays plays on.
-    pub fn hold(&mut self, hold: Option<Duration>) {
-        self.hold = hold;
+    /// Holds new joins back, or resumes them; `cool_down` is when throttled viewers may retry. Must be called
+    /// before anything that may send a join. Playing subscriptions continue.
+    pub fn hold(&mut self, cool_down: Option<Duration>) {
+        self.hold_cool_down = cool_down;
     }
 
+    /// The records of all subscriptions.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// When a round is due by itself, if nothing comes in before.
+    /// When the next round is due without any events.
     pub fn next_due(&self) -> Option<Duration> {
-        if self.owed.is_empty() {
+        if self.pending_outcomes.is_empty() {
             self.book.next_due()
         } else {
             Some(Duration::ZERO)
         }
     }
 
-    /// What came in on joins, between rounds.
+    /// Handles events of joins between rounds.
     pub fn between<C: Carrier>(
         &mut self, now: Duration, carrier: &mut C, feed: impl FnOnce(&mut Steps<'_, '_, C>),
     ) {
-        let Self { book, admission, owed, unsafe_types, hold, .. } = self;
-        let hold = *hold;
-        feed(&mut Steps { desk: &mut Desk { book, admission, carrier, now, owed, unsafe_types, hold } });
+        let Self { book, admission, pending_outcomes, unsafe_room_types, hold_cool_down, .. } = self;
+        let hold_cool_down = *hold_cool_down;
+        feed(&mut Steps {
+            executor: &mut DecisionExecutor {
+                book,
+                admission,
+                carrier,
+                now,
+                pending_outcomes,
+                unsafe_room_types,
+                hold_cool_down,
+            },
+        });
     }
 
-    /// One round at `now`: what `feed` tells of, then what is overdue, then the module's due work.
+    /// Runs one round at `now`: the events that `feed` reports, then what is overdue, then the due work of
+    /// the decision module.
     pub fn round<C: Carrier>(
         &mut self, now: Duration, carrier: &mut C, feed: impl FnOnce(&mut Floor<'_, '_, C>),
     ) {
-        let Self { module, book, admission, owed, unsafe_types, hold } = self;
-        let hold = *hold;
-        let mut desk = Desk { book, admission, carrier, now, owed, unsafe_types, hold };
-        let arrivals = |module: &mut Controller, desk: &mut Desk<'_, C>| {
-            let mut floor = Floor { module, desk };
-            floor.deliver();
-            feed(&mut floor);
-            floor.deliver();
-            floor.end_overdue();
-            floor.deliver();
+        let Self { module, book, admission, pending_outcomes, unsafe_room_types, hold_cool_down } = self;
+        let hold_cool_down = *hold_cool_down;
+        let mut executor = DecisionExecutor {
+            book,
+            admission,
+            carrier,
+            now,
+            pending_outcomes,
+            unsafe_room_types,
+            hold_cool_down,
         };
-        module.round(now, arrivals, &mut desk);
+        let events = |module: &mut Controller, executor: &mut DecisionExecutor<'_, C>| {
+            let mut handler = Floor { module, executor };
+            handler.deliver_outcomes();
+            feed(&mut handler);
+            handler.deliver_outcomes();
+            handler.end_overdue();
+            handler.deliver_outcomes();
+        };
+        module.round(now, events, &mut executor);
     }
 }
 
-/// Room types that must not be set up twice.
-pub(crate) fn unsafe_types(told: &Map<String, Value>) -> Vec<usize> {
-    let profiles = told.get("profiles").and_then(Value::as_array);
+/// Indexes of the room types that must not be set up twice.
+pub(crate) fn unsafe_room_types(settings: &Map<String, Value>) -> Vec<usize> {
+    let profiles = settings.get("profiles").and_then(Value::as_array);
     let types = profiles.into_iter().flatten().enumerate();
-    types.filter(|(_, told)| told["effect"] == "single_shot").map(|(n, _)| n).collect()
+    types.filter(|(_, profile)| profile["effect"] == "single_shot").map(|(index, _)| index).collect()
 }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,31 +1,33 @@
-//! The exchanges of subscriptions, from a viewer's first SETUP through joins, answer, play, steps of rung and
-//! moves to the end. No I/O, no clock, no chance but from a seed.
+//! The state of subscriptions from a viewer's first SETUP through joins, the answer, PLAY, rung changes and
+//! moves to the end. No I/O and no clock; randomness only from a seed.
 //!
-//! [`Exchange::round`] is called once a round. Its `feed` tells what came in through the methods of [`Floor`], in
-//! order; then what is overdue ends, the module does its due work, and what was decided goes out through the
-//! [`Carrier`]. The steps of joins that are out need no decision and go between rounds ([`Exchange::between`]). Between an end of a connection and the module stands one record for each subscription
-//! ([`book`]): it knows which lines wait for an answer, which join is out, and what the viewer was told.
+//! [`Exchange::round`] is called once per round. Its `feed` reports the events of the round through the
+//! methods of [`EventHandler`], in order; then overdue joins and set-ups end, the decision module does its
+//! due work, and its decisions go out through the [`Transport`]. The steps of outstanding joins need no
+//! decision and are handled between rounds ([`Exchange::between`]). Each subscription has one record
+//! ([`subscription_table`]) of the connections that wait for its answer, its outstanding join, and what its
+//! viewer was sent.
 //!
-//! What is decided here and nowhere else: whether there is room to take a viewer at all, and when one that is
-//! turned away may come back ([`Admission`]); that a retry while the first try is out joins its wait; that an
-//! answer is given in time even where the module gives none ([`limits`]).
+//! Decided here and nowhere else: whether there is room for another viewer, and when a throttled one may
+//! retry ([`Admission`]); that a retry during an outstanding join waits for the same join; that a viewer is
+//! answered in time even if the decision module gives no answer ([`limits`]).
 
 mod admission;
 pub mod book;
-mod changing;
-mod desk;
+mod decision_executor;
+mod event_handler;
 mod exchange;
-mod floor;
+mod join_events;
 pub mod limits;
-mod steps;
+mod settings_changes;
 #[cfg(test)]
 mod tests;
 
 pub use admission::Admission;
-pub use desk::Carrier;
+pub use decision_executor::Carrier;
+pub use event_handler::Floor;
 pub use exchange::Exchange;
-pub use floor::Floor;
-pub use steps::Steps;
+pub use join_events::Steps;
 
-/// A viewer's connection, as the program numbers it. Numbers are never used twice.
+/// Id of a viewer's connection. Ids are never reused.
 pub type Line = u64;
--- a/crates/exchange/src/tests.rs
+++ b/crates/exchange/src/tests.rs
@@ -1,5 +1,5 @@
-//! A slow, plain model of the rules watches the exchange and the module on generated sequences of events in any
-//! order; and a small test for each hard case.
+//! Checks the exchange and the decision module against a simple model of the rules, on generated sequences of
+//! events in any order; and one small test for each special case.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,7 +11,7 @@
 
 use crate::{Admission, Carrier, Exchange, Floor, Line};
 
-mod changing;
+mod settings_changes;
 
 const CELLS: u32 = 6;
 const SEATS: usize = 2;
@@ -24,7 +24,7 @@
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 100 + cell as u16)
 }
 
-fn told() -> Value {
+fn settings() -> Value {
     let profile = |effect: &str| json!({"aimUs": 600_000, "effect": effect, "group": "all", "worth": 1.0});
     json!({
         "balancers": 2, "discovery": "automatic", "tickUs": 10_000, "weights": "nominal",
@@ -38,7 +38,7 @@
         "report": {"fields": ["x0"], "how": "answers"}, "zone": 0})
 }
 
-fn asked(viewer: u64, room_type: usize) -> Asked {
+fn request(viewer: u64, room_type: usize) -> Asked {
     let client_timeout = ms(2000);
     Asked {
         title: 1,
@@ -51,34 +51,34 @@
     }
 }
 
-/// One viewer's line, as the viewer sees it.
+/// A viewer's connection, as the viewer sees it.
 #[derive(Debug)]
-struct Seen {
-    ends: Duration,
+struct ViewerConnection {
+    gives_up_at: Duration,
     answers: usize,
     left: bool,
 }
 
-/// One join, as its streamer sees it.
+/// A join, as its streamer sees it.
 #[derive(Debug)]
-struct Sent {
+struct StreamerJoin {
     viewer: u64,
     streamer: StreamerId,
     set_up: bool,
     proven_unrun: bool,
-    out: bool,
+    outstanding: bool,
 }
 
-/// Both ends of the wire, and the rules, each written as plainly as it reads.
+/// Test double for viewers and streamers that checks the rules.
 #[derive(Default)]
-struct Ends {
+struct CheckingTransport {
     now: Duration,
-    lines: BTreeMap<Line, Seen>,
-    joins: BTreeMap<(JobId, u16), Sent>,
+    connections: BTreeMap<Line, ViewerConnection>,
+    joins: BTreeMap<(JobId, u16), StreamerJoin>,
     viewers: BTreeMap<JobId, (u64, usize)>,
-    off: BTreeSet<StreamerId>,
-    asks: Vec<Duration>,
-    further: Vec<Duration>,
+    unavailable: BTreeSet<StreamerId>,
+    requests: Vec<Duration>,
+    further_joins: Vec<Duration>,
     redirected: Vec<Line>,
     steps: Vec<(JobId, u8)>,
     reminders: BTreeSet<(Duration, u64)>,
@@ -86,27 +86,34 @@
     throttled: Vec<Line>,
 }
 
-impl Ends {
-    fn answer(&mut self, line: Line) {
-        let seen = self.lines.get_mut(&line).expect("only lines that asked are answered");
-        seen.answers += 1;
-        assert_eq!(seen.answers, 1, "rule 1: line {line} has more than one answer");
-        assert!(self.now <= seen.ends, "rule 1: line {line} is answered after its viewer gave up");
+impl CheckingTransport {
+    fn answer(&mut self, connection: Line) {
+        let connection_state =
+            self.connections.get_mut(&connection).expect("only connections with a request are answered");
+        connection_state.answers += 1;
+        assert_eq!(connection_state.answers, 1, "rule 1: connection {connection} has more than one answer");
+        assert!(
+            self.now <= connection_state.gives_up_at,
+            "rule 1: connection {connection} is answered after its viewer gave up"
+        );
     }
 
-    fn out(&self) -> Vec<(JobId, u16)> {
-        self.joins.iter().filter(|(_, join)| join.out).map(|(id, _)| *id).collect()
+    fn outstanding(&self) -> Vec<(JobId, u16)> {
+        self.joins.iter().filter(|(_, join)| join.outstanding).map(|(id, _)| *id).collect()
     }
 
     fn check_budget(&mut self) {
-        let span = ms(5000);
-        let asks = self.asks.iter().filter(|at| **at + span > self.now).count();
-        let further = self.further.iter().filter(|at| **at + span > self.now).count();
-        assert!(further as f64 <= 1.0 + 0.5 * asks as f64, "rule 6: {further} further joins for {asks}");
+        let window = ms(5000);
+        let requests = self.requests.iter().filter(|at| **at + window > self.now).count();
+        let further_joins = self.further_joins.iter().filter(|at| **at + window > self.now).count();
+        assert!(
+            further_joins as f64 <= 1.0 + 0.5 * requests as f64,
+            "rule 6: {further_joins} further joins for {requests} requests"
+        );
     }
 }
 
-impl Carrier for Ends {
+impl Carrier for CheckingTransport {
     fn grant(&mut self, viewer: Line, job: JobId) {
         self.answer(viewer);
         self.granted.insert(viewer, job);
@@ -123,20 +130,24 @@
 
     fn open_join(&mut self, job: JobId, number: u16, streamer: StreamerId) {
         let (viewer, room_type) = self.viewers[&job];
-        let mine = |join: &&Sent| join.viewer == viewer && join.out;
-        assert_eq!(self.joins.values().filter(mine).count(), 0, "rule 2: viewer {viewer} has a join out");
+        let same_viewer = |join: &&StreamerJoin| join.viewer == viewer && join.outstanding;
+        assert_eq!(
+            self.joins.values().filter(same_viewer).count(),
+            0,
+            "rule 2: viewer {viewer} has an outstanding join"
+        );
         let earlier = self.joins.iter().filter(|(id, _)| id.0 == job);
         let ran = earlier.filter(|(_, join)| join.set_up && !join.proven_unrun).count();
         assert!(room_type == 0 || ran == 0, "rule 2: an unsafe room type is set up again");
-        assert!(!self.off.contains(&streamer), "rule 3: {streamer} is off");
+        assert!(!self.unavailable.contains(&streamer), "rule 3: {streamer} is draining or gone");
         if number > 0 {
-            self.further.push(self.now);
+            self.further_joins.push(self.now);
             self.check_budget();
         }
         let of_type = |id: &(JobId, u16)| self.viewers[&id.0].1 == 0;
-        let seats = self.joins.iter().filter(|(id, join)| join.out && of_type(id)).count();
+        let seats = self.joins.iter().filter(|(id, join)| join.outstanding && of_type(id)).count();
         assert!(room_type != 0 || seats < SEATS, "rule 5: no seat is free");
-        let join = Sent { viewer, streamer, set_up: false, proven_unrun: false, out: true };
+        let join = StreamerJoin { viewer, streamer, set_up: false, proven_unrun: false, outstanding: true };
         assert!(self.joins.insert((job, number), join).is_none(), "joins are numbered");
     }
 
@@ -144,24 +155,27 @@
         assert!(asked.room_type != 0 || rung.is_none_or(|rung| rung >= 1), "rule 5: under the floor");
         assert!(rung.is_none_or(|rung| rung <= asked.max_rung));
         let join = self.joins.get_mut(&(job, number)).unwrap();
-        assert!(join.out && !join.set_up);
+        assert!(join.outstanding && !join.set_up);
         join.set_up = true;
-        let at = join.streamer;
-        assert!(!self.off.contains(&at), "rule 3: SETUP to {at} which is off");
+        let streamer = join.streamer;
+        assert!(
+            !self.unavailable.contains(&streamer),
+            "rule 3: SETUP to {streamer}, which is draining or gone"
+        );
     }
 
     fn play(&mut self, job: JobId, number: u16) {
-        assert!(self.joins[&(job, number)].out);
+        assert!(self.joins[&(job, number)].outstanding);
     }
 
     fn step(&mut self, job: JobId, number: u16, rung: u8) {
-        assert!(self.joins[&(job, number)].out);
+        assert!(self.joins[&(job, number)].outstanding);
         assert!(self.viewers[&job].1 != 0 || rung >= 1, "rule 5: a step under the floor");
         self.steps.push((job, rung));
     }
 
     fn end_join(&mut self, job: JobId, number: u16) {
-        self.joins.get_mut(&(job, number)).unwrap().out = false;
+        self.joins.get_mut(&(job, number)).unwrap().outstanding = false;
     }
 
     fn redirect(&mut self, viewer: Line) {
@@ -169,8 +183,8 @@
     }
 
     fn farewell(&mut self, viewer: Line) {
-        if let Some(seen) = self.lines.get_mut(&viewer) {
-            seen.left = true;
+        if let Some(connection_state) = self.connections.get_mut(&viewer) {
+            connection_state.left = true;
         }
     }
 
@@ -185,175 +199,190 @@
     fn list_all(&mut self) {}
 }
 
-/// What may come in. Numbers pick among what there is, so that every sequence is a possible one.
+/// Events of viewers, streamers and the list. Numbers select among what exists, so that every sequence is
+/// possible.
 #[derive(Clone, Debug)]
 enum Event {
-    /// On a line that asked before, and still waits, or on a new one.
-    Ask {
+    /// On a connection that already waits, or on a new one.
+    Request {
         viewer: u8,
         again: bool,
     },
     Leave {
-        line: u8,
+        connection: u8,
         orderly: bool,
     },
     Opened(u8),
     SetUp(u8, u16),
     Granted(u8, u16),
     Media(u8),
-    /// All the steps that take a join to the point where it plays.
-    Flow(u8),
+    /// All the events that lead a join to the point where it plays.
+    Play(u8),
     Ended(u8, u8),
-    Note(u8, u8),
+    ProgressReport(u8, u8),
     List {
         cell: u8,
         health: u8,
         complete: bool,
     },
-    Wait(u16),
-    /// A change of settings or titles does something to one of the subscriptions.
-    Change(u8, u8),
-    /// The next events come in the same round.
-    Together(Box<Event>, Box<Event>),
+    AdvanceTime(u16),
+    /// A change of settings or titles affects one of the subscriptions.
+    SettingsChange(u8, u8),
+    /// Two events in a row.
+    Both(Box<Event>, Box<Event>),
 }
 
 impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 21 {
-            0..=3 => Event::Ask { viewer: a % 5, again: b % 4 == 0 },
-            4 => Event::Leave { line: a, orderly: b % 2 == 0 },
+            0..=3 => Event::Request { viewer: a % 5, again: b % 4 == 0 },
+            4 => Event::Leave { connection: a, orderly: b % 2 == 0 },
             5..=6 => Event::Opened(a),
             7..=8 => Event::SetUp(a, [200, 200, 200, 453, 503, 500][usize::from(b) % 6]),
             9 => Event::Granted(a, if b % 5 == 0 { 500 } else { 200 }),
             10 => Event::Media(a),
             11 => Event::Ended(a, b),
-            12 => Event::Note(a, b),
+            12 => Event::ProgressReport(a, b),
             13 => Event::List { cell: a % CELLS as u8, health: b % 4, complete: a % 2 == 0 },
-            14..=15 => Event::Flow(a),
-            16..=17 => Event::Wait(u16::arbitrary(g) % 900),
-            18 => Event::Change(a, b),
-            _ => Event::Together(Box::arbitrary(g), Box::arbitrary(g)),
+            14..=15 => Event::Play(a),
+            16..=17 => Event::AdvanceTime(u16::arbitrary(g) % 900),
+            18 => Event::SettingsChange(a, b),
+            _ => Event::Both(Box::arbitrary(g), Box::arbitrary(g)),
         }
     }
 }
 
-/// An exchange between its two ends.
-struct Rig {
+/// An exchange with its test double.
+struct Harness {
     exchange: Exchange,
-    ends: Ends,
-    next_line: Line,
+    transport: CheckingTransport,
+    next_connection: Line,
 }
 
-impl Rig {
+impl Harness {
     fn new() -> Self {
-        let Value::Object(told) = told() else { unreachable!() };
-        let ends = Ends { now: ms(1000), ..Ends::default() };
-        let mut rig = Self { exchange: Exchange::new(ends.now, 5, told, 20), ends, next_line: 1 };
-        rig.round(|floor| {
-            floor.list_begins(Listing::Complete, std::iter::empty());
+        let Value::Object(settings) = settings() else { unreachable!() };
+        let transport = CheckingTransport { now: ms(1000), ..CheckingTransport::default() };
+        let mut harness =
+            Self { exchange: Exchange::new(transport.now, 5, settings, 20), transport, next_connection: 1 };
+        harness.round(|handler| {
+            handler.list_begins(Listing::Complete, std::iter::empty());
             for cell in 0..CELLS {
-                floor.list_entry(streamer(cell), 0, 0, cell, Health::Ready, 1.0, Start::default());
+                handler.list_entry(streamer(cell), 0, 0, cell, Health::Ready, 1.0, Start::default());
             }
-            floor.list_ends(Listing::Complete);
+            handler.list_ends(Listing::Complete);
         });
-        rig
+        harness
     }
 
-    fn round(&mut self, feed: impl FnOnce(&mut Floor<'_, '_, Ends>)) {
-        let now = self.ends.now;
+    fn round(&mut self, feed: impl FnOnce(&mut Floor<'_, '_, CheckingTransport>)) {
+        let now = self.transport.now;
         let due: Vec<u64> =
-            self.ends.reminders.iter().take_while(|due| due.0 <= now).map(|due| due.1).collect();
-        self.ends.reminders.retain(|due| due.0 > now);
-        self.exchange.round(now, &mut self.ends, |floor| {
-            due.into_iter().for_each(|token| floor.fired(token));
-            feed(floor);
+            self.transport.reminders.iter().take_while(|due| due.0 <= now).map(|due| due.1).collect();
+        self.transport.reminders.retain(|due| due.0 > now);
+        self.exchange.round(now, &mut self.transport, |handler| {
+            due.into_iter().for_each(|token| handler.fired(token));
+            feed(handler);
         });
-        for (line, job) in self.exchange.book().lines() {
-            let (viewer, room_type) = self.ends.viewers[&job];
-            assert!(room_type < 2, "line {line} belongs to viewer {viewer}");
+        for (connection, job) in self.exchange.book().lines() {
+            let (viewer, room_type) = self.transport.viewers[&job];
+            assert!(room_type < 2, "connection {connection} belongs to viewer {viewer}");
         }
     }
 
-    /// Lets time pass, with a round wherever one is due and each tick of ten milliseconds.
-    fn wait(&mut self, span: Duration) {
-        let end = self.ends.now + span;
-        while self.ends.now < end {
-            self.ends.now += ms(10);
+    /// Advances the time, with a round every tick of ten milliseconds.
+    fn advance(&mut self, duration: Duration) {
+        let end = self.transport.now + duration;
+        while self.transport.now < end {
+            self.transport.now += ms(10);
             self.round(|_| {});
         }
     }
 
-    fn ask(&mut self, viewer: u64, line: Line) {
-        let asked = asked(viewer, (viewer % 2) as usize);
-        let now = self.ends.now;
-        let seen = Seen { ends: now + asked.client_timeout, answers: 0, left: false };
-        self.ends.lines.entry(line).or_insert(seen);
-        self.ends.asks.push(now);
-        // The exchange numbers subscriptions one by one: the next is known before the module decides.
+    fn request(&mut self, viewer: u64, connection: Line) {
+        let asked = request(viewer, (viewer % 2) as usize);
+        let now = self.transport.now;
+        let connection_state =
+            ViewerConnection { gives_up_at: now + asked.client_timeout, answers: 0, left: false };
+        self.transport.connections.entry(connection).or_insert(connection_state);
+        self.transport.requests.push(now);
+        // The exchange numbers subscriptions in sequence, so the next id is known before the decision module
+        // decides.
         let next = self.exchange.book().next_job();
-        self.ends.viewers.insert(next, (viewer, asked.room_type));
-        self.round(|floor| floor.viewer_asks(line, asked, now));
+        self.transport.viewers.insert(next, (viewer, asked.room_type));
+        self.round(|handler| handler.viewer_asks(connection, asked, now));
     }
 
-    fn new_line(&mut self) -> Line {
-        self.next_line += 1;
-        self.next_line
+    fn new_connection(&mut self) -> Line {
+        self.next_connection += 1;
+        self.next_connection
     }
 
-    /// A join picked by a number: mostly one that is out, else any old one.
+    /// Selects a join by number: usually an outstanding one, otherwise any.
     fn pick(&self, number: u8) -> Option<(JobId, u16)> {
-        let out = self.ends.out();
+        let out = self.transport.outstanding();
         let all: Vec<_> =
-            if number.is_multiple_of(8) { self.ends.joins.keys().copied().collect() } else { out };
+            if number.is_multiple_of(8) { self.transport.joins.keys().copied().collect() } else { out };
         all.get(usize::from(number) % all.len().max(1)).copied()
     }
 
     fn act(&mut self, event: &Event) {
         match event {
-            Event::Ask { viewer, again } => {
+            Event::Request { viewer, again } => {
                 let viewer = u64::from(*viewer) + 1;
-                let job = self.exchange.book().of_viewer(&asked(viewer, 0));
-                let held = job.and_then(|job| self.exchange.book().get(job));
-                let old = held.and_then(|held| held.waiting.last().copied()).filter(|_| *again);
-                let line = old.unwrap_or_else(|| self.new_line());
-                self.ask(viewer, line);
+                let job = self.exchange.book().of_viewer(&request(viewer, 0));
+                let subscription = job.and_then(|job| self.exchange.book().get(job));
+                let previous = subscription
+                    .and_then(|subscription| subscription.waiting.last().copied())
+                    .filter(|_| *again);
+                let connection = previous.unwrap_or_else(|| self.new_connection());
+                self.request(viewer, connection);
             }
-            Event::Leave { line, orderly } => {
-                let open: Vec<Line> =
-                    self.ends.lines.iter().filter(|(_, seen)| !seen.left).map(|(line, _)| *line).collect();
-                let Some(line) = open.get(usize::from(*line) % open.len().max(1)).copied() else { return };
-                if let Some(seen) = self.ends.lines.get_mut(&line) {
-                    seen.left = true;
+            Event::Leave { connection, orderly } => {
+                let open: Vec<Line> = self
+                    .transport
+                    .connections
+                    .iter()
+                    .filter(|(_, connection_state)| !connection_state.left)
+                    .map(|(connection, _)| *connection)
+                    .collect();
+                let Some(connection) = open.get(usize::from(*connection) % open.len().max(1)).copied() else {
+                    return;
+                };
+                if let Some(connection_state) = self.transport.connections.get_mut(&connection) {
+                    connection_state.left = true;
                 }
-                self.round(|floor| floor.viewer_left(line, *orderly));
+                self.round(|handler| handler.viewer_left(connection, *orderly));
             }
-            Event::Opened(number) => self.join(*number, |ends, id| {
-                (!ends.joins[&id].set_up)
-                    .then_some(Box::new(move |floor| floor.steps().join_opened(id.0, id.1)))
+            Event::Opened(number) => self.join(*number, |transport, id| {
+                (!transport.joins[&id].set_up)
+                    .then_some(Box::new(move |handler| handler.steps().join_opened(id.0, id.1)))
             }),
             Event::SetUp(number, status) => {
                 let status = *status;
-                self.join(*number, move |ends, id| {
-                    let join = ends.joins.get_mut(&id)?;
-                    join.proven_unrun |= matches!(status, 453 | 503) && join.set_up && join.out;
-                    join.set_up.then_some(Box::new(move |floor| {
-                        floor.steps().join_set_up(id.0, id.1, status, &[0.5])
+                self.join(*number, move |transport, id| {
+                    let join = transport.joins.get_mut(&id)?;
+                    join.proven_unrun |= matches!(status, 453 | 503) && join.set_up && join.outstanding;
+                    join.set_up.then_some(Box::new(move |handler| {
+                        handler.steps().join_set_up(id.0, id.1, status, &[0.5])
                     }))
                 });
             }
             Event::Granted(number, status) => {
                 let status = *status;
-                self.join(*number, move |ends, id| {
-                    ends.joins[&id]
-                        .set_up
-                        .then_some(Box::new(move |floor| floor.steps().join_granted(id.0, id.1, status, &[])))
+                self.join(*number, move |transport, id| {
+                    transport.joins[&id].set_up.then_some(Box::new(move |handler| {
+                        handler.steps().join_granted(id.0, id.1, status, &[])
+                    }))
                 });
             }
-            Event::Media(number) => self.join(*number, |ends, id| {
-                ends.joins[&id].set_up.then_some(Box::new(move |floor| floor.steps().join_media(id.0, id.1)))
+            Event::Media(number) => self.join(*number, |transport, id| {
+                transport.joins[&id]
+                    .set_up
+                    .then_some(Box::new(move |handler| handler.steps().join_media(id.0, id.1)))
             }),
-            Event::Flow(number) => {
+            Event::Play(number) => {
                 for event in [
                     Event::Opened(*number),
                     Event::SetUp(*number, 200),
@@ -363,25 +392,25 @@
                     self.act(&event);
                 }
             }
-            Event::Ended(number, how) => {
-                let how = *how;
-                self.join(*number, move |ends, id| {
-                    let join = ends.joins.get_mut(&id)?;
+            Event::Ended(number, mode) => {
+                let mode = *mode;
+                self.join(*number, move |transport, id| {
+                    let join = transport.joins.get_mut(&id)?;
                     let ending = if join.set_up { Ending::Reset } else { Ending::ConnectFailed };
-                    let ending = if join.set_up && how % 3 == 0 { Ending::Served } else { ending };
-                    Some(Box::new(move |floor| floor.steps().join_ends(id.0, id.1, ending, &[])))
+                    let ending = if join.set_up && mode % 3 == 0 { Ending::Served } else { ending };
+                    Some(Box::new(move |handler| handler.steps().join_ends(id.0, id.1, ending, &[])))
                 });
             }
-            Event::Note(number, value) => {
+            Event::ProgressReport(number, value) => {
                 let (kind, value) = (value % 5, f64::from(*value) / 128.0);
                 self.join(*number, move |_, id| {
-                    Some(Box::new(move |floor| floor.join_note(id.0, id.1, kind, value)))
+                    Some(Box::new(move |handler| handler.join_note(id.0, id.1, kind, value)))
                 });
             }
             Event::List { cell, health, complete } => self.list(u32::from(*cell), *health, *complete),
-            Event::Change(number, what) => self.change(*number, *what),
-            Event::Wait(span) => self.wait(ms(u64::from(*span))),
-            Event::Together(first, second) => {
+            Event::SettingsChange(number, effect) => self.apply_change(*number, *effect),
+            Event::AdvanceTime(millis) => self.advance(ms(u64::from(*millis))),
+            Event::Both(first, second) => {
                 self.act(first);
                 self.act(second);
             }
@@ -390,10 +419,13 @@
 
     fn join(
         &mut self, number: u8,
-        act: impl FnOnce(&mut Ends, (JobId, u16)) -> Option<Box<dyn FnOnce(&mut Floor<'_, '_, Ends>)>>,
+        act: impl FnOnce(
+            &mut CheckingTransport,
+            (JobId, u16),
+        ) -> Option<Box<dyn FnOnce(&mut Floor<'_, '_, CheckingTransport>)>>,
     ) {
         let Some(id) = self.pick(number) else { return };
-        if let Some(feed) = act(&mut self.ends, id) {
+        if let Some(feed) = act(&mut self.transport, id) {
             self.round(feed);
         }
     }
@@ -405,250 +437,270 @@
             _ => Health::Ready,
         };
         match health {
-            Health::Ready => self.ends.off.remove(&streamer(cell)),
-            _ => self.ends.off.insert(streamer(cell)),
+            Health::Ready => self.transport.unavailable.remove(&streamer(cell)),
+            _ => self.transport.unavailable.insert(streamer(cell)),
         };
-        let off = self.ends.off.clone();
-        let how = if complete { Listing::Complete } else { Listing::Changes };
-        self.round(|floor| {
-            floor.list_begins(how, (0..CELLS).map(streamer));
+        let off = self.transport.unavailable.clone();
+        let listing = if complete { Listing::Complete } else { Listing::Changes };
+        self.round(|handler| {
+            handler.list_begins(listing, (0..CELLS).map(streamer));
             for other in (0..CELLS).filter(|other| complete || *other == cell) {
                 let id = streamer(other);
                 let health = if off.contains(&id) { Health::Gone } else { Health::Ready };
-                floor.list_entry(id, 0, 0, other, health, 1.0, Start::default());
+                handler.list_entry(id, 0, 0, other, health, 1.0, Start::default());
             }
-            floor.list_ends(how);
+            handler.list_ends(listing);
         });
     }
 
-    /// After the longest wait every line that still wanted an answer has one.
+    /// After the longest client timeout every connection that still waits must have been answered.
     fn settle(&mut self) {
-        self.wait(ms(2100));
-        for (line, seen) in &self.ends.lines {
-            assert!(seen.answers == 1 || seen.left, "rule 1: line {line} has no answer: {seen:?}");
+        self.advance(ms(2100));
+        for (connection, connection_state) in &self.transport.connections {
+            assert!(
+                connection_state.answers == 1 || connection_state.left,
+                "rule 1: connection {connection} has no answer: {connection_state:?}"
+            );
         }
-        assert!(self.exchange.book().len() <= 20, "the bound of subscriptions holds");
+        assert!(self.exchange.book().len() <= 20, "the maximum of subscriptions is kept");
     }
 }
 
 #[test]
-fn the_rules_are_kept_on_generated_sequences_in_any_order() {
-    let mut plays = 0;
+fn the_rules_hold_on_generated_sequences_of_events() {
+    let mut playing = 0;
     for seed in 0..150 {
         let mut gen = Gen::from_size_and_seed(100, seed);
-        let mut rig = Rig::new();
+        let mut harness = Harness::new();
         for _ in 0..250 {
-            rig.act(&Event::arbitrary(&mut gen));
+            harness.act(&Event::arbitrary(&mut gen));
         }
-        rig.settle();
-        plays += rig.ends.granted.len();
+        harness.settle();
+        playing += harness.transport.granted.len();
     }
-    assert!(plays > 300, "only {plays} subscriptions played: the sequences test too little");
+    assert!(playing > 300, "only {playing} subscriptions played: the sequences test too little");
 }
 
-/// Takes a join to the point where it plays.
-fn flow(rig: &mut Rig, id: (JobId, u16)) {
-    rig.round(|floor| {
-        floor.steps().join_opened(id.0, id.1);
-        floor.steps().join_set_up(id.0, id.1, 200, &[]);
-        floor.steps().join_granted(id.0, id.1, 200, &[]);
-        floor.steps().join_media(id.0, id.1);
+/// Leads a join to the point where it plays.
+fn play(harness: &mut Harness, id: (JobId, u16)) {
+    harness.round(|handler| {
+        handler.steps().join_opened(id.0, id.1);
+        handler.steps().join_set_up(id.0, id.1, 200, &[]);
+        handler.steps().join_granted(id.0, id.1, 200, &[]);
+        handler.steps().join_media(id.0, id.1);
     });
 }
 
-fn only_out(rig: &Rig) -> (JobId, u16) {
-    let out = rig.ends.out();
+fn only_outstanding(harness: &Harness) -> (JobId, u16) {
+    let out = harness.transport.outstanding();
     assert_eq!(out.len(), 1, "{out:?}");
     out[0]
 }
 
 #[test]
 fn a_streamer_that_dies_after_setup_and_before_play_costs_a_join_but_no_answer() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    rig.round(|floor| {
-        floor.steps().join_opened(first.0, first.1);
-        floor.steps().join_set_up(first.0, first.1, 200, &[]);
-        floor.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    harness.round(|handler| {
+        handler.steps().join_opened(first.0, first.1);
+        handler.steps().join_set_up(first.0, first.1, 200, &[]);
+        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
     });
-    let second = only_out(&rig);
-    assert_ne!(rig.ends.joins[&first].streamer, rig.ends.joins[&second].streamer);
-    flow(&mut rig, second);
-    assert_eq!((rig.ends.lines[&1].answers, rig.ends.granted.get(&1)), (1, Some(&second.0)));
+    let second = only_outstanding(&harness);
+    assert_ne!(harness.transport.joins[&first].streamer, harness.transport.joins[&second].streamer);
+    play(&mut harness, second);
+    assert_eq!(
+        (harness.transport.connections[&1].answers, harness.transport.granted.get(&1)),
+        (1, Some(&second.0))
+    );
 }
 
 #[test]
 fn an_unsafe_room_type_is_terminated_not_set_up_again_when_its_streamer_dies() {
-    let mut rig = Rig::new();
-    rig.ask(1, 1);
-    let first = only_out(&rig);
-    rig.round(|floor| {
-        floor.steps().join_opened(first.0, first.1);
-        floor.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+    let mut harness = Harness::new();
+    harness.request(1, 1);
+    let first = only_outstanding(&harness);
+    harness.round(|handler| {
+        handler.steps().join_opened(first.0, first.1);
+        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
     });
-    assert!(rig.ends.out().is_empty());
-    assert_eq!(rig.ends.lines[&1].answers, 1);
+    assert!(harness.transport.outstanding().is_empty());
+    assert_eq!(harness.transport.connections[&1].answers, 1);
 }
 
 #[test]
-fn a_retry_while_the_first_is_out_waits_for_the_same_join() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    rig.wait(ms(100));
-    rig.ask(2, 2);
-    rig.ask(2, 1);
-    assert_eq!(only_out(&rig), first);
-    flow(&mut rig, first);
-    assert_eq!((rig.ends.lines[&1].answers, rig.ends.lines[&2].answers), (1, 1));
-    assert_eq!(rig.ends.granted.keys().collect::<Vec<_>>(), [&2], "the newest line gets the stream");
+fn a_retry_during_an_outstanding_join_waits_for_the_same_join() {
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    harness.advance(ms(100));
+    harness.request(2, 2);
+    harness.request(2, 1);
+    assert_eq!(only_outstanding(&harness), first);
+    play(&mut harness, first);
+    assert_eq!(
+        (harness.transport.connections[&1].answers, harness.transport.connections[&2].answers),
+        (1, 1)
+    );
+    assert_eq!(
+        harness.transport.granted.keys().collect::<Vec<_>>(),
+        [&2],
+        "the newest connection gets the stream"
+    );
 }
 
-/// Found by a bad day: the line given up was throttled, which says that a further try does no harm.
+/// Guards against throttling an abandoned connection, which would tell the viewer that a retry does no harm.
 #[test]
-fn a_line_given_up_for_a_newer_one_is_terminated_not_throttled() {
-    let mut rig = Rig::new();
-    rig.ask(1, 1);
-    let first = only_out(&rig);
-    rig.ask(1, 2);
-    flow(&mut rig, first);
-    assert_eq!((rig.ends.throttled.len(), rig.ends.lines[&1].answers), (0, 1));
+fn a_connection_abandoned_for_a_newer_one_is_terminated_not_throttled() {
+    let mut harness = Harness::new();
+    harness.request(1, 1);
+    let first = only_outstanding(&harness);
+    harness.request(1, 2);
+    play(&mut harness, first);
+    assert_eq!((harness.transport.throttled.len(), harness.transport.connections[&1].answers), (0, 1));
 }
 
 #[test]
-fn a_viewer_that_asks_again_while_it_plays_takes_its_stream_to_the_new_line() {
-    let mut rig = Rig::new();
-    rig.ask(1, 1);
-    let first = only_out(&rig);
-    flow(&mut rig, first);
-    rig.ask(1, 2);
-    assert_eq!(only_out(&rig), first, "an unsafe room type is not set up again");
-    assert!(rig.ends.lines[&1].left);
-    assert_eq!(rig.ends.granted.get(&2), Some(&first.0));
-    rig.round(|floor| floor.viewer_left(1, false));
-    assert_eq!(only_out(&rig), first, "the old line has no part in it any more");
-    rig.round(|floor| floor.viewer_left(2, true));
-    assert!(rig.ends.out().is_empty());
+fn a_new_request_of_a_playing_viewer_moves_the_stream_to_the_new_connection() {
+    let mut harness = Harness::new();
+    harness.request(1, 1);
+    let first = only_outstanding(&harness);
+    play(&mut harness, first);
+    harness.request(1, 2);
+    assert_eq!(only_outstanding(&harness), first, "an unsafe room type is not set up again");
+    assert!(harness.transport.connections[&1].left);
+    assert_eq!(harness.transport.granted.get(&2), Some(&first.0));
+    harness.round(|handler| handler.viewer_left(1, false));
+    assert_eq!(only_outstanding(&harness), first, "the old connection does not affect it any more");
+    harness.round(|handler| handler.viewer_left(2, true));
+    assert!(harness.transport.outstanding().is_empty());
 }
 
-/// Found by a short day: a retry waited unread while the controller was stopped, and its first try had ended.
+/// Guards against a retry that waited unread while the controller was stopped, and whose first try had ended.
 #[test]
-fn a_retry_read_after_the_unsafe_first_try_was_terminated_gets_the_same_end() {
-    let mut rig = Rig::new();
-    rig.ask(1, 1);
-    let first = only_out(&rig);
-    rig.round(|floor| floor.steps().join_opened(first.0, first.1));
-    rig.wait(ms(400));
-    assert_eq!(rig.ends.lines[&1].answers, 1, "terminated: it may have run");
-    rig.ask(1, 2);
-    assert_eq!((rig.ends.lines[&2].answers, rig.ends.out().len(), rig.ends.throttled.len()), (1, 0, 0));
-    // Viewers of safe room types may come again at once.
-    rig.ask(2, 3);
-    assert_eq!(rig.ends.out().len(), 1);
+fn a_retry_read_after_the_unsafe_first_try_was_terminated_is_terminated_too() {
+    let mut harness = Harness::new();
+    harness.request(1, 1);
+    let first = only_outstanding(&harness);
+    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    harness.advance(ms(400));
+    assert_eq!(harness.transport.connections[&1].answers, 1, "terminated: it may have run");
+    harness.request(1, 2);
+    assert_eq!(
+        (
+            harness.transport.connections[&2].answers,
+            harness.transport.outstanding().len(),
+            harness.transport.throttled.len()
+        ),
+        (1, 0, 0)
+    );
+    // Viewers of safe room types may retry at once.
+    harness.request(2, 3);
+    assert_eq!(harness.transport.outstanding().len(), 1);
 }
 
 #[test]
-fn the_answer_and_the_time_out_in_one_round_give_the_answer() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    let until = rig.exchange.book().get(first.0).unwrap().join.as_ref().unwrap().until;
-    rig.ends.now = until + ms(1);
-    flow(&mut rig, first);
-    assert_eq!(rig.ends.granted.get(&1), Some(&first.0));
-    assert_eq!(rig.ends.joins.len(), 1);
+fn an_answer_in_the_round_of_the_time_out_counts() {
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    let until = harness.exchange.book().get(first.0).unwrap().join.as_ref().unwrap().until;
+    harness.transport.now = until + ms(1);
+    play(&mut harness, first);
+    assert_eq!(harness.transport.granted.get(&1), Some(&first.0));
+    assert_eq!(harness.transport.joins.len(), 1);
 }
 
 #[test]
-fn an_answer_that_comes_after_its_join_was_given_up_changes_nothing() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    rig.round(|floor| floor.steps().join_opened(first.0, first.1));
-    rig.wait(ms(400));
-    let second = only_out(&rig);
+fn an_answer_after_the_time_out_of_its_join_is_ignored() {
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    harness.advance(ms(400));
+    let second = only_outstanding(&harness);
     assert_eq!(second, (first.0, 1));
-    rig.round(|floor| {
-        floor.steps().join_set_up(first.0, first.1, 200, &[]);
-        floor.steps().join_granted(first.0, first.1, 200, &[]);
-        floor.steps().join_media(first.0, first.1);
+    harness.round(|handler| {
+        handler.steps().join_set_up(first.0, first.1, 200, &[]);
+        handler.steps().join_granted(first.0, first.1, 200, &[]);
+        handler.steps().join_media(first.0, first.1);
     });
-    assert!(rig.ends.granted.is_empty());
-    flow(&mut rig, second);
-    assert_eq!(rig.ends.lines[&1].answers, 1);
+    assert!(harness.transport.granted.is_empty());
+    play(&mut harness, second);
+    assert_eq!(harness.transport.connections[&1].answers, 1);
 }
 
 #[test]
-fn a_drain_told_while_the_connection_is_made_sends_the_join_elsewhere() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    let cell = u32::from(rig.ends.joins[&first].streamer.port()) - 100;
-    rig.list(cell, 0, false);
-    rig.round(|floor| floor.steps().join_opened(first.0, first.1));
-    let second = only_out(&rig);
-    assert!(!rig.ends.joins[&first].set_up);
-    assert_ne!(rig.ends.joins[&second].streamer, rig.ends.joins[&first].streamer);
+fn a_drain_reported_while_connecting_sends_the_join_elsewhere() {
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    let cell = u32::from(harness.transport.joins[&first].streamer.port()) - 100;
+    harness.list(cell, 0, false);
+    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    let second = only_outstanding(&harness);
+    assert!(!harness.transport.joins[&first].set_up);
+    assert_ne!(harness.transport.joins[&second].streamer, harness.transport.joins[&first].streamer);
 }
 
 #[test]
-fn a_list_change_a_drain_and_a_death_in_the_round_of_the_join_are_kept_apart() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    let first = only_out(&rig);
-    let at = rig.ends.joins[&first].streamer;
-    rig.ends.off.insert(at);
-    rig.round(|floor| {
-        floor.list_begins(Listing::Changes, std::iter::empty());
-        floor.list_entry(at, 0, 0, u32::from(at.port()) - 100, Health::Draining, 1.0, Start::default());
-        floor.list_ends(Listing::Changes);
-        floor.steps().join_opened(first.0, first.1);
-        floor.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+fn a_drain_and_a_reset_in_the_round_of_the_join_are_handled_separately() {
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    let first = only_outstanding(&harness);
+    let at = harness.transport.joins[&first].streamer;
+    harness.transport.unavailable.insert(at);
+    harness.round(|handler| {
+        handler.list_begins(Listing::Changes, std::iter::empty());
+        handler.list_entry(at, 0, 0, u32::from(at.port()) - 100, Health::Draining, 1.0, Start::default());
+        handler.list_ends(Listing::Changes);
+        handler.steps().join_opened(first.0, first.1);
+        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
     });
-    let second = only_out(&rig);
-    assert_ne!(rig.ends.joins[&second].streamer, at);
+    let second = only_outstanding(&harness);
+    assert_ne!(harness.transport.joins[&second].streamer, at);
 }
 
 #[test]
-fn the_exchange_answers_in_time_where_the_module_cannot() {
-    // A stopped program: no round for longer than the viewer waits, but for the last fifty milliseconds.
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    rig.ends.now += ms(1951);
-    rig.round(|_| {});
-    assert_eq!(rig.ends.lines[&1].answers, 1);
-    assert!(rig.ends.out().is_empty());
+fn the_exchange_answers_in_time_if_the_module_cannot() {
+    // A stopped process: no round until fifty milliseconds before the viewer gives up.
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    harness.transport.now += ms(1951);
+    harness.round(|_| {});
+    assert_eq!(harness.transport.connections[&1].answers, 1);
+    assert!(harness.transport.outstanding().is_empty());
 }
 
 #[test]
 fn a_viewer_that_leaves_frees_its_join_and_its_seat() {
-    let mut rig = Rig::new();
-    rig.ask(2, 1);
-    rig.ask(4, 2);
-    assert_eq!(rig.ends.out().len(), 2);
-    rig.ask(6, 3);
-    assert_eq!(rig.ends.out().len(), 2, "two seats for the title");
-    rig.round(|floor| floor.viewer_left(1, false));
-    rig.wait(ms(60));
-    assert_eq!(rig.ends.out().len(), 2, "the freed seat is taken");
-    assert!(rig.ends.lines[&3].answers == 0);
+    let mut harness = Harness::new();
+    harness.request(2, 1);
+    harness.request(4, 2);
+    assert_eq!(harness.transport.outstanding().len(), 2);
+    harness.request(6, 3);
+    assert_eq!(harness.transport.outstanding().len(), 2, "two seats for the title");
+    harness.round(|handler| handler.viewer_left(1, false));
+    harness.advance(ms(60));
+    assert_eq!(harness.transport.outstanding().len(), 2, "the freed seat is taken");
+    assert!(harness.transport.connections[&3].answers == 0);
 }
 
 #[test]
-fn viewers_turned_away_come_back_spread_at_the_pace_of_departures() {
+fn cool_downs_spread_retries_at_the_rate_of_departures() {
     let mut admission = Admission::new(1, 3);
-    assert_eq!(admission.take(ms(0)), Ok(()));
-    let waits: Vec<Duration> = (0..20).map(|_| admission.take(ms(10)).unwrap_err()).collect();
-    assert!(waits.iter().all(|wait| (ms(500)..=ms(8000)).contains(wait)), "{waits:?}");
-    assert!(waits[7] > waits[0] + ms(2000), "{waits:?}");
+    assert_eq!(admission.admit(ms(0)), Ok(()));
+    let cool_downs: Vec<Duration> = (0..20).map(|_| admission.admit(ms(10)).unwrap_err()).collect();
+    assert!(cool_downs.iter().all(|cool_down| (ms(500)..=ms(8000)).contains(cool_down)), "{cool_downs:?}");
+    assert!(cool_downs[7] > cool_downs[0] + ms(2000), "{cool_downs:?}");
     admission.leave(ms(100));
-    assert_eq!(admission.take(ms(100)), Ok(()));
-    // Departures at fifty a second bring the queue on faster.
+    assert_eq!(admission.admit(ms(100)), Ok(()));
+    // Departures at fifty a second move the queue faster.
     for at in 0..500 {
         admission.leave(ms(20 * at));
-        let _ = admission.take(ms(20 * at));
+        let _ = admission.admit(ms(20 * at));
     }
-    let quick = admission.take(ms(10_000)).unwrap_err();
+    let quick = admission.admit(ms(10_000)).unwrap_err();
     assert!(quick <= ms(1000), "{quick:?}");
 }
--- a/crates/names/src/lib.rs
+++ b/crates/names/src/lib.rs
@@ -1,9 +1,9 @@
-//! The list of streamers as the platform tells it: the events of a start as JSON, and all later ones by DNS.
-//! [`Names`] holds the list, asks, and judges what counts as an answer; what has changed goes entry by entry
-//! into a [`Tells`]. It knows no socket and no clock.
+//! The platform's list of streamers: loaded from the events in the configuration (JSON) and updated by
+//! answers of the name service (DNS). [`StreamerList`] stores the list, creates queries and validates
+//! answers; changes are reported entry by entry to a [`StreamerSink`]. It does no I/O and has no clock.
 
 mod answer;
-mod known;
+mod configured_events;
 #[cfg(test)]
 mod tests;
 
@@ -13,34 +13,34 @@
 use badgerledge_core::interface::Health;
 use simple_dns::{Name, Packet, Question, CLASS, QCLASS, QTYPE, TYPE};
 
-/// What is asked for: the streamers, all of them.
-const FLEET: &str = "_work._tcp.fleet.local";
-/// Answers to this many of the latest queries count: those of ten seconds at five a second, so that a slow service is
-/// heard. An answer that comes late does no harm, since its serial says how old it is.
-const OPEN_QUERIES: usize = 50;
+/// The name to query for all streamers.
+const FLEET_NAME: &str = "_work._tcp.fleet.local";
+/// Answers to this many of the latest queries are accepted: at five queries a second those of ten seconds, so
+/// that a slow service is usable. A late answer does no harm, since its serial number tells how old it is.
+const MAX_OUTSTANDING_QUERIES: usize = 50;
 
-/// Why an answer or an event changes nothing.
+/// Why an answer or an event was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    #[error("no DNS message")]
+    #[error("not a DNS message")]
     NotDns,
-    #[error("an answer to another question")]
-    Foreign,
-    #[error("the service reports a failure, or cut its answer short")]
-    Unanswered,
-    #[error("records of a streamer are missing or not of their kind")]
-    NotWhole,
-    #[error("records that contradict each other")]
-    Contradicts,
-    #[error("an older list than the one held")]
-    Old,
-    #[error("{0} is missing or not of its kind")]
+    #[error("the answer does not match an outstanding query")]
+    Unrelated,
+    #[error("the name service reports a failure or truncated its answer")]
+    ServiceFailure,
+    #[error("records of a streamer are missing or invalid")]
+    Incomplete,
+    #[error("records contradict each other")]
+    Contradictory,
+    #[error("the list is older than the stored one")]
+    Outdated,
+    #[error("{0} is missing or invalid")]
     Field(&'static str),
 }
 
-/// Takes what the list says of a streamer.
+/// Receives the entries of the streamer list.
 pub trait Tells {
-    /// `started` is the Unix time of a late start in milliseconds, or 0.
+    /// `started` is the Unix time in milliseconds of the streamer's latest start, or 0 if it is long past.
     #[allow(clippy::too_many_arguments)]
     fn entry(
         &mut self, id: u32, at: SocketAddrV4, zone: &str, kind: &str, cell: u32, health: Health, weight: f64,
@@ -48,122 +48,137 @@
     );
 }
 
-/// What is held of a streamer.
+/// What the list says of a streamer.
 #[derive(Clone, Debug, PartialEq)]
-struct Held {
-    at: SocketAddrV4,
+struct StreamerRecord {
+    address: SocketAddrV4,
     zone: String,
     kind: String,
     cell: u32,
     health: Health,
     weight: f64,
-    started: u64,
+    started_unix_ms: u64,
 }
 
-impl Held {
-    fn tell(&self, id: u32, health: Health, tells: &mut impl Tells) {
-        tells.entry(id, self.at, &self.zone, &self.kind, self.cell, health, self.weight, self.started);
+impl StreamerRecord {
+    /// Reports this streamer with the given health.
+    fn report(&self, id: u32, health: Health, sink: &mut impl Tells) {
+        sink.entry(
+            id,
+            self.address,
+            &self.zone,
+            &self.kind,
+            self.cell,
+            health,
+            self.weight,
+            self.started_unix_ms,
+        );
     }
 }
 
-type List = BTreeMap<u32, Held>;
+type List = BTreeMap<u32, StreamerRecord>;
 
-/// The list as held, and the queries that are out.
+/// The list, and the outstanding queries.
 #[derive(Default)]
 pub struct Names {
     list: List,
-    /// The number of the last event that the list holds.
-    last: u64,
-    /// How many queries there were, and the latest of them by number, oldest first, each with its place among all.
-    asked: u64,
-    queries: VecDeque<(u16, u64)>,
-    /// The place of the latest query that was answered.
-    answered: u64,
+    /// The number of the last event contained in the list.
+    last_event: u64,
+    /// The number of queries sent; and the latest of them, oldest first, each with its id and its sequence
+    /// number.
+    queries_sent: u64,
+    outstanding: VecDeque<(u16, u64)>,
+    /// The highest sequence number among answered queries.
+    last_answered: u64,
 }
 
 impl Names {
-    /// Takes the events of a start, and tells whether the whole list is among them.
+    /// Loads the events of the configuration. Returns whether they contain the whole list.
     ///
     /// # Errors
-    /// Where an event is not in order; the list is then as it was.
-    pub fn known(&mut self, known: &serde_json::Value) -> Result<bool, Fault> {
-        let (list, last, whole) = known::read(known)?;
-        (self.list, self.last) = (list, last);
-        Ok(whole)
+    ///
+    /// If an event is invalid; the list is left unchanged.
+    pub fn known(&mut self, events: &serde_json::Value) -> Result<bool, Fault> {
+        let (list, last_event, complete) = configured_events::parse(events)?;
+        (self.list, self.last_event) = (list, last_event);
+        Ok(complete)
     }
 
-    /// The number of the last event held.
+    /// The number of the last event contained in the list.
     pub fn last(&self) -> u64 {
-        self.last
+        self.last_event
     }
 
-    /// Tells the whole list.
-    pub fn tell_all(&self, tells: &mut impl Tells) {
-        self.list.iter().for_each(|(id, held)| held.tell(*id, held.health, tells));
+    /// Reports all entries.
+    pub fn tell_all(&self, sink: &mut impl Tells) {
+        self.list.iter().for_each(|(id, streamer)| streamer.report(*id, streamer.health, sink));
     }
 
-    /// The next query, which has this number.
-    pub fn query(&mut self, number: u16) -> Vec<u8> {
-        self.asked += 1;
-        self.queries.push_back((number, self.asked));
-        while self.queries.len() > OPEN_QUERIES {
-            self.queries.pop_front();
+    /// Creates the next query, with this DNS id.
+    pub fn query(&mut self, id: u16) -> Vec<u8> {
+        self.queries_sent += 1;
+        self.outstanding.push_back((id, self.queries_sent));
+        while self.outstanding.len() > MAX_OUTSTANDING_QUERIES {
+            self.outstanding.pop_front();
         }
-        let mut packet = Packet::new_query(number);
-        let question = Question::new(Name::new_unchecked(FLEET), srv(), QCLASS::CLASS(CLASS::IN), false);
+        let mut packet = Packet::new_query(id);
+        let question =
+            Question::new(Name::new_unchecked(FLEET_NAME), srv_type(), QCLASS::CLASS(CLASS::IN), false);
         packet.questions.push(question);
         packet.build_bytes_vec().unwrap_or_default()
     }
 
-    /// Takes an answer and tells what it changes: entries that are new or other, then those that are gone.
+    /// Applies an answer and reports the changes: new and changed entries first, then removed ones. Returns
+    /// whether there were any.
     ///
     /// # Errors
-    /// Where it is no answer to count; the list is then as it was.
-    pub fn answer(&mut self, bytes: &[u8], tells: &mut impl Tells) -> Result<bool, Fault> {
-        let (list, last, place) = answer::read(bytes, &self.queries)?;
-        if last < self.last {
-            return Err(Fault::Old);
+    ///
+    /// If the answer is not accepted; the list is left unchanged.
+    pub fn answer(&mut self, bytes: &[u8], sink: &mut impl Tells) -> Result<bool, Fault> {
+        let (list, last_event, sequence) = answer::parse(bytes, &self.outstanding)?;
+        if last_event < self.last_event {
+            return Err(Fault::Outdated);
         }
-        self.answered = self.answered.max(place);
-        if last == self.last {
+        self.last_answered = self.last_answered.max(sequence);
+        if last_event == self.last_event {
             return Ok(false);
         }
-        let before = std::mem::replace(&mut self.list, list);
-        self.last = last;
-        for (id, held) in &self.list {
-            if before.get(id) != Some(held) {
-                held.tell(*id, held.health, tells);
+        let previous = std::mem::replace(&mut self.list, list);
+        self.last_event = last_event;
+        for (id, streamer) in &self.list {
+            if previous.get(id) != Some(streamer) {
+                streamer.report(*id, streamer.health, sink);
             }
         }
-        for (id, held) in before.iter().filter(|(id, _)| !self.list.contains_key(id)) {
-            held.tell(*id, Health::Gone, tells);
+        for (id, streamer) in previous.iter().filter(|(id, _)| !self.list.contains_key(id)) {
+            streamer.report(*id, Health::Gone, sink);
         }
         Ok(true)
     }
 
-    /// How many queries there were so far.
+    /// The number of queries sent so far.
     pub fn asked(&self) -> u64 {
-        self.asked
+        self.queries_sent
     }
 
-    /// Which of them, counted from one, was the latest that has an answer; zero for none.
+    /// The sequence number, from one, of the latest answered query; zero if none was answered.
     pub fn answered(&self) -> u64 {
-        self.answered
+        self.last_answered
     }
 
-    /// Forgets the queries that are out: another service is asked from now on.
+    /// Forgets the outstanding queries, because another name service is used from now on.
     pub fn forget_queries(&mut self) {
-        self.queries.clear();
+        self.outstanding.clear();
     }
 }
 
-fn srv() -> QTYPE {
+fn srv_type() -> QTYPE {
     QTYPE::TYPE(TYPE::SRV)
 }
 
-/// The 32 bits of an id such as `s-00c41f7a`.
+/// Parses a streamer id such as `s-00c41f7a` to its 32 bits.
 pub fn id_of(text: &str) -> Option<u32> {
     let digits = text.strip_prefix("s-")?;
-    let whole = digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    whole.then(|| u32::from_str_radix(digits, 16).ok()).flatten()
+    let valid = digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    valid.then(|| u32::from_str_radix(digits, 16).ok()).flatten()
 }
--- /dev/null
+++ b/crates/platform/src/connection_pool_tests.rs
@@ -0,0 +1,440 @@
+//! Connections to streamers and viewers on loopback sockets; the time is passed in, not waited for.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::time::Duration;
+
+use badgerledge_core::interface::{Ending, StreamerId};
+use badgerledge_reactor::{Happening, Line, Reactor};
+
+use crate::session_table::streamer_id;
+use crate::streamer_pool::{PoolEvent, StreamerPool};
+use crate::viewer_pool::{ViewerPool, BOUNDS};
+
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+fn secs(n: u64) -> Duration {
+    Duration::from_secs(n)
+}
+
+struct Harness {
+    reactor: Reactor,
+    pool: StreamerPool,
+    listener: TcpListener,
+    now: Duration,
+}
+
+impl Harness {
+    /// A pool limited to this many connections, with one listed streamer.
+    fn new(max_connections: usize) -> Self {
+        let mut reactor = Reactor::new(secs(1000)).unwrap();
+        let mut pool =
+            StreamerPool::new(max_connections, Duration::from_millis(250), secs(30), 32, secs(3), 7);
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        let now = reactor.now();
+        pool.streamer_listed(streamer(), address_of(&listener), now, &mut reactor);
+        Self { reactor, pool, listener, now }
+    }
+
+    /// Starts a join, accepts its connection as the streamer, and reads its offer.
+    fn join_established(&mut self, job: u32) -> TcpStream {
+        self.join(job);
+        let (remote, _) = self.listener.accept().unwrap();
+        self.until(|harness, it| match it {
+            Happening::Opened(connection) => {
+                harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
+                Some(())
+            }
+            _ => None,
+        });
+        self.reactor.flush();
+        assert_eq!(read_line(&remote), format!("join {job}"));
+        remote
+    }
+
+    fn join(&mut self, job: u32) {
+        let offer = format!("join {job}\n").into_bytes();
+        self.pool.join(job, job.into(), streamer(), offer, self.now, &mut self.reactor);
+    }
+
+    fn until<T>(&mut self, mut found: impl FnMut(&mut Self, &Happening) -> Option<T>) -> T {
+        let end = self.reactor.clock() + TIMEOUT;
+        let mut events = Vec::new();
+        while self.reactor.clock() < end {
+            self.reactor.flush();
+            self.reactor.wait(Some(end), &mut events).unwrap();
+            for event in std::mem::take(&mut events) {
+                if let Some(it) = found(self, &event) {
+                    return it;
+                }
+            }
+        }
+        panic!("no matching event within the timeout");
+    }
+
+    /// Waits until a connection closes and reports it to the pool.
+    fn close_connection(&mut self, has_sessions: bool) {
+        let connection = self.until(|_, it| match it {
+            Happening::Closed(connection, _) => Some(*connection),
+            _ => None,
+        });
+        self.pool.connection_closed(connection, self.now, has_sessions, &mut self.reactor);
+    }
+
+    fn take_events(&mut self) -> Vec<PoolEvent> {
+        std::mem::take(&mut self.pool.events)
+    }
+}
+
+fn streamer() -> StreamerId {
+    streamer_id(1)
+}
+
+fn address_of(listener: &TcpListener) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap().port())
+}
+
+fn read_line(remote: &TcpStream) -> String {
+    let mut line = String::new();
+    remote.set_read_timeout(Some(TIMEOUT)).unwrap();
+    BufReader::new(remote).read_line(&mut line).unwrap();
+    line.trim_end().to_owned()
+}
+
+/// Guards against a release that is lost because it arrives while its idle connection is being closed. The
+/// descriptor is held until the streamer closes too, a second at most.
+#[test]
+fn input_that_arrives_while_an_idle_connection_closes_is_read() {
+    let mut harness = Harness::new(8);
+    let mut remote = harness.join_established(1);
+    let connection = harness.pool_connection();
+    harness.pool.finish_join(connection, 1);
+    harness.pool.sweep(harness.now + secs(22), &[], &mut harness.reactor);
+    assert_eq!(read_line(&remote), "", "the connection is shut down towards the streamer");
+    remote.write_all(b"a release\n").unwrap();
+    let read = harness.until(|harness, it| match it {
+        Happening::Readable(readable) if *readable == connection => {
+            Some(harness.reactor.input(connection).to_vec())
+        }
+        _ => None,
+    });
+    assert_eq!(read, b"a release\n");
+    // It takes no more joins, and is closed if the streamer does not close it.
+    harness.now += secs(22);
+    drop(harness.join_established(2));
+    harness.pool.sweep(harness.now + secs(2), &[], &mut harness.reactor);
+    assert!(!harness.pool.contains(connection));
+}
+
+/// A malformed answer fails all joins on its connection, and a late answer must not be taken for that of the
+/// next join.
+#[test]
+fn each_join_has_its_own_connection_and_an_abandoned_one_is_not_reused() {
+    let mut harness = Harness::new(3);
+    let first = harness.join_established(1);
+    let second = harness.join_established(2);
+    harness.pool.withdraw_join(1, 1, streamer(), harness.now, &mut harness.reactor);
+    assert!(read_line(&first).contains("\"why\":16"));
+    let _third = harness.join_established(3);
+    // All connections are in use: one is shared now, but not the one on which a join was abandoned.
+    harness.join(4);
+    harness.reactor.flush();
+    assert_eq!(read_line(&second), "join 4");
+    second.shutdown(Shutdown::Both).unwrap();
+    harness.close_connection(false);
+    let ended = [2, 4].map(|job| PoolEvent::JoinEnded(job, Ending::Reset));
+    assert_eq!(harness.take_events(), ended);
+}
+
+#[test]
+fn a_streamer_is_lost_when_it_refuses_connections_and_not_when_one_closes() {
+    let mut harness = Harness::new(8);
+    let remote = harness.join_established(1);
+    harness.pool.finish_join(harness.pool_connection(), 1);
+    remote.shutdown(Shutdown::Both).unwrap();
+    harness.close_connection(true);
+    harness.pool.sweep(harness.now, &[streamer()], &mut harness.reactor);
+    assert_eq!(harness.take_events(), []);
+    let (again, _) = harness.listener.accept().unwrap();
+    // The streamer's process ends.
+    let port = harness.listener.local_addr().unwrap();
+    harness.listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    drop(again);
+    harness.until(|harness, it| match it {
+        Happening::Opened(connection) => {
+            harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
+            Some(())
+        }
+        _ => None,
+    });
+    harness.close_connection(true);
+    harness.pool.sweep(harness.now, &[streamer()], &mut harness.reactor);
+    if harness.take_events().is_empty() {
+        harness.close_connection(true);
+        assert_eq!(harness.take_events(), [PoolEvent::StreamerLost(streamer())], "at {port}");
+    }
+}
+
+/// Guards against a vanished machine that leaves its connections open and silent while new ones are refused:
+/// its sessions must be reported as lost. A streamer with playing sessions would send progress reports
+/// meanwhile.
+#[test]
+fn a_streamer_that_refuses_connections_is_lost_if_the_open_ones_are_silent() {
+    let mut harness = Harness::new(8);
+    let _silent = harness.join_established(1);
+    harness.pool.finish_join(harness.pool_connection(), 1);
+    harness.listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let mut sweep_after = |after: Duration| {
+        harness.now += after;
+        harness.pool.sweep(harness.now, &[streamer()], &mut harness.reactor);
+        if harness.pool.connection_count() > 1 {
+            harness.close_connection(true);
+        }
+        harness.take_events()
+    };
+    assert_eq!(sweep_after(secs(5)), [], "a single refusal may be a new process starting");
+    assert_eq!(sweep_after(secs(0)), [PoolEvent::StreamerLost(streamer())]);
+}
+
+#[test]
+fn a_streamer_at_the_address_of_a_removed_one_ends_the_sessions_of_that_one() {
+    let mut harness = Harness::new(8);
+    let _remote = harness.join_established(1);
+    let (now, address) = (harness.now, address_of(&harness.listener));
+    harness.pool.streamer_removed(streamer(), now, &mut harness.reactor);
+    assert_eq!(harness.take_events(), []);
+    harness.pool.streamer_listed(streamer_id(2), address, now, &mut harness.reactor);
+    assert_eq!(
+        harness.take_events(),
+        [PoolEvent::JoinEnded(1, Ending::Reset), PoolEvent::StreamerLost(streamer())]
+    );
+}
+
+impl Harness {
+    fn pool_connection(&self) -> Line {
+        (0..100).find(|connection| self.pool.contains(*connection)).expect("a connection")
+    }
+}
+
+/// An event loop with this many viewers' connections, in order, and the viewers' ends of them.
+fn viewers(count: usize) -> (Reactor, Vec<Line>, Vec<TcpStream>) {
+    let mut reactor = Reactor::new(secs(1000)).unwrap();
+    let (_, at) = reactor.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), BOUNDS).unwrap();
+    let (mut connections, mut events, mut remote) = (Vec::new(), Vec::new(), Vec::new());
+    while connections.len() < count {
+        remote.push(TcpStream::connect(at).unwrap());
+        reactor.wait(Some(reactor.clock() + TIMEOUT), &mut events).unwrap();
+        connections.extend(events.drain(..).filter_map(|it| match it {
+            Happening::Accepted { line: connection, .. } => Some(connection),
+            _ => None,
+        }));
+    }
+    (reactor, connections, remote)
+}
+
+/// A release is sent as its viewer closes the connection, or on a connection whose end shows only at the
+/// write: it must be sent again on another. Viewers that do not acknowledge may receive it twice.
+#[test]
+fn a_release_is_resent_if_its_connection_closes_as_it_is_sent() {
+    let (mut reactor, connections, mut remote) = viewers(2);
+    let (mut viewer_pool, now) = (ViewerPool::new(8), secs(1000));
+    for connection in &connections {
+        viewer_pool.insert(*connection, now);
+        viewer_pool.mark_serving(*connection, now, &mut reactor);
+    }
+    for (wire_id, message) in [(1, "first "), (2, "second "), (3, "third ")] {
+        viewer_pool.release(connections[0], wire_id, message.into(), now, &mut reactor);
+    }
+    viewer_pool.acknowledge_release(2);
+    viewer_pool.remove(connections[0], now + Duration::from_millis(900), &mut reactor);
+    viewer_pool.release(connections[0], 4, "fourth".into(), now + secs(1), &mut reactor);
+    reactor.flush();
+    let mut received = [0; 64];
+    remote[1].set_read_timeout(Some(TIMEOUT)).unwrap();
+    let count = remote[1].read(&mut received).unwrap();
+    assert_eq!(std::str::from_utf8(&received[..count]), Ok("first third fourth"));
+}
+
+/// A first request on a connection that is closed is lost to its viewer. Of a silent crowd, some connections
+/// are kept for half a second.
+#[test]
+fn a_connection_whose_first_set_up_may_be_on_its_way_is_evicted_last() {
+    let (mut reactor, connections, _remote) = viewers(5);
+    let (mut viewer_pool, now) = (ViewerPool::new(3), secs(1000));
+    connections[..3].iter().for_each(|connection| viewer_pool.insert(*connection, now));
+    assert!(viewer_pool.is_full());
+    viewer_pool.answer(connections[0], b"told", &mut reactor);
+    assert_eq!(
+        viewer_pool.eviction_candidate(now, |_| false),
+        Some(connections[0]),
+        "the one that was sent an answer"
+    );
+    viewer_pool.remove(connections[0], now, &mut reactor);
+    viewer_pool.insert(connections[3], now);
+    let later = now + secs(1);
+    let other = viewer_pool.eviction_candidate(later, |connection| connection == connections[1]);
+    assert_eq!(other, Some(connections[2]), "the oldest silent one without a pending set-up");
+    viewer_pool.remove(connections[2], later, &mut reactor);
+    viewer_pool.insert(connections[4], later);
+    assert_eq!(
+        viewer_pool.expired(now + secs(2), |connection| connection == connections[1]),
+        [connections[3]]
+    );
+}
+
+/// Guards against connections that were refused once and stayed, or that are silent and arrive by hundreds,
+/// evicting those that served viewers longer ago: releases could not be sent any more. In a crowd whose first
+/// set-ups may all be on their way, one connection is evicted for each that served viewers.
+#[test]
+fn connections_that_served_viewers_are_not_evicted_by_a_crowd() {
+    let (mut reactor, connections, _remote) = viewers(9);
+    let (mut viewer_pool, now) = (ViewerPool::new(8), secs(1000));
+    for (connection, since) in connections.iter().zip(0..4) {
+        viewer_pool.insert(*connection, now + secs(since));
+        viewer_pool.mark_serving(*connection, now + secs(since), &mut reactor);
+    }
+    let later = now + secs(10);
+    for connection in &connections[4..8] {
+        viewer_pool.insert(*connection, later);
+    }
+    viewer_pool.answer(connections[4], b"refused", &mut reactor);
+    let mut evicted = Vec::new();
+    while let Some(connection) = viewer_pool.eviction_candidate(later, |_| false) {
+        viewer_pool.remove(connection, later, &mut reactor);
+        evicted.push(connection);
+    }
+    let [first, second, third, fourth, refused, new @ ..] = &connections[..8] else { unreachable!() };
+    // Two of eight are reserved and evicted last; older ones are evicted before new ones.
+    assert_eq!(evicted[..3], [*refused, *first, *second]);
+    assert_eq!(evicted[3..6], *new);
+    assert_eq!(evicted[6..], [*third, *fourth]);
+}
+
+/// Guards against closing a connection with handed-over sessions after two seconds because nothing was sent
+/// on it: later releases would be lost. A viewer that abandons its set-up must not lose its connection under
+/// its next one either. A connection that sends nothing else is kept for that time.
+#[test]
+fn a_connection_with_a_handover_or_an_abandoned_set_up_is_kept() {
+    let mut reactor = Reactor::new(secs(1000)).unwrap();
+    let (mut viewer_pool, now) = (ViewerPool::new(3), secs(1000));
+    (1..=3).for_each(|connection| viewer_pool.insert(connection, now));
+    viewer_pool.mark_serving(1, now, &mut reactor);
+    viewer_pool.record_set_up(2, now + secs(1));
+    assert_eq!(viewer_pool.expired(now + secs(2), |_| false), [3]);
+    assert_eq!(viewer_pool.expired(now + secs(3), |_| false), [2, 3]);
+}
+
+/// Guards against a release that is lost because it has just arrived on an idle connection that is closed for
+/// want of descriptors. The join gets no connection in that round.
+#[test]
+fn an_idle_connection_with_unread_input_is_not_closed_to_make_room() {
+    let mut harness = Harness::new(1);
+    let mut remote = harness.join_established(1);
+    let connection = harness.pool_connection();
+    harness.pool.finish_join(connection, 1);
+    remote.write_all(b"a release\n").unwrap();
+    std::thread::sleep(Duration::from_millis(50));
+    let other = streamer_id(2);
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    harness.pool.streamer_listed(other, address_of(&listener), harness.now, &mut harness.reactor);
+    harness.pool.join(2, 2, other, b"join 2\n".to_vec(), harness.now, &mut harness.reactor);
+    let events = harness.take_events();
+    assert_eq!(events, [PoolEvent::Readable(connection), PoolEvent::JoinEnded(2, Ending::ConnectFailed)]);
+    assert_eq!(harness.reactor.input(connection), b"a release\n");
+    // Once the input is handled the connection can be closed.
+    harness.reactor.consume(connection, 10);
+    harness.pool.join(3, 3, other, b"join 3\n".to_vec(), harness.now, &mut harness.reactor);
+    assert_eq!((harness.take_events(), harness.pool.contains(connection)), (Vec::new(), false));
+}
+
+/// A join queued behind bytes that its streamer does not read could not be withdrawn, and would begin long
+/// after its viewer has gone.
+#[test]
+fn a_join_is_not_queued_behind_bytes_that_a_streamer_does_not_read() {
+    let mut harness = Harness::new(1);
+    let remote = harness.join_established(1);
+    let connection = harness.pool_connection();
+    let long = vec![b' '; 16 * 1024];
+    while harness.reactor.unwritten(connection) == 0 {
+        harness.reactor.send(connection, &[&long]);
+        harness.reactor.flush_line(connection);
+    }
+    harness.join(2);
+    assert_eq!(harness.take_events(), [PoolEvent::JoinEnded(2, Ending::ConnectFailed)]);
+    drop(remote);
+}
+
+/// Guards against an end for a streamer that is lost because its connection closed as it was sent, or was
+/// never established: the session would play on without a viewer. A streamer may receive an end twice.
+#[test]
+fn a_message_to_a_streamer_is_resent_if_its_connection_closes_or_is_not_established() {
+    let mut harness = Harness::new(8);
+    let remote = harness.join_established(1);
+    let connection = harness.pool_connection();
+    harness.pool.finish_join(connection, 1);
+    harness.pool.send(streamer(), b"end 1\n".to_vec(), harness.now, &mut harness.reactor);
+    harness.reactor.flush();
+    assert_eq!(read_line(&remote), "end 1");
+    harness.now += Duration::from_millis(900);
+    drop(remote);
+    harness.close_connection(false);
+    assert!(harness.pool.has_pending_output(harness.now, &harness.reactor));
+    // No process listens there for now.
+    let address = harness.listener.local_addr().unwrap();
+    harness.listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    harness.pool.sweep(harness.now, &[], &mut harness.reactor);
+    if harness.pool.connection_count() > 0 {
+        harness.close_connection(false);
+    }
+    harness.pool.send(streamer(), b"end 2\n".to_vec(), harness.now, &mut harness.reactor);
+    if harness.pool.connection_count() > 0 {
+        harness.close_connection(false);
+    }
+    harness.listener = TcpListener::bind(address).unwrap();
+    harness.pool.sweep(harness.now, &[], &mut harness.reactor);
+    assert_eq!(harness.pool.connection_count(), 1, "a connection is started for the queued message");
+    let (remote, _) = harness.listener.accept().unwrap();
+    harness.until(|harness, it| match it {
+        Happening::Opened(connection) => {
+            harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
+            Some(())
+        }
+        _ => None,
+    });
+    harness.reactor.flush();
+    let mut remote = BufReader::new(remote);
+    for expected in ["end 1\n", "end 2\n"] {
+        let mut received = String::new();
+        remote.read_line(&mut received).unwrap();
+        assert_eq!(received, expected);
+    }
+    assert!(!harness.pool.has_pending_output(harness.now, &harness.reactor));
+    // A message sent long enough ago was received, and is not sent again.
+    harness.now += secs(1);
+    drop(remote);
+    harness.close_connection(false);
+    assert!(!harness.pool.has_pending_output(harness.now, &harness.reactor));
+}
+
+/// Guards against a release that waited for a viewers' connection and was then not tracked on the connection
+/// that it was sent on.
+#[test]
+fn a_queued_release_is_resent_if_the_connection_it_was_sent_on_closes() {
+    let (mut reactor, connections, mut remote) = viewers(2);
+    let (mut viewer_pool, now) = (ViewerPool::new(8), secs(1000));
+    viewer_pool.release(77, 1, b"waits".to_vec(), now, &mut reactor);
+    assert!(
+        viewer_pool.has_pending_output(now + secs(7), &reactor)
+            && !viewer_pool.has_pending_output(now + secs(8), &reactor)
+    );
+    viewer_pool.insert(connections[0], now);
+    viewer_pool.mark_serving(connections[0], now + secs(2), &mut reactor);
+    viewer_pool.remove(connections[0], now + secs(2), &mut reactor);
+    viewer_pool.insert(connections[1], now);
+    viewer_pool.mark_serving(connections[1], now + secs(2), &mut reactor);
+    reactor.flush();
+    let mut received = [0; 64];
+    remote[1].set_read_timeout(Some(TIMEOUT)).unwrap();
+    let count = remote[1].read(&mut received).unwrap();
+    assert_eq!(&received[..count], b"waits");
+}
--- /dev/null
+++ b/crates/platform/src/connections.rs
@@ -0,0 +1,74 @@
+//! Implements [`Transport`] with the connections of the event loop.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use badgerledge_core::interface::{JobId, StreamerId};
+use badgerledge_reactor::{Line, Reactor};
+use badgerledge_signalling::viewers;
+
+use crate::configuration::Configuration;
+use crate::streamer_pool::StreamerPool;
+use crate::transport::Transport;
+use crate::viewer_pool::ViewerPool;
+
+/// Upper bound for a datagram between controllers.
+const MAX_DATAGRAM_BYTES: usize = 256;
+
+/// All sockets of the process, and the time of the current wait.
+pub struct Connections {
+    pub reactor: Reactor,
+    pub now: Duration,
+    pub viewer_pool: ViewerPool,
+    pub streamer_pool: StreamerPool,
+    pub configuration: Configuration,
+    /// The datagram socket to the other controllers.
+    pub peer_socket: Option<Line>,
+}
+
+impl Transport for Connections {
+    fn answer(&mut self, connection: Line, message: &[u8]) -> bool {
+        let accepted = self.viewer_pool.answer(connection, message, &mut self.reactor);
+        self.viewer_pool.record_answer(connection, viewers::session(message), self.now);
+        accepted
+    }
+
+    fn release(&mut self, connection: Line, wire_id: u64, message: Vec<u8>) {
+        self.viewer_pool.release(connection, wire_id, message, self.now, &mut self.reactor);
+    }
+
+    fn mark_serving(&mut self, connection: Line) {
+        self.viewer_pool.mark_serving(connection, self.now, &mut self.reactor);
+    }
+
+    fn join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>) {
+        self.streamer_pool.join(job, wire_id, streamer, offer, self.now, &mut self.reactor);
+    }
+
+    fn withdraw_join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId) {
+        self.streamer_pool.withdraw_join(job, wire_id, streamer, self.now, &mut self.reactor);
+    }
+
+    fn send(&mut self, streamer: StreamerId, message: Vec<u8>) {
+        self.streamer_pool.send(streamer, message, self.now, &mut self.reactor);
+    }
+
+    fn probe(&mut self, streamer: StreamerId) {
+        self.streamer_pool.probe(streamer, self.now, &mut self.reactor);
+    }
+
+    fn close_idle(&mut self, streamer: StreamerId) {
+        self.streamer_pool.close_idle(streamer, &mut self.reactor);
+    }
+
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
+        let address = match peer {
+            Some(peer) => self.configuration.peers.get(usize::from(peer)).copied(),
+            None => self.configuration.peers_broadcast,
+        };
+        let (Some(connection), Some(address)) = (self.peer_socket, address) else { return };
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            self.reactor.send_to(connection, SocketAddr::V4(address), bytes);
+        }
+    }
+}
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -1,59 +1,67 @@
-//! Takes the module's decisions as they are made, and carries each out at once.
+//! Carries out the decisions of the decision module as they are made.
 
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, JobId, Listing, StreamerId, Writer};
 use badgerledge_signalling::{streamers, viewers};
 
-use crate::calls::{trace, Calls, Due, Offered};
-use crate::causes::{CUT, THROTTLED};
 use crate::phase::Phase;
-use crate::unanswered::{By, Step};
-use crate::wires::Wires;
+use crate::release_causes::{FAILED, THROTTLED};
+use crate::session_store::{trace_session, OfferFields, SessionStore, Timer};
+use crate::transport::Transport;
+use crate::unanswered::{ClosedBy, Step};
 
-/// How long a streamer has to end what was moved before it is told to.
-const MOVED_WITHIN: Duration = Duration::from_millis(600);
+/// How long a streamer may take to end a moved session before it is told to.
+const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
 
 pub struct Dispatcher<'a, W> {
     pub now: Duration,
-    pub calls: &'a mut Calls,
-    pub wires: &'a mut W,
+    pub store: &'a mut SessionStore,
+    pub transport: &'a mut W,
 }
 
-impl<W: Wires> Dispatcher<'_, W> {
-    /// The final answer to a call that no join is out for.
+impl<W: Transport> Dispatcher<'_, W> {
+    /// Sends the final answer to a session that waits for one.
     fn answer(&mut self, job: JobId, cause: u8, cool_down: Duration) {
-        let Some(call) = self.calls.get(job).filter(|call| call.phase.is_open()) else { return };
-        let (line, wire_id) = (call.line, call.wire_id);
-        if !self.wires.answer(line, &viewers::release(wire_id, cause, cool_down)) {
-            self.calls.note_unanswered(self.now, job, By::Network, Some(Step::NotTaken));
+        let Some(session) = self.store.get(job).filter(|session| session.phase.is_pending()) else { return };
+        let (connection, wire_id) = (session.connection, session.wire_id);
+        if !self.transport.answer(connection, &viewers::release(wire_id, cause, cool_down)) {
+            self.store.count_unanswered(self.now, job, ClosedBy::Network, Some(Step::NotTaken));
         }
-        let Some(call) = self.calls.drop_call(job) else { return };
-        trace(wire_id, "answered", (cause, cool_down));
-        self.calls.withdraw_join(self.now, job, &call, self.wires);
+        let Some(session) = self.store.remove(job) else { return };
+        trace_session(wire_id, "answered", (cause, cool_down));
+        self.store.withdraw_join(self.now, job, &session, self.transport);
     }
 }
 
-impl<W: Wires> Writer for Dispatcher<'_, W> {
+impl<W: Transport> Writer for Dispatcher<'_, W> {
     fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
-        let (now, most) = (self.now, self.calls.terms.most_joins);
-        let Some(call) = self.calls.get_mut(job) else { return };
-        let join = call.joins;
-        if call.phase != Phase::Waiting || now >= call.until || join >= most {
-            let over = !call.phase.is_open();
-            return self.calls.outcome(now, job, (streamer, join, now), Ending::Moot, over, Vec::new());
+        let (now, max_joins) = (self.now, self.store.settings.max_joins);
+        let Some(session) = self.store.get_mut(job) else { return };
+        let number = session.joins;
+        if session.phase != Phase::Waiting || now >= session.answer_by || number >= max_joins {
+            let over = !session.phase.is_pending();
+            return self.store.report_outcome(
+                now,
+                job,
+                (streamer, number, now),
+                Ending::Moot,
+                over,
+                Vec::new(),
+            );
         }
-        (call.joins, call.sent, call.phase) = (join + 1, now, Phase::Out(streamer));
-        let until = try_until.min(call.until);
-        let (wire_id, rung) = (call.wire_id, call.rung);
-        let offered = self.calls.get(job).and_then(|call| call.offered.as_deref());
-        let Some(Offered { room_type, title, description }) = offered else { return };
-        let name = &self.calls.terms.room_types[*room_type];
-        let left = until.saturating_sub(now);
-        // It was checked for length when it came.
-        let offer = streamers::offer(wire_id, name, title, left, rung, description).unwrap_or_default();
-        self.calls.due.insert((until, Due::Join(job, join)));
-        self.wires.join(job, wire_id, streamer, offer);
+        (session.joins, session.join_sent_at, session.phase) = (number + 1, now, Phase::Out(streamer));
+        let until = try_until.min(session.answer_by);
+        let (wire_id, rung) = (session.wire_id, session.rung);
+        let offer = self.store.get(job).and_then(|session| session.offer.as_deref());
+        let Some(OfferFields { room_type, title, description }) = offer else { return };
+        let room_type = &self.store.settings.room_types[*room_type];
+        let timeout = until.saturating_sub(now);
+        // Its length was checked when the set-up arrived.
+        let offer =
+            streamers::offer(wire_id, room_type, title, timeout, rung, description).unwrap_or_default();
+        self.store.timers.insert((until, Timer::JoinTimeout(job, number)));
+        self.transport.join(job, wire_id, streamer, offer);
     }
 
     fn shed(&mut self, job: JobId, cool_down: Duration) {
@@ -61,76 +69,86 @@
     }
 
     fn respond_error(&mut self, job: JobId) {
-        self.answer(job, CUT, Duration::ZERO);
+        self.answer(job, FAILED, Duration::ZERO);
     }
 
     fn step_to(&mut self, job: JobId, rung: u8) {
-        let Some(call) = self.calls.get_mut(job) else { return };
-        call.rung = Some(rung);
-        if let Phase::Stands(streamer) = call.phase {
-            self.wires.say(streamer, streamers::step(call.wire_id, rung));
+        let Some(session) = self.store.get_mut(job) else { return };
+        session.rung = Some(rung);
+        if let Phase::Stands(streamer) = session.phase {
+            self.transport.send(streamer, streamers::step(session.wire_id, rung));
         }
     }
 
     fn shift(&mut self, job: JobId) {
-        let Some(call) = self.calls.get_mut(job) else { return };
-        if let Phase::Stands(streamer) = call.phase {
-            call.phase = Phase::Leaves(streamer);
-            trace(call.wire_id, "moved", streamer);
-            let (line, wire_id, message) = (call.line, call.wire_id, viewers::moved(call.wire_id));
-            // On its way it is lost for no harm: its streamer ends what was not moved.
-            if !self.wires.answer(line, &message) {
-                self.wires.release(line, wire_id, message);
+        let Some(session) = self.store.get_mut(job) else { return };
+        if let Phase::Stands(streamer) = session.phase {
+            session.phase = Phase::Leaves(streamer);
+            trace_session(session.wire_id, "moved", streamer);
+            let (connection, wire_id, message) =
+                (session.connection, session.wire_id, viewers::moved(session.wire_id));
+            // A lost message does no harm: the streamer ends a session that was not moved.
+            if !self.transport.answer(connection, &message) {
+                self.transport.release(connection, wire_id, message);
             }
-            self.calls.due.insert((self.now + MOVED_WITHIN, Due::Moved(job)));
+            self.store.timers.insert((self.now + MOVE_TIMEOUT, Timer::MoveTimeout(job)));
         }
     }
 
-    fn cancel(&mut self, job: JobId, join: u16) {
-        let Some(call) = self.calls.get_mut(job).filter(|call| call.joins == join + 1) else { return };
-        if let Phase::Out(streamer) = call.phase {
-            call.phase = Phase::Waiting;
-            let (wire_id, sent) = (call.wire_id, call.sent);
-            self.wires.withdraw(job, wire_id, streamer);
-            self.calls.outcome(self.now, job, (streamer, join, sent), Ending::Cancelled, false, Vec::new());
+    fn cancel(&mut self, job: JobId, number: u16) {
+        let Some(session) = self.store.get_mut(job).filter(|session| session.joins == number + 1) else {
+            return;
+        };
+        if let Phase::Out(streamer) = session.phase {
+            session.phase = Phase::Waiting;
+            let (wire_id, sent_at) = (session.wire_id, session.join_sent_at);
+            self.transport.withdraw_join(job, wire_id, streamer);
+            self.store.report_outcome(
+                self.now,
+                job,
+                (streamer, number, sent_at),
+                Ending::Cancelled,
+                false,
+                Vec::new(),
+            );
         }
     }
 
     fn remind(&mut self, from_now: Duration, token: u64) {
-        // Never in the round that is being answered.
+        // Never in the round that is being run.
         let at = self.now + from_now.max(Duration::from_micros(1));
-        self.calls.due.insert((at, Due::Module(token)));
+        self.store.timers.insert((at, Timer::DecisionModule(token)));
     }
 
     fn health_check(&mut self, streamer: StreamerId) {
-        self.wires.probe(streamer);
+        self.transport.probe(streamer);
     }
 
     fn close(&mut self, streamer: StreamerId) {
-        self.wires.drop_idle(streamer);
+        self.transport.close_idle(streamer);
     }
 
     fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
-        self.wires.signal(peer, bytes);
+        self.transport.send_to_peers(peer, bytes);
     }
 
     fn observe(&mut self, _want: bool) {
         self.list_all();
     }
 
-    /// The list is asked for all the time; that it came is told.
+    /// The list is queried all the time; only its arrival is reported.
     fn list_all(&mut self) {
-        self.calls.arrivals.push(Box::new(|module| {
+        self.store.inputs.push(Box::new(|module| {
             module.list_begins(Listing::Changes);
             module.list_ends(Listing::Changes);
         }));
     }
 
-    fn emit(&mut self, line: &str) {
-        tracing::info!(line, "the module");
+    fn emit(&mut self, text: &str) {
+        tracing::info!(line = text, "the decision module reports");
     }
 
-    fn give_in(&mut self, line: &str) {
-        tracing::error!(line, "the module gave in");
+    fn give_in(&mut self, text: &str) {
+        tracing::error!(line = text, "the decision module reported a fault");
     }
 }
--- /dev/null
+++ b/crates/platform/src/inbound.rs
@@ -0,0 +1,159 @@
+//! Handlers of inbound data: entries of the streamer list, viewers' frames and streamers' lines are decoded
+//! and passed to the session table and the connection pools.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use badgerledge_core::interface::{Ending, Health, Start, StreamerId};
+use badgerledge_names::Tells;
+use badgerledge_reactor::Line;
+use badgerledge_signalling::viewers::Parameters;
+use badgerledge_signalling::{streamers, viewers, Fault};
+
+use crate::connections::Connections;
+use crate::release_causes::FAILED;
+use crate::request::PlatformSettings;
+use crate::session_table::{streamer_id, ListEntry, SessionTable};
+use crate::transport::Transport;
+
+/// Collects entries of the streamer list and translates their names to the indexes that the decision module
+/// uses.
+pub struct ListEntries {
+    pub zones: Vec<String>,
+    pub kinds: Vec<String>,
+    /// Unix time at the zero of this process's clock.
+    pub unix_at_zero: Duration,
+    pub entries: Vec<ListEntry>,
+}
+
+impl Tells for ListEntries {
+    fn entry(
+        &mut self, id: u32, address: SocketAddrV4, zone: &str, kind: &str, cell: u32, health: Health,
+        weight: f64, started_unix_ms: u64,
+    ) {
+        let zone = PlatformSettings::index_of(&self.zones, zone).map_or(u16::MAX, |index| index as u16);
+        let kind = PlatformSettings::index_of(&self.kinds, kind).unwrap_or(0);
+        // The local time of a start differs between processes, so its number (Unix time in ms) is kept for
+        // comparison.
+        let started_at = match started_unix_ms {
+            0 => Duration::ZERO,
+            ms => Duration::from_millis(ms).saturating_sub(self.unix_at_zero),
+        };
+        let started = Start { at: started_at, number: started_unix_ms };
+        self.entries.push(ListEntry {
+            id: streamer_id(id),
+            address,
+            zone,
+            kind,
+            cell,
+            health,
+            weight,
+            started,
+        });
+    }
+}
+
+/// Handles the frames of a viewer's connection.
+pub struct ViewerHandler<'a> {
+    pub service: (&'a mut SessionTable, &'a mut Connections),
+    pub connection: Line,
+    pub now: Duration,
+    /// The answer to health checks.
+    pub ready: bool,
+}
+
+impl viewers::Heard for ViewerHandler<'_> {
+    fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
+        let (sessions, connections) = &mut self.service;
+        connections.viewer_pool.record_set_up(self.connection, self.now);
+        sessions.set_up(self.now, self.connection, wire_id, parameters, *connections);
+    }
+
+    fn spoilt_set_up(&mut self, wire_id: u64) {
+        let (sessions, connections) = &mut self.service;
+        sessions.reject(self.now, self.connection, wire_id, *connections);
+    }
+
+    fn ended(&mut self, wire_id: u64) {
+        let (sessions, connections) = &mut self.service;
+        sessions.ended_by_viewer(self.now, self.connection, wire_id, *connections);
+    }
+
+    fn tested(&mut self, wire_id: u64) {
+        // The answer does not mark the connection as one that serves viewers: health checkers ignore messages
+        // about sessions, so releases must not be sent to them.
+        let connections = &mut self.service.1;
+        connections.answer(self.connection, &viewers::tested(wire_id, self.ready));
+    }
+
+    fn release_heard(&mut self, wire_id: u64) {
+        self.service.1.viewer_pool.acknowledge_release(wire_id);
+    }
+}
+
+/// Handles the lines of a streamer's connection.
+pub struct StreamerHandler<'a> {
+    pub service: (&'a mut SessionTable, &'a mut Connections),
+    pub connection: Line,
+    pub streamer: StreamerId,
+    pub now: Duration,
+    pub fault: Option<Fault>,
+}
+
+impl streamers::Heard for StreamerHandler<'_> {
+    fn answered(&mut self, wire_id: u64, description: &str) {
+        let (sessions, connections) = &mut self.service;
+        match connections.streamer_pool.outstanding_join(self.connection, wire_id) {
+            Some(job) => {
+                connections.streamer_pool.finish_join(self.connection, wire_id);
+                sessions.join_answered(self.now, job, description, *connections);
+            }
+            // An answer that arrives after its join was withdrawn must not leave a session playing, so the
+            // session is ended. A duplicate answer is ignored, and so is one that coincides with a further
+            // join to the same streamer: ending that id would end the new join.
+            None if !sessions.is_joining_or_playing_at(self.streamer, wire_id) => {
+                let session = format!("{wire_id:016x}");
+                tracing::debug!(target: "badgerledge_platform::hearing", wire_id = session, "ending a session answered too late");
+                connections.reactor.send(self.connection, &[&streamers::end(wire_id, FAILED)]);
+            }
+            None => {}
+        }
+    }
+
+    fn ended(&mut self, wire_id: u64, cause: u64, load: Option<&str>) {
+        let (sessions, connections) = &mut self.service;
+        let Some(job) = connections.streamer_pool.outstanding_join(self.connection, wire_id) else {
+            return sessions.ended_by_streamer(self.now, self.streamer, wire_id, cause, load, *connections);
+        };
+        connections.streamer_pool.finish_join(self.connection, wire_id);
+        let ending = match cause {
+            34 => Ending::Full,
+            47 => Ending::Error,
+            102 => Ending::Moot,
+            _ => Ending::Reset,
+        };
+        sessions.join_ended(self.now, job, ending, load);
+    }
+
+    fn tested(&mut self, wire_id: u64, passed: bool, load: Option<&str>) {
+        let (sessions, connections) = &mut self.service;
+        let Some(sent_at) = connections.streamer_pool.take_probe(self.connection, wire_id) else { return };
+        let ending = if passed { Ending::Served } else { Ending::Error };
+        sessions.probe_finished(self.streamer, ending, self.now.saturating_sub(sent_at), load);
+    }
+
+    fn noted(&mut self, wire_id: u64, kind: &str, value: f64) {
+        let (sessions, connections) = &mut self.service;
+        match sessions.progress_report(self.streamer, wire_id, kind, value) {
+            Ok(true) => {}
+            // The session was considered lost or was abandoned, but still plays at the streamer without a
+            // viewer.
+            Ok(false) => {
+                let session = format!("{wire_id:016x}");
+                tracing::debug!(target: "badgerledge_platform::hearing", wire_id = session, note = kind, "ending an unknown session that reports progress");
+                connections.reactor.send(self.connection, &[&streamers::end(wire_id, FAILED)]);
+            }
+            Err(fault) => self.fault = Some(fault),
+        }
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,26 +1,27 @@
-//! The platform's way in and out of the controller: viewers' binary messages, streamers' JSON lines, the name
-//! service's list, joined to the event loop. The calls' [`session_table`] is free of I/O; [`run`] serves. How it is built
-//! and why: `docs/platform.md`. Every decision comes from the module in `core`.
+//! Runs a controller on the platform: viewers speak binary frames, streamers speak JSON lines, and the
+//! platform's name service provides the list of streamers. [`session_table`] tracks every session and does no
+//! I/O; [`run`] joins it to the sockets of the event loop. All placement decisions are made by the decision
+//! module in `core`. The design is described in `docs/platform.md`.
 
-mod asked;
-mod calls;
-mod causes;
 mod configuration;
 #[cfg(test)]
 mod configuration_tests;
+#[cfg(test)]
+mod connection_pool_tests;
+mod connections;
 mod dispatcher;
-mod ends;
-mod front;
-mod hearing;
+mod inbound;
 mod phase;
-mod pool;
-#[cfg(test)]
-mod pool_tests;
+mod release_causes;
+mod request;
 mod serve;
+mod session_store;
 mod session_table;
+mod streamer_pool;
 #[cfg(test)]
 mod tests;
+mod transport;
 mod unanswered;
-mod wires;
+mod viewer_pool;
 
 pub use serve::run;
--- a/crates/platform/src/phase.rs
+++ b/crates/platform/src/phase.rs
@@ -1,23 +1,23 @@
-//! How far a call has come.
+//! The phases of a session.
 
 use badgerledge_core::interface::StreamerId;
 
-/// Where a call is.
+/// The phase of a session. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The module holds it.
+    /// Waiting for the decision module to place it.
     Waiting,
-    /// A join is out.
+    /// A join at this streamer is outstanding.
     Out(StreamerId),
-    /// Its subscription stands at that streamer.
+    /// Playing at this streamer.
     Stands(StreamerId),
-    /// It was moved away, and its streamer has yet to end it.
+    /// Moved away from this streamer, which has not yet ended it.
     Leaves(StreamerId),
 }
 
 impl Phase {
-    /// Whether its viewer still waits for an answer.
-    pub fn is_open(self) -> bool {
+    /// Whether the viewer still waits for an answer to its set-up.
+    pub fn is_pending(self) -> bool {
         matches!(self, Self::Waiting | Self::Out(_))
     }
 }
--- /dev/null
+++ b/crates/platform/src/release_causes.rs
@@ -0,0 +1,12 @@
+//! Release causes on the wire.
+
+/// The session ended normally.
+pub const NORMAL: u8 = 16;
+/// Sent by a streamer for a session that was moved away from it or that its viewer left.
+pub const MOVED: u8 = 31;
+/// The session failed, or could not be served in time.
+pub const FAILED: u8 = 41;
+/// The viewer is throttled and should retry later.
+pub const THROTTLED: u8 = 42;
+/// The set-up request was invalid.
+pub const INVALID_REQUEST: u8 = 96;
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -1,4 +1,5 @@
-//! The way in's loop: what a wake brought goes to the session table at once, and once a tick to a round of the module.
+//! The main loop: passes the events of each wait to the session table, and runs a round of the decision
+//! module at most once per tick.
 
 mod discovery;
 
@@ -16,197 +17,213 @@
 use badgerledge_signalling::{streamers, viewers};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::asked::Terms;
 use crate::configuration;
-use crate::ends::Ends;
-use crate::front::{self, Front};
-use crate::hearing::{StreamerEar, ViewerEar};
-use crate::pool::{Happened, Pool};
+use crate::connections::Connections;
+use crate::inbound::{StreamerHandler, ViewerHandler};
+use crate::request::PlatformSettings;
 use crate::session_table::SessionTable;
-use crate::unanswered::{By, Lost, Step};
+use crate::streamer_pool::{PoolEvent, StreamerPool};
+use crate::unanswered::{ClosedBy, Step, UnansweredSetUp};
+use crate::viewer_pool::{self, ViewerPool};
 
-/// The clock begins here, so that a streamer's start long before the process has a time.
-const ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
-/// Connections are looked at this often: well under every time-out there is.
-const SWEEP_EVERY: Duration = Duration::from_millis(100);
-/// Connections taken in one wake at most: each holds a descriptor before it is known which may stay.
-const ACCEPTED_AT_ONCE: usize = 8;
-/// Descriptors that are neither viewers' nor streamers': three standard ones, three of the poller, the listener, two
-/// of each signal, two for datagrams; what is taken in one wake; and the configuration as it is read anew.
-const SPARE: usize = 15 + ACCEPTED_AT_ONCE + 1;
-/// After SIGTERM viewers still come for 0.6 s; and what is held is ended at the latest after this, or once the longest
-/// wait of the settings is over.
-const STILL_COMING: Duration = Duration::from_millis(1500);
-const LONGEST_END: Duration = Duration::from_secs(30);
-/// How long the other ends may take to read what was said last and to close: as long as a release may take.
-const PARTING: Duration = Duration::from_secs(1);
-/// Where the name service says nothing tests pass after this: what it would have told counts as told by then, and nine
-/// in ten restarts have to be ready within ten seconds.
-const READY_WITHOUT: Duration = Duration::from_millis(4500);
+/// Start of the clock, so that streamers that started long before this process have a positive time.
+const CLOCK_START: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Interval at which the time-outs of connections are checked: well under each of them.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Connections accepted per wait: each uses a descriptor before it is known whether it may stay.
+const MAX_ACCEPTS_PER_WAIT: usize = 8;
+/// Descriptors used for neither viewers nor streamers: three standard streams, three of the poller, the
+/// listener, two for each signal, two datagram sockets; the connections accepted in one wait; and the
+/// configuration file while it is reread.
+const RESERVED_DESCRIPTORS: usize = 15 + MAX_ACCEPTS_PER_WAIT + 1;
+/// Viewers still arrive for 0.6 s after SIGTERM, so the process serves at least this long.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(1500);
+/// All sessions are ended at the latest after this time, or after the longest client timeout if that is longer.
+const MAX_SHUTDOWN: Duration = Duration::from_secs(30);
+/// How long peers may take to read the last messages and close: as long as a release may take.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// If the name service does not answer, health checks succeed after this time: by then all events it could
+/// have reported count as reported, and nine in ten restarts must be ready within ten seconds.
+const READY_WITHOUT_LIST_AFTER: Duration = Duration::from_millis(4500);
 
+/// A running controller.
 pub struct Service {
-    ends: Ends,
+    connections: Connections,
     sessions: SessionTable,
-    names: Names,
-    chance: Chance,
-    /// Where viewers come.
+    streamers: Names,
+    rng: Chance,
+    /// The socket that viewers connect to.
     listener: Line,
-    /// The socket to the name service, and when it is asked next.
-    names_line: Line,
-    ask_at: Duration,
-    sweep_at: Duration,
-    next_round: Duration,
-    path: PathBuf,
-    /// The Unix time at the clock's zero, for starts that are told in it.
-    epoch: Duration,
-    /// The list was asked for and heard late enough to tell all starts before the birth; and the first such query.
-    listed: bool,
-    fresh_from: Option<u64>,
-    /// The configuration is read again at the first time, and no more after the second.
-    read_again: Option<(Duration, Duration)>,
-    ending: Option<Duration>,
+    /// The datagram socket to the name service, and when the next query is sent.
+    name_service_socket: Line,
+    next_query_at: Duration,
+    next_sweep_at: Duration,
+    next_round_at: Duration,
+    configuration_path: PathBuf,
+    /// Unix time at the zero of the clock, to convert start times of streamers.
+    unix_at_zero: Duration,
+    /// Whether the list was received late enough to include all starts before this process's own; and the
+    /// first query whose answer proves that.
+    list_is_fresh: bool,
+    first_fresh_query: Option<u64>,
+    /// When the configuration is reread next, and the time after which it is not retried.
+    reread: Option<(Duration, Duration)>,
+    /// When SIGTERM or SIGINT was received.
+    terminating_since: Option<Duration>,
 }
 
-/// Runs until SIGTERM has been followed by an end of all that is held.
+/// Runs until SIGTERM was received and all sessions have ended.
 pub fn run() -> Result<()> {
     let path = configuration::path()?;
-    let place = configuration::read(&path)?;
-    Service::new(path, place)?.serve()
+    let configuration = configuration::read(&path)?;
+    Service::new(path, configuration)?.serve()
 }
 
 impl Service {
-    fn new(path: PathBuf, place: configuration::Place) -> Result<Self> {
-        let mut reactor = Reactor::new(ORIGIN).context("event loop")?;
+    fn new(configuration_path: PathBuf, configuration: configuration::Configuration) -> Result<Self> {
+        let mut reactor = Reactor::new(CLOCK_START).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
             reactor.signal(signal).context("signals")?;
         }
-        reactor.accept_at_once(ACCEPTED_AT_ONCE);
-        let terms = Terms::new(&place.options);
-        let descriptors = raise_descriptors().min(place.sockets);
-        // Half for viewers, who hold a third at most but come in crowds; the rest for streamers.
-        let viewers = descriptors.saturating_sub(SPARE) / 2;
-        let front = Front::new(viewers);
-        let pool = Pool::new(
-            descriptors.saturating_sub(SPARE + viewers).max(1),
-            terms.connect_within,
-            terms.keepalive,
-            terms.most_streams,
-            terms.noted_every,
-            place.seed.rotate_left(17),
+        reactor.accept_at_once(MAX_ACCEPTS_PER_WAIT);
+        let settings = PlatformSettings::new(&configuration.settings);
+        let descriptors = raise_descriptors().min(configuration.max_sockets);
+        // Half for viewers: they use a third at most, but arrive in crowds. The rest for streamers.
+        let max_viewers = descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+        let viewer_pool = ViewerPool::new(max_viewers);
+        let streamer_pool = StreamerPool::new(
+            descriptors.saturating_sub(RESERVED_DESCRIPTORS + max_viewers).max(1),
+            settings.connect_timeout,
+            settings.keepalive,
+            settings.max_streams_per_connection,
+            settings.progress_interval,
+            configuration.seed.rotate_left(17),
         );
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let epoch = unix.saturating_sub(reactor.clock());
-        let own = |port| SocketAddr::V4(SocketAddrV4::new(*place.listen.ip(), port));
-        let (names_line, _) = reactor.datagrams(own(0)).context("socket to the name service")?;
-        let peers = place.peer_listen.map(|at| reactor.datagrams(SocketAddr::V4(at)));
-        let peers = peers.transpose().context("socket to the other controllers")?.map(|(line, _)| line);
-        let module = Controller::new(ORIGIN, place.seed, place.options.clone());
-        let mut names = Names::default();
-        // The list that it should name comes with the first answer, as all later ones do.
-        if let Err(fault) = names.known(&place.known) {
-            tracing::warn!(%fault, "known: not in order; the name service is asked for the list");
+        let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix_at_zero = unix_now.saturating_sub(reactor.clock());
+        let local = |port| SocketAddr::V4(SocketAddrV4::new(*configuration.listen.ip(), port));
+        let (name_service_socket, _) = reactor.datagrams(local(0)).context("socket to the name service")?;
+        let peer_socket = configuration.peer_listen.map(|address| reactor.datagrams(SocketAddr::V4(address)));
+        let peer_socket =
+            peer_socket.transpose().context("socket to the other controllers")?.map(|(socket, _)| socket);
+        let module = Controller::new(CLOCK_START, configuration.seed, configuration.settings.clone());
+        let mut streamers = Names::default();
+        // The list that the file should contain arrives with the first answer of the name service.
+        if let Err(fault) = streamers.known(&configuration.known_events) {
+            tracing::warn!(%fault, "known: invalid; waiting for the list of the name service");
         }
-        let sessions = SessionTable::new(module, terms, place.memory_mb);
-        let listen = SocketAddr::V4(place.listen);
-        let name = place.name.clone();
-        let (sockets, memory_mb, last) = (place.sockets, place.memory_mb, names.last());
-        let ends = Ends { reactor, now: ORIGIN, front, pool, place, peers };
-        let chance = Chance(ends.place.seed.rotate_left(31));
+        let sessions = SessionTable::new(module, settings, configuration.memory_mb);
+        let listen = SocketAddr::V4(configuration.listen);
+        let name = configuration.name.clone();
+        let (sockets, memory_mb, last) =
+            (configuration.max_sockets, configuration.memory_mb, streamers.last());
+        let connections =
+            Connections { reactor, now: CLOCK_START, viewer_pool, streamer_pool, configuration, peer_socket };
+        let rng = Chance(connections.configuration.seed.rotate_left(31));
         let mut service = Self {
-            ends,
+            connections,
             sessions,
-            names,
-            chance,
+            streamers,
+            rng,
             listener: 0,
-            names_line,
-            ask_at: ORIGIN,
-            sweep_at: ORIGIN,
-            next_round: ORIGIN,
-            path,
-            epoch,
-            listed: false,
-            fresh_from: None,
-            read_again: None,
-            ending: None,
+            name_service_socket,
+            next_query_at: CLOCK_START,
+            next_sweep_at: CLOCK_START,
+            next_round_at: CLOCK_START,
+            configuration_path,
+            unix_at_zero,
+            list_is_fresh: false,
+            first_fresh_query: None,
+            reread: None,
+            terminating_since: None,
         };
-        service.tell_whole(Listing::Cached);
-        service.sessions.round(ORIGIN, &mut service.ends);
-        // Only now, so that the first test finds the list known and the module born.
-        let listening = service.ends.reactor.listen(listen, front::BOUNDS);
+        service.publish_list(Listing::Cached);
+        service.sessions.round(CLOCK_START, &mut service.connections);
+        // Listens only now, so that the first health check finds the list loaded and the decision module
+        // running.
+        let listening = service.connections.reactor.listen(listen, viewer_pool::BOUNDS);
         (service.listener, _) = listening.with_context(|| format!("listening at {listen}"))?;
         tracing::info!(name, %listen, sockets, memory_mb, last, "serves");
         Ok(service)
     }
 
     fn serve(mut self) -> Result<()> {
-        let mut told = Vec::new();
-        while !self.is_over() {
+        let mut events = Vec::new();
+        while !self.is_finished() {
             let until = self.next_wake();
-            self.ends.reactor.wait(Some(until), &mut told).context("event loop")?;
-            self.ends.now = self.ends.reactor.now();
-            told.drain(..).for_each(|happening| self.take(happening));
-            self.tend();
-            self.settle();
-            let now = self.ends.now;
-            self.sessions.fall_due(now, &mut self.ends);
-            if now >= self.next_round && self.sessions.has_news() {
-                self.next_round = now + self.sessions.calls.terms.tick;
-                self.sessions.round(now, &mut self.ends);
+            self.connections.reactor.wait(Some(until), &mut events).context("event loop")?;
+            self.connections.now = self.connections.reactor.now();
+            events.drain(..).for_each(|event| self.handle_event(event));
+            self.poll();
+            self.process_pool_events();
+            let now = self.connections.now;
+            self.sessions.run_timers(now, &mut self.connections);
+            if now >= self.next_round_at && self.sessions.has_inputs() {
+                self.next_round_at = now + self.sessions.store.settings.tick;
+                self.sessions.round(now, &mut self.connections);
             }
-            self.settle();
-            self.ends.reactor.flush();
+            self.process_pool_events();
+            self.connections.reactor.flush();
         }
-        self.part()?;
-        for (by, step, count) in self.sessions.calls.unanswered.all() {
-            tracing::info!(?by, %step, count, "set-ups whose connection ended without their answer");
+        self.close_gracefully()?;
+        for (by, step, count) in self.sessions.store.unanswered.all() {
+            tracing::info!(?by, %step, count, "set-ups whose connection closed before their answer");
         }
         tracing::info!(held = self.sessions.len(), "ends");
         Ok(())
     }
 
     fn next_wake(&self) -> Duration {
-        let round = match self.sessions.has_news() {
-            true => Some(self.next_round),
-            false => self.sessions.next_due().map(|at| at.max(self.next_round)),
+        let next_round_at = match self.sessions.has_inputs() {
+            true => Some(self.next_round_at),
+            false => self.sessions.next_timer().map(|at| at.max(self.next_round_at)),
         };
-        round.into_iter().chain([self.ask_at, self.sweep_at]).min().unwrap_or(self.sweep_at)
+        next_round_at
+            .into_iter()
+            .chain([self.next_query_at, self.next_sweep_at])
+            .min()
+            .unwrap_or(self.next_sweep_at)
     }
 
-    /// After SIGTERM: once nobody comes any more, nothing is held and nothing owed, or at last.
-    fn is_over(&mut self) -> bool {
-        let (now, Some(at)) = (self.ends.now, self.ending) else { return false };
-        let since = now.saturating_sub(at);
-        if since >= LONGEST_END.max(self.sessions.calls.terms.longest_wait) {
-            self.sessions.end_all(now, &mut self.ends);
-            self.ends.reactor.flush();
+    /// After SIGTERM: whether no more viewers arrive, no session is left and no output is pending, or the
+    /// time limit is over.
+    fn is_finished(&mut self) -> bool {
+        let (now, Some(since)) = (self.connections.now, self.terminating_since) else { return false };
+        let elapsed = now.saturating_sub(since);
+        if elapsed >= MAX_SHUTDOWN.max(self.sessions.store.settings.max_client_timeout) {
+            self.sessions.close_all(now, &mut self.connections);
+            self.connections.reactor.flush();
             return true;
         }
-        if since < STILL_COMING || !self.sessions.is_empty() {
+        if elapsed < MIN_SHUTDOWN || !self.sessions.is_empty() {
             return false;
         }
-        let Ends { front, pool, reactor, .. } = &self.ends;
-        !front.owes(now, reactor) && !pool.owes(now, reactor)
+        let Connections { viewer_pool, streamer_pool, reactor, .. } = &self.connections;
+        !viewer_pool.has_pending_output(now, reactor) && !streamer_pool.has_pending_output(now, reactor)
     }
 
-    /// Closes all connections towards their other ends, and waits until those have read what was said there and closed
-    /// them too: the kernel resets a connection that ends with something unread, and what was on its way is lost.
-    fn part(&mut self) -> Result<()> {
-        let Ends { reactor, front, pool, .. } = &mut self.ends;
+    /// Shuts down all connections for writing, and waits until the peers have read what was sent and have
+    /// closed too: the kernel resets a connection that is closed with unread input, and output in transit
+    /// would be lost.
+    fn close_gracefully(&mut self) -> Result<()> {
+        let Connections { reactor, viewer_pool, streamer_pool, .. } = &mut self.connections;
         reactor.close(self.listener);
-        let until = reactor.clock() + PARTING;
-        let mut open: BTreeSet<Line> = front.lines().chain(pool.made()).collect();
-        let (mut shut, mut told) = (BTreeSet::new(), Vec::new());
+        let until = reactor.clock() + CLOSE_TIMEOUT;
+        let mut open: BTreeSet<Line> = viewer_pool.connections().chain(streamer_pool.established()).collect();
+        let (mut shut, mut events) = (BTreeSet::new(), Vec::new());
         while !open.is_empty() && reactor.clock() < until {
-            for line in &open {
-                if reactor.unwritten(*line) == 0 && shut.insert(*line) {
-                    reactor.shut(*line);
+            for connection in &open {
+                if reactor.unwritten(*connection) == 0 && shut.insert(*connection) {
+                    reactor.shut(*connection);
                 }
             }
-            reactor.wait(Some(until), &mut told).context("event loop")?;
-            for happening in told.drain(..) {
-                match happening {
-                    Happening::Closed(line, _) => drop(open.remove(&line)),
-                    Happening::Readable(line) => reactor.consume(line, reactor.input(line).len()),
+            reactor.wait(Some(until), &mut events).context("event loop")?;
+            for event in events.drain(..) {
+                match event {
+                    Happening::Closed(connection, _) => drop(open.remove(&connection)),
+                    Happening::Readable(connection) => {
+                        reactor.consume(connection, reactor.input(connection).len())
+                    }
                     _ => {}
                 }
             }
@@ -214,124 +231,149 @@
         Ok(())
     }
 
-    fn take(&mut self, happening: Happening) {
-        let now = self.ends.now;
-        match happening {
-            Happening::Accepted { line, .. } => self.take_viewer(line),
-            Happening::Readable(line) if self.ends.front.is(line) => self.hear_viewer(line),
-            Happening::Readable(line) if self.ends.pool.is(line) => self.hear_streamer(line),
-            Happening::Opened(line) => {
-                let streamer = self.ends.pool.streamer(line);
-                let takes = streamer.is_some_and(|streamer| self.sessions.takes_joins(streamer));
-                self.ends.pool.opened(line, takes, now, &mut self.ends.reactor);
+    fn handle_event(&mut self, event: Happening) {
+        let now = self.connections.now;
+        match event {
+            Happening::Accepted { line: connection, .. } => self.accept_viewer(connection),
+            Happening::Readable(connection) if self.connections.viewer_pool.contains(connection) => {
+                self.read_viewer(connection)
+            }
+            Happening::Readable(connection) if self.connections.streamer_pool.contains(connection) => {
+                self.read_streamer(connection)
+            }
+            Happening::Opened(connection) => {
+                let streamer = self.connections.streamer_pool.streamer(connection);
+                let accepts_joins = streamer.is_some_and(|streamer| self.sessions.accepts_joins(streamer));
+                self.connections.streamer_pool.connection_established(
+                    connection,
+                    accepts_joins,
+                    now,
+                    &mut self.connections.reactor,
+                );
             }
-            Happening::Closed(line, why) if self.ends.front.is(line) => {
-                tracing::trace!(line, ?why, "a viewers' connection ends");
-                self.drop_viewer(line, why.into());
+            Happening::Closed(connection, reason) if self.connections.viewer_pool.contains(connection) => {
+                tracing::trace!(line = connection, why = ?reason, "viewer connection closed");
+                self.drop_viewer(connection, reason.into());
             }
-            Happening::Closed(line, _) => {
-                // Its last words may have come with the end.
-                self.hear_streamer(line);
-                let streamer = self.ends.pool.streamer(line);
-                let stands = streamer.is_some_and(|streamer| self.sessions.standing_at(streamer) > 0);
-                self.ends.pool.closed(line, now, stands, &mut self.ends.reactor);
+            Happening::Closed(connection, _) => {
+                // The last input may have arrived together with the end.
+                self.read_streamer(connection);
+                let streamer = self.connections.streamer_pool.streamer(connection);
+                let has_sessions = streamer.is_some_and(|streamer| self.sessions.playing_at(streamer) > 0);
+                self.connections.streamer_pool.connection_closed(
+                    connection,
+                    now,
+                    has_sessions,
+                    &mut self.connections.reactor,
+                );
             }
-            Happening::Datagram { line, from, bytes } if line == self.names_line => {
-                if from == SocketAddr::V4(self.ends.place.names) {
-                    self.hear_names(&bytes);
+            Happening::Datagram { line: socket, from, bytes } if socket == self.name_service_socket => {
+                if from == SocketAddr::V4(self.connections.configuration.name_service) {
+                    self.handle_name_service_answer(&bytes);
                 }
             }
             Happening::Datagram { from, bytes, .. } => {
-                let peers = &self.ends.place.peers;
+                let peers = &self.connections.configuration.peers;
                 if let Some(peer) = peers.iter().position(|peer| SocketAddr::V4(*peer) == from) {
-                    self.sessions.peer(peer as u32, bytes);
+                    self.sessions.peer_message(peer as u32, bytes);
                 }
             }
             Happening::Signal(SIGHUP) => {
                 self.reload(now);
             }
             Happening::Signal(signal) => {
-                tracing::info!(signal, held = self.sessions.len(), "told to end");
-                self.ending.get_or_insert(now);
+                tracing::info!(signal, held = self.sessions.len(), "shutting down");
+                self.terminating_since.get_or_insert(now);
             }
             Happening::Readable(_) | Happening::Drained(_) | Happening::Due(_) => {}
         }
     }
 
-    fn hear_viewer(&mut self, line: Line) {
-        let now = self.ends.now;
-        let mut input = self.ends.reactor.lift(line);
-        let ready = (self.listed || now >= ORIGIN + READY_WITHOUT) && self.ending.is_none();
+    fn read_viewer(&mut self, connection: Line) {
+        let now = self.connections.now;
+        let mut input = self.connections.reactor.lift(connection);
+        let ready = (self.list_is_fresh || now >= CLOCK_START + READY_WITHOUT_LIST_AFTER)
+            && self.terminating_since.is_none();
         let fault = loop {
-            let mut ear = ViewerEar { service: (&mut self.sessions, &mut self.ends), line, now, ready };
-            match viewers::hear(input.as_slice(), &mut ear) {
+            let mut handler = ViewerHandler {
+                service: (&mut self.sessions, &mut self.connections),
+                connection,
+                now,
+                ready,
+            };
+            match viewers::hear(input.as_slice(), &mut handler) {
                 Ok(0) => break None,
                 Ok(count) => input.consume(count),
                 Err(fault) => break Some(fault),
             }
         };
-        let part = !input.is_empty();
-        self.ends.reactor.lay_back(line, input);
-        self.ends.front.read(line, now, part);
+        let incomplete = !input.is_empty();
+        self.connections.reactor.lay_back(connection, input);
+        self.connections.viewer_pool.record_input(connection, now, incomplete);
         if let Some(fault) = fault {
-            tracing::debug!(%fault, "a viewers' connection cannot be read");
-            self.drop_viewer(line, By::Unreadable);
+            tracing::debug!(%fault, "closing a viewer connection with malformed input");
+            self.drop_viewer(connection, ClosedBy::Unreadable);
         }
     }
 
-    /// A viewers' connection came in. Where there is no room the least valuable one without an open set-up gives way,
-    /// else the newcomer.
-    fn take_viewer(&mut self, line: Line) {
-        let now = self.ends.now;
-        while self.ends.front.is_full() {
-            let other = self.ends.front.gives_way(now, |line| self.sessions.open_on(line) > 0);
-            let Some(other) = other else { return self.ends.reactor.close(line) };
-            self.hear_last(other);
-            if self.sessions.open_on(other) == 0 {
-                tracing::trace!(line = other, "gives way");
-                self.drop_viewer(other, By::Us);
+    /// Accepts a viewer's connection. At the limit, the least valuable connection without a pending set-up is
+    /// evicted; if there is none, the new connection is closed.
+    fn accept_viewer(&mut self, connection: Line) {
+        let now = self.connections.now;
+        while self.connections.viewer_pool.is_full() {
+            let candidate = self
+                .connections
+                .viewer_pool
+                .eviction_candidate(now, |connection| self.sessions.pending_on(connection) > 0);
+            let Some(evicted) = candidate else { return self.connections.reactor.close(connection) };
+            self.read_remaining(evicted);
+            if self.sessions.pending_on(evicted) == 0 {
+                tracing::trace!(line = evicted, "evicting a viewer connection");
+                self.drop_viewer(evicted, ClosedBy::Us);
             }
         }
-        tracing::trace!(line, "a viewers' connection begins");
-        self.ends.front.accepted(line, now);
+        tracing::trace!(line = connection, "viewer connection accepted");
+        self.connections.viewer_pool.insert(connection, now);
     }
 
-    /// What has come on a connection that is about to be closed is heard first: a set-up may be among it, and to
-    /// close on it would leave it without an answer.
-    fn hear_last(&mut self, line: Line) {
-        if self.ends.reactor.read_now(line) {
-            self.hear_viewer(line);
+    /// Reads what has arrived on a connection that is about to be closed: it may contain a set-up, which
+    /// would be left without an answer.
+    fn read_remaining(&mut self, connection: Line) {
+        if self.connections.reactor.read_now(connection) {
+            self.read_viewer(connection);
         }
     }
 
-    fn drop_viewer(&mut self, line: Line, by: By) {
-        let now = self.ends.now;
-        self.sessions.viewer_gone(now, line, by, &mut self.ends);
-        self.ends.reactor.flush_line(line);
-        let answered = self.ends.front.answered_last(line);
-        if let Some((wire_id, at)) = answered.filter(|_| self.ends.reactor.unwritten(line) > 0) {
-            let held = now.saturating_sub(at);
-            let lost = Lost { wire_id, by, step: Step::NotWritten, streamer: None, held };
-            self.sessions.calls.unanswered.note(now, &lost);
+    fn drop_viewer(&mut self, connection: Line, closed_by: ClosedBy) {
+        let now = self.connections.now;
+        self.sessions.viewer_disconnected(now, connection, closed_by, &mut self.connections);
+        self.connections.reactor.flush_line(connection);
+        let last_answer = self.connections.viewer_pool.last_answer(connection);
+        if let Some((wire_id, answered_at)) =
+            last_answer.filter(|_| self.connections.reactor.unwritten(connection) > 0)
+        {
+            let age = now.saturating_sub(answered_at);
+            let set_up = UnansweredSetUp { wire_id, closed_by, step: Step::NotWritten, streamer: None, age };
+            self.sessions.store.unanswered.record(now, &set_up);
         }
-        self.ends.front.gone(line, now, &mut self.ends.reactor);
-        self.ends.reactor.close(line);
+        self.connections.viewer_pool.remove(connection, now, &mut self.connections.reactor);
+        self.connections.reactor.close(connection);
     }
 
-    fn hear_streamer(&mut self, line: Line) {
-        let now = self.ends.now;
-        let Some(streamer) = self.ends.pool.streamer(line) else { return };
-        let mut input = self.ends.reactor.lift(line);
+    fn read_streamer(&mut self, connection: Line) {
+        let now = self.connections.now;
+        let Some(streamer) = self.connections.streamer_pool.streamer(connection) else { return };
+        let mut input = self.connections.reactor.lift(connection);
         if !input.is_empty() {
-            self.ends.pool.heard(line, now);
+            self.connections.streamer_pool.record_received(connection, now);
         }
         let fault = loop {
-            let service = (&mut self.sessions, &mut self.ends);
-            let mut ear = StreamerEar { service, line, streamer, now, fault: None };
-            match streamers::hear(input.as_slice(), &mut ear) {
+            let service = (&mut self.sessions, &mut self.connections);
+            let mut handler = StreamerHandler { service, connection, streamer, now, fault: None };
+            match streamers::hear(input.as_slice(), &mut handler) {
                 Ok(0) => break None,
                 Ok(count) => {
-                    if let Some(fault) = ear.fault {
+                    if let Some(fault) = handler.fault {
                         break Some(fault);
                     }
                     input.consume(count);
@@ -339,51 +381,62 @@
                 Err(fault) => break Some(fault),
             }
         };
-        self.ends.reactor.lay_back(line, input);
+        self.connections.reactor.lay_back(connection, input);
         if let Some(fault) = fault {
-            tracing::debug!(%fault, %streamer, "a streamer's connection cannot be read");
-            self.ends.pool.close(line, Ending::Reset, now, &mut self.ends.reactor);
+            tracing::debug!(%fault, %streamer, "closing a streamer connection with malformed input");
+            self.connections.streamer_pool.close(
+                connection,
+                Ending::Reset,
+                now,
+                &mut self.connections.reactor,
+            );
         }
     }
 
-    /// What the pool found goes to the session table; one may bring another.
-    fn settle(&mut self) {
-        let now = self.ends.now;
-        while !self.ends.pool.happened.is_empty() {
-            for happened in std::mem::take(&mut self.ends.pool.happened) {
-                match happened {
-                    Happened::JoinEnded(job, ending) => self.sessions.join_ended(now, job, ending, None),
-                    Happened::Echo(streamer, ending, waited) => {
-                        self.sessions.echo(streamer, ending, waited, None)
+    /// Passes the events of the streamer pool to the session table, until no new events arise.
+    fn process_pool_events(&mut self) {
+        let now = self.connections.now;
+        while !self.connections.streamer_pool.events.is_empty() {
+            for event in std::mem::take(&mut self.connections.streamer_pool.events) {
+                match event {
+                    PoolEvent::JoinEnded(job, ending) => self.sessions.join_ended(now, job, ending, None),
+                    PoolEvent::ProbeFinished(streamer, ending, latency) => {
+                        self.sessions.probe_finished(streamer, ending, latency, None)
                     }
-                    Happened::Heard(line) => self.hear_streamer(line),
-                    Happened::Lost(streamer) => {
-                        let held = self.sessions.standing_at(streamer);
-                        tracing::debug!(%streamer, held, "lost with what stood there");
-                        self.sessions.lost(now, streamer, Duration::MAX, &mut self.ends);
+                    PoolEvent::Readable(connection) => self.read_streamer(connection),
+                    PoolEvent::StreamerLost(streamer) => {
+                        let sessions = self.sessions.playing_at(streamer);
+                        tracing::debug!(%streamer, held = sessions, "streamer lost with its sessions");
+                        self.sessions.streamer_lost(now, streamer, Duration::MAX, &mut self.connections);
                     }
                 }
             }
         }
     }
 
-    /// What time asks for.
-    fn tend(&mut self) {
-        let now = self.ends.now;
-        self.ask_names(now);
-        if now < self.sweep_at {
+    /// Runs the periodic work: queries to the name service, rereading of the configuration, time-outs.
+    fn poll(&mut self) {
+        let now = self.connections.now;
+        self.query_name_service(now);
+        if now < self.next_sweep_at {
             return;
         }
-        self.read_configuration_again();
-        self.sweep_at = now + SWEEP_EVERY;
-        for line in self.ends.front.late(now, |line| self.sessions.open_on(line) > 0) {
-            self.hear_last(line);
-            if self.ends.front.is_late(line, now, |line| self.sessions.open_on(line) > 0) {
-                tracing::trace!(line, "a viewers' connection has had its time");
-                self.drop_viewer(line, By::Us);
+        self.reread_configuration();
+        self.next_sweep_at = now + SWEEP_INTERVAL;
+        for connection in
+            self.connections.viewer_pool.expired(now, |connection| self.sessions.pending_on(connection) > 0)
+        {
+            self.read_remaining(connection);
+            if self
+                .connections
+                .viewer_pool
+                .is_expired(connection, now, |connection| self.sessions.pending_on(connection) > 0)
+            {
+                tracing::trace!(line = connection, "viewer connection timed out");
+                self.drop_viewer(connection, ClosedBy::Us);
             }
         }
-        let stands_at: Vec<StreamerId> = self.sessions.stands_at().collect();
-        self.ends.pool.sweep(now, &stands_at, &mut self.ends.reactor);
+        let playing_streamers: Vec<StreamerId> = self.sessions.playing_streamers().collect();
+        self.connections.streamer_pool.sweep(now, &playing_streamers, &mut self.connections.reactor);
     }
 }
--- a/crates/platform/src/serve/discovery.rs
+++ b/crates/platform/src/serve/discovery.rs
@@ -1,113 +1,116 @@
-//! Discovery: the name service is asked for the list of streamers, and its answers go to the pool and the module; SIGHUP
-//! reads the configuration anew for the name service's address.
+//! Discovery: queries the name service for the list of streamers and passes its answers to the streamer pool
+//! and the decision module. SIGHUP rereads the configuration for the address of the name service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use badgerledge_core::interface::{Health, Listing};
 
-use super::{Service, ORIGIN};
+use super::{Service, CLOCK_START};
 use crate::configuration;
-use crate::hearing::Entries;
+use crate::inbound::ListEntries;
 use crate::session_table::ListEntry;
 
-/// The list is asked for this often: an event counts as told after 1.5 s, and a lost answer is asked for again
-/// several times until then. An answer costs some 0.1 ms.
-const ASK_EVERY: Duration = Duration::from_millis(200);
-/// A configuration that is not in order may be half written: it is read again this often, for so long.
-const READ_AGAIN: Duration = Duration::from_millis(100);
-const READ_FOR: Duration = Duration::from_secs(4);
-/// How late the list may be. Only what it says this long after the process's birth tells all starts before it: until
-/// then new-born processes would join cold streamers as if they were warm, each for itself and all at once.
-const LIST_LATE: Duration = Duration::from_millis(1500);
+/// Query interval: an event counts as reported after 1.5 s, so a lost answer is requested again several times
+/// until then. An answer costs about 0.1 ms to process.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// An invalid configuration file may be half written: it is reread at this interval, for this period.
+const REREAD_INTERVAL: Duration = Duration::from_millis(100);
+const REREAD_PERIOD: Duration = Duration::from_secs(4);
+/// Maximum delay of the list. Only an answer received this long after the start of the process is sure to
+/// include all streamers that started before it. Without it, each restarted controller would send cold
+/// streamers joins as if they were warm, all at once.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(1500);
 
 impl Service {
-    /// Asks the name service for the list, if it is time.
-    pub(super) fn ask_names(&mut self, now: Duration) {
-        if now < self.ask_at {
+    /// Queries the name service for the list, if a query is due.
+    pub(super) fn query_name_service(&mut self, now: Duration) {
+        if now < self.next_query_at {
             return;
         }
-        // The random part keeps controllers that were started together from asking at one moment.
-        self.ask_at = now + ASK_EVERY.mul_f64(0.9 + 0.2 * self.chance.share());
-        let query = self.names.query((self.chance.share() * 65536.0) as u16);
-        if now >= ORIGIN + LIST_LATE {
-            self.fresh_from.get_or_insert(self.names.asked());
+        // The random part keeps controllers that started together from querying at the same moment.
+        self.next_query_at = now + QUERY_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.share());
+        let query = self.streamers.query((self.rng.share() * 65536.0) as u16);
+        if now >= CLOCK_START + MAX_LIST_DELAY {
+            self.first_fresh_query.get_or_insert(self.streamers.asked());
         }
-        let names = SocketAddr::V4(self.ends.place.names);
-        self.ends.reactor.send_to(self.names_line, names, &query);
+        let name_service = SocketAddr::V4(self.connections.configuration.name_service);
+        self.connections.reactor.send_to(self.name_service_socket, name_service, &query);
     }
 
-    /// SIGHUP: the configuration is read now, and again for a while where it is not in order.
+    /// Handles SIGHUP: rereads the configuration now, and retries for a while if it is invalid.
     pub(super) fn reload(&mut self, now: Duration) {
-        self.read_again = Some((now, now + READ_FOR));
-        self.read_configuration_again();
+        self.reread = Some((now, now + REREAD_PERIOD));
+        self.reread_configuration();
     }
 
-    /// Reads the file anew for the name service's address. One that is not in order changes nothing, and is looked at
-    /// again for a while: it may be half written.
-    pub(super) fn read_configuration_again(&mut self) {
-        let now = self.ends.now;
-        let Some((_, until)) = self.read_again.take_if(|(at, _)| *at <= now) else { return };
-        match configuration::read(&self.path) {
-            Ok(place) => {
-                tracing::info!(names = %place.names, "the configuration was read anew");
-                self.ends.place.names = place.names;
-                self.names.forget_queries();
-                self.ask_at = now;
+    /// Rereads the configuration for the address of the name service. An invalid file changes nothing and is
+    /// retried for a while, since it may be half written.
+    pub(super) fn reread_configuration(&mut self) {
+        let now = self.connections.now;
+        let Some((_, until)) = self.reread.take_if(|(at, _)| *at <= now) else { return };
+        match configuration::read(&self.configuration_path) {
+            Ok(configuration) => {
+                tracing::info!(names = %configuration.name_service, "configuration reread");
+                self.connections.configuration.name_service = configuration.name_service;
+                self.streamers.forget_queries();
+                self.next_query_at = now;
             }
             Err(fault) => {
-                tracing::warn!("{fault:#}; the configuration read before goes on counting");
-                self.read_again = Some((now + READ_AGAIN, until)).filter(|(at, _)| *at < until);
+                tracing::warn!("{fault:#}; keeping the previous configuration");
+                self.reread = Some((now + REREAD_INTERVAL, until)).filter(|(at, _)| *at < until);
             }
         }
     }
 
-    /// An answer of the name service; what it changes goes to the pool and the module.
-    pub(super) fn hear_names(&mut self, bytes: &[u8]) {
-        let mut list = self.entries();
-        match self.names.answer(bytes, &mut list) {
+    /// Handles an answer of the name service, and publishes the changes that it contains.
+    pub(super) fn handle_name_service_answer(&mut self, bytes: &[u8]) {
+        let mut collected = self.new_entries();
+        match self.streamers.answer(bytes, &mut collected) {
             Ok(changed) => {
-                let entries = list.entries;
-                self.listed |= self.fresh_from.is_some_and(|place| self.names.answered() >= place);
+                let entries = collected.entries;
+                self.list_is_fresh |=
+                    self.first_fresh_query.is_some_and(|query| self.streamers.answered() >= query);
                 if changed {
-                    self.tell(Listing::Changes, entries);
+                    self.publish(Listing::Changes, entries);
                 }
             }
-            Err(fault) => tracing::debug!(%fault, "an answer of the name service that changes nothing"),
+            Err(fault) => tracing::debug!(%fault, "ignoring an answer of the name service"),
         }
     }
 
-    /// The whole list, as it is known, goes to the pool and the module.
-    pub(super) fn tell_whole(&mut self, how: Listing) {
-        let mut list = self.entries();
-        self.names.tell_all(&mut list);
-        let entries = list.entries;
-        self.tell(how, entries);
+    /// Publishes the whole list as it is known.
+    pub(super) fn publish_list(&mut self, listing: Listing) {
+        let mut collected = self.new_entries();
+        self.streamers.tell_all(&mut collected);
+        let entries = collected.entries;
+        self.publish(listing, entries);
     }
 
-    fn tell(&mut self, how: Listing, entries: Vec<ListEntry>) {
-        let now = self.ends.now;
-        let ends = &mut self.ends;
-        // Those gone first: another may have come at the address.
+    fn publish(&mut self, listing: Listing, entries: Vec<ListEntry>) {
+        let now = self.connections.now;
+        let connections = &mut self.connections;
+        // Removed streamers first: another may have started at the same address.
         for entry in entries.iter().filter(|entry| entry.health == Health::Gone) {
-            ends.pool.unlisted(entry.id, now, &mut ends.reactor);
+            connections.streamer_pool.streamer_removed(entry.id, now, &mut connections.reactor);
         }
         for entry in entries.iter().filter(|entry| entry.health != Health::Gone) {
-            ends.pool.listed(entry.id, entry.at, now, &mut ends.reactor);
-            if !entry.came_up.at.is_zero() {
-                self.sessions.lost(now, entry.id, entry.came_up.at, ends);
+            connections.streamer_pool.streamer_listed(entry.id, entry.address, now, &mut connections.reactor);
+            if !entry.started.at.is_zero() {
+                self.sessions.streamer_lost(now, entry.id, entry.started.at, connections);
             }
         }
-        tracing::debug!(last = self.names.last(), changed = entries.len(), "list");
-        self.sessions.list(how, entries);
+        tracing::debug!(last = self.streamers.last(), changed = entries.len(), "list");
+        self.sessions.apply_list(listing, entries);
     }
 
-    fn entries(&self) -> Entries {
-        let terms = &self.sessions.calls.terms;
-        Entries {
-            zones: terms.zones.clone(),
-            kinds: terms.kinds.clone(),
-            epoch: self.epoch,
+    /// An empty collector of list entries.
+    fn new_entries(&self) -> ListEntries {
+        let settings = &self.sessions.store.settings;
+        ListEntries {
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
+            unix_at_zero: self.unix_at_zero,
             entries: Vec::new(),
         }
     }
--- /dev/null
+++ b/crates/platform/src/session_store.rs
@@ -0,0 +1,191 @@
+//! Stores all sessions from set-up to end with their indexes, and queues the inputs for the decision module.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+use std::time::Duration;
+
+use badgerledge_core::decide::Controller;
+use badgerledge_core::interface::{Ending, JobId, StreamerId};
+use badgerledge_reactor::Line;
+use badgerledge_signalling::streamers;
+
+use crate::phase::Phase;
+use crate::request::PlatformSettings;
+use crate::transport::Transport;
+use crate::unanswered::{ClosedBy, Step, UnansweredCounts, UnansweredSetUp};
+
+/// The fields that are sent to streamers until one has answered.
+pub struct OfferFields {
+    pub room_type: usize,
+    pub title: String,
+    pub description: String,
+}
+
+pub struct Session {
+    /// The id used by viewers and streamers.
+    pub wire_id: u64,
+    /// The viewer's connection that the set-up arrived on.
+    pub connection: Line,
+    /// When the set-up was received.
+    pub received_at: Duration,
+    /// When the viewer gives up, less the time that an answer takes to reach it.
+    pub answer_by: Duration,
+    pub offer: Option<Box<OfferFields>>,
+    pub rung: Option<u8>,
+    pub joins: u16,
+    pub join_sent_at: Duration,
+    pub phase: Phase,
+}
+
+/// Timers of sessions and of the decision module.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Timer {
+    /// A join has not been answered in time.
+    JoinTimeout(JobId, u16),
+    /// A set-up must be answered now.
+    AnswerDeadline(JobId),
+    /// A streamer has not ended a moved session in time.
+    MoveTimeout(JobId),
+    /// A reminder of the decision module, by its token.
+    DecisionModule(u64),
+}
+
+/// An input for the decision module, applied in the next round.
+pub type ModuleInput = Box<dyn FnOnce(&mut Controller)>;
+
+/// All sessions, and the inputs that the decision module has not received yet.
+pub struct SessionStore {
+    pub settings: PlatformSettings,
+    pub sessions: BTreeMap<JobId, Session>,
+    pub by_wire_id: BTreeMap<u64, JobId>,
+    /// Sessions without an answer, by the viewer's connection.
+    pub pending_by_connection: BTreeMap<Line, BTreeSet<JobId>>,
+    /// Sessions that play or are being moved away, by streamer.
+    pub playing_by_streamer: BTreeMap<StreamerId, BTreeSet<JobId>>,
+    pub timers: BTreeSet<(Duration, Timer)>,
+    pub inputs: Vec<ModuleInput>,
+    pub next_job: JobId,
+    pub pending_count: usize,
+    /// Set-ups whose connection closed before their answer.
+    pub unanswered: UnansweredCounts,
+}
+
+impl SessionStore {
+    pub fn get(&self, job: JobId) -> Option<&Session> {
+        self.sessions.get(&job)
+    }
+
+    pub fn get_mut(&mut self, job: JobId) -> Option<&mut Session> {
+        self.sessions.get_mut(&job)
+    }
+
+    /// Returns the job of a session.
+    #[cfg(test)]
+    pub fn job(&self, wire_id: u64) -> Option<JobId> {
+        self.by_wire_id.get(&wire_id).copied()
+    }
+
+    pub fn insert(&mut self, session: Session) -> JobId {
+        let job = self.next_job;
+        self.next_job = self.next_job.wrapping_add(1);
+        self.by_wire_id.insert(session.wire_id, job);
+        match session.phase {
+            Phase::Stands(streamer) => {
+                drop(self.playing_by_streamer.entry(streamer).or_default().insert(job))
+            }
+            _ => {
+                self.pending_by_connection.entry(session.connection).or_default().insert(job);
+                self.pending_count += 1;
+            }
+        }
+        self.sessions.insert(job, session);
+        job
+    }
+
+    /// Removes a session from the index that its phase puts it in.
+    pub fn remove_from_index(&mut self, job: JobId) {
+        let Some(session) = self.sessions.get(&job) else { return };
+        match session.phase {
+            Phase::Waiting | Phase::Out(_) => {
+                self.pending_count -= 1;
+                if let Some(pending) = self.pending_by_connection.get_mut(&session.connection) {
+                    pending.remove(&job);
+                    if pending.is_empty() {
+                        self.pending_by_connection.remove(&session.connection);
+                    }
+                }
+            }
+            Phase::Stands(streamer) | Phase::Leaves(streamer) => {
+                if let Some(playing) = self.playing_by_streamer.get_mut(&streamer) {
+                    playing.remove(&job);
+                    if playing.is_empty() {
+                        self.playing_by_streamer.remove(&streamer);
+                    }
+                }
+            }
+        }
+    }
+
+    pub fn set_playing(&mut self, job: JobId, streamer: StreamerId) {
+        self.remove_from_index(job);
+        let Some(session) = self.sessions.get_mut(&job) else { return };
+        (session.phase, session.offer) = (Phase::Stands(streamer), None);
+        let answer_deadline = (session.answer_by, Timer::AnswerDeadline(job));
+        self.playing_by_streamer.entry(streamer).or_default().insert(job);
+        self.timers.remove(&answer_deadline);
+    }
+
+    pub fn remove(&mut self, job: JobId) -> Option<Session> {
+        self.remove_from_index(job);
+        let session = self.sessions.remove(&job)?;
+        self.by_wire_id.remove(&session.wire_id);
+        self.timers.remove(&(session.answer_by, Timer::AnswerDeadline(job)));
+        Some(session)
+    }
+
+    /// Reports to the decision module how a join or a playing session ended. `join` is the streamer, the
+    /// number of the join and when it was sent.
+    pub fn report_outcome(
+        &mut self, now: Duration, job: JobId, join: (StreamerId, u16, Duration), ending: Ending, over: bool,
+        usage: Vec<f64>,
+    ) {
+        let (streamer, number, sent_at) = join;
+        let latency = now.saturating_sub(sent_at);
+        self.inputs.push(Box::new(move |module| {
+            module.outcome(job, streamer, number, ending, over, latency, &usage);
+        }));
+    }
+
+    /// Withdraws the outstanding join of a removed session, if there is one, and reports it to the decision
+    /// module.
+    pub fn withdraw_join(
+        &mut self, now: Duration, job: JobId, session: &Session, transport: &mut impl Transport,
+    ) {
+        let Phase::Out(streamer) = session.phase else { return };
+        transport.withdraw_join(job, session.wire_id, streamer);
+        let join = (streamer, session.joins - 1, session.join_sent_at);
+        self.report_outcome(now, job, join, Ending::Cancelled, true, Vec::new());
+    }
+
+    /// Counts a set-up whose viewer will not receive an answer, at the given step or else the one that it has
+    /// reached.
+    pub fn count_unanswered(&mut self, now: Duration, job: JobId, closed_by: ClosedBy, step: Option<Step>) {
+        let Some(session) = self.sessions.get(&job) else { return };
+        let (reached, streamer) = Step::of(session.phase, session.joins);
+        let (wire_id, age) = (session.wire_id, now.saturating_sub(session.received_at));
+        self.unanswered.record(
+            now,
+            &UnansweredSetUp { wire_id, closed_by, step: step.unwrap_or(reached), streamer, age },
+        );
+    }
+
+    pub fn parse_usage(&self, load: Option<&str>) -> Vec<f64> {
+        load.map_or_else(Vec::new, |load| streamers::load(load, &self.settings.report_fields))
+    }
+}
+
+/// Logs an event of a session at trace level.
+pub fn trace_session(wire_id: u64, event: &str, details: impl Debug) {
+    let wire_id = format_args!("{wire_id:016x}");
+    tracing::trace!(target: "badgerledge_platform::calls", wire_id, of = ?details, "{event}");
+}
