--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -1,8 +1,8 @@
-//! The session table: what became of each viewer's request, from its set-up to its release. It joins viewers,
-//! streamers and the module, decides nothing, and is free of I/O: what goes out goes into a [`Wires`].
+//! The session table: the state of each viewer's request from set-up to release. It connects viewers,
+//! streamers and the decision module, makes no decisions and does no I/O: all output goes to a [`Transport`].
 //!
-//! What the simulator's wire brings the module is made here with the same meanings: one outcome for each join
-//! that was passed on, `over` once the subscription is over, a join cut to its client timeout.
+//! The inputs for the decision module have the same meanings as in the simulator: one outcome for each join
+//! that was sent, `over` once the session is over, and joins limited to the client timeout.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -14,445 +14,499 @@
 use badgerledge_signalling::viewers::{self, Parameters};
 use badgerledge_signalling::{streamers, Fault};
 
-use crate::asked::{self, Terms};
-use crate::calls::{trace, Arrival, Call, Calls, Due, Offered};
-use crate::causes::{CUT, MOVED, NORMAL, THROTTLED, UNUSABLE};
 use crate::dispatcher::Dispatcher;
 use crate::phase::Phase;
-use crate::unanswered::{By, Step, Unanswered};
-use crate::wires::Wires;
-
-/// How much sooner than the viewer gives up the module is told to have answered, for the way back and a loop
-/// that is late; a tenth where that is less. Harm: a join that would have been answered in this part is lost.
-const MARGIN: Duration = Duration::from_millis(120);
-/// How much sooner the session table answers in the module's place; a twentieth where that is less.
-const LAST_CALL: Duration = Duration::from_millis(50);
-/// Set-ups without an answer of all connections together, and subscriptions that stand, for each megabyte of memory:
-/// with the longest descriptions a quarter of it, and a tenth.
-const OPEN_PER_MB: usize = 16;
-/// Which part of them one connection may have open: four floods at once leave the others none, three some.
-const OPEN_ON_LINE: usize = 4;
-const STANDING_PER_MB: usize = 200;
-/// What the session table names as time to stay away when it has no room itself.
-const FULL_FOR: Duration = Duration::from_millis(500);
-
-/// A streamer's id in the module: the 32 bits that the list names it by, not its address, since another
-/// streamer may come at the address of one that is gone.
+use crate::release_causes::{FAILED, INVALID_REQUEST, MOVED, NORMAL, THROTTLED};
+use crate::request::{self, PlatformSettings};
+use crate::session_store::{trace_session, ModuleInput, OfferFields, Session, SessionStore, Timer};
+use crate::transport::Transport;
+use crate::unanswered::{ClosedBy, Step, UnansweredCounts};
+
+/// How much sooner than the viewer gives up the decision module must answer, to allow for the way back and a
+/// delayed event loop; a tenth of the timeout if that is less. A join that would have been answered within
+/// this margin is lost.
+const ANSWER_MARGIN: Duration = Duration::from_millis(120);
+/// How much sooner than the viewer gives up the session table answers by itself; a twentieth of the timeout
+/// if that is less.
+const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(50);
+/// Pending set-ups over all connections, and playing sessions, for each megabyte of memory: with the longest
+/// descriptions they use a quarter and a tenth of it.
+const PENDING_PER_MB: usize = 16;
+/// One connection may hold this part of the pending set-ups: four flooding connections leave none for others,
+/// three some.
+const PENDING_PER_CONNECTION_DIVISOR: usize = 4;
+const PLAYING_PER_MB: usize = 200;
+/// The cool-down sent when the session table itself is full.
+const FULL_COOL_DOWN: Duration = Duration::from_millis(500);
+
+/// The id of a streamer in the decision module: the 32 bits of its name in the list and not its address,
+/// since another streamer may start at the address of a removed one.
 pub fn streamer_id(bits: u32) -> StreamerId {
     SocketAddrV4::new(Ipv4Addr::from(bits), 0)
 }
 
 pub struct SessionTable {
     module: Controller,
-    pub calls: Calls,
-    most_open: usize,
-    most_standing: usize,
-    /// What the list says of each streamer, gone ones left out.
-    listed: BTreeMap<StreamerId, Health>,
-    lists: Vec<Arrival>,
+    pub store: SessionStore,
+    max_pending: usize,
+    max_playing: usize,
+    /// The health of each listed streamer.
+    health_by_streamer: BTreeMap<StreamerId, Health>,
+    list_inputs: Vec<ModuleInput>,
 }
 
 impl SessionTable {
-    pub fn new(module: Controller, terms: Terms, memory_mb: usize) -> Self {
-        let calls = Calls {
-            terms,
-            all: BTreeMap::new(),
+    pub fn new(module: Controller, settings: PlatformSettings, memory_mb: usize) -> Self {
+        let store = SessionStore {
+            settings,
+            sessions: BTreeMap::new(),
             by_wire_id: BTreeMap::new(),
-            open: BTreeMap::new(),
-            standing: BTreeMap::new(),
-            due: BTreeSet::new(),
-            arrivals: Vec::new(),
+            pending_by_connection: BTreeMap::new(),
+            playing_by_streamer: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            inputs: Vec::new(),
             next_job: 1,
-            open_count: 0,
-            unanswered: Unanswered::default(),
+            pending_count: 0,
+            unanswered: UnansweredCounts::default(),
         };
-        let (most_open, most_standing) = (memory_mb * OPEN_PER_MB, memory_mb * STANDING_PER_MB);
-        Self { module, calls, most_open, most_standing, listed: BTreeMap::new(), lists: Vec::new() }
+        let (max_pending, max_playing) = (memory_mb * PENDING_PER_MB, memory_mb * PLAYING_PER_MB);
+        Self {
+            module,
+            store,
+            max_pending,
+            max_playing,
+            health_by_streamer: BTreeMap::new(),
+            list_inputs: Vec::new(),
+        }
     }
 
-    /// How many calls there are.
+    /// The number of sessions.
     pub fn len(&self) -> usize {
-        self.calls.all.len()
+        self.store.sessions.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.calls.all.is_empty()
+        self.store.sessions.is_empty()
     }
 
-    /// How many set-ups of a viewer's connection have no answer yet.
-    pub fn open_on(&self, line: Line) -> usize {
-        self.calls.open.get(&line).map_or(0, BTreeSet::len)
+    /// The number of pending set-ups of a viewer's connection.
+    pub fn pending_on(&self, connection: Line) -> usize {
+        self.store.pending_by_connection.get(&connection).map_or(0, BTreeSet::len)
     }
 
-    /// How many subscriptions stand at a streamer.
-    pub fn standing_at(&self, streamer: StreamerId) -> usize {
-        self.calls.standing.get(&streamer).map_or(0, BTreeSet::len)
+    /// The number of sessions that play at a streamer.
+    pub fn playing_at(&self, streamer: StreamerId) -> usize {
+        self.store.playing_by_streamer.get(&streamer).map_or(0, BTreeSet::len)
     }
 
-    /// Whether that subscription stands at that streamer.
+    /// Whether that session plays at that streamer.
     #[cfg(test)]
-    pub fn stands(&self, streamer: StreamerId, wire_id: u64) -> bool {
-        let call = self.calls.by_wire_id.get(&wire_id).and_then(|job| self.calls.get(*job));
-        call.is_some_and(|call| call.phase == Phase::Stands(streamer))
+    pub fn is_playing_at(&self, streamer: StreamerId, wire_id: u64) -> bool {
+        let session = self.store.by_wire_id.get(&wire_id).and_then(|job| self.store.get(*job));
+        session.is_some_and(|session| session.phase == Phase::Stands(streamer))
     }
 
-    /// Whether that subscription stands at that streamer, or a join of it is out there.
-    pub fn is_at(&self, streamer: StreamerId, wire_id: u64) -> bool {
-        let call = self.calls.by_wire_id.get(&wire_id).and_then(|job| self.calls.get(*job));
-        call.is_some_and(|call| matches!(call.phase, Phase::Stands(at) | Phase::Out(at) if at == streamer))
+    /// Whether that session plays at that streamer or has a join outstanding there.
+    pub fn is_joining_or_playing_at(&self, streamer: StreamerId, wire_id: u64) -> bool {
+        let session = self.store.by_wire_id.get(&wire_id).and_then(|job| self.store.get(*job));
+        session.is_some_and(
+            |session| matches!(session.phase, Phase::Stands(at) | Phase::Out(at) if at == streamer),
+        )
     }
 
-    /// The streamers at which subscriptions stand.
-    pub fn stands_at(&self) -> impl Iterator<Item = StreamerId> + '_ {
-        self.calls.standing.keys().copied()
+    /// The streamers with playing sessions.
+    pub fn playing_streamers(&self) -> impl Iterator<Item = StreamerId> + '_ {
+        self.store.playing_by_streamer.keys().copied()
     }
 
-    /// A viewer's set-up.
+    /// Handles a viewer's set-up.
     pub fn set_up(
-        &mut self, now: Duration, line: Line, wire_id: u64, parameters: Parameters<'_>,
-        wires: &mut impl Wires,
+        &mut self, now: Duration, connection: Line, wire_id: u64, parameters: Parameters<'_>,
+        transport: &mut impl Transport,
     ) {
-        let request = match asked::read(wire_id, parameters, &self.calls.terms) {
+        let request = match request::parse(wire_id, parameters, &self.store.settings) {
             Ok(request) => request,
-            Err(what) => {
-                tracing::debug!(what, "a set-up that cannot be used");
-                return self.turn_away(now, line, wire_id, wires);
+            Err(parameter) => {
+                tracing::debug!(what = parameter, "rejecting a set-up: parameter missing or out of range");
+                return self.reject(now, connection, wire_id, transport);
             }
         };
-        if let Some(at) = &request.at {
-            let streamer = badgerledge_names::id_of(at).map(streamer_id);
-            return self.hand_over(now, line, wire_id, &request, streamer, wires);
+        if let Some(name) = &request.playing_at {
+            let streamer = badgerledge_names::id_of(name).map(streamer_id);
+            return self.accept_handover(now, connection, wire_id, &request, streamer, transport);
         }
-        if self.calls.by_wire_id.contains_key(&wire_id) {
-            return self.turn_away(now, line, wire_id, wires);
+        if self.store.by_wire_id.contains_key(&wire_id) {
+            return self.reject(now, connection, wire_id, transport);
         }
-        if self.calls.open_count >= self.most_open || self.open_on(line) >= self.most_open / OPEN_ON_LINE {
-            let stay_away = self.calls.terms.stay_away.min(FULL_FOR);
-            wires.answer(line, &viewers::release(wire_id, THROTTLED, stay_away));
+        if self.store.pending_count >= self.max_pending
+            || self.pending_on(connection) >= self.max_pending / PENDING_PER_CONNECTION_DIVISOR
+        {
+            let cool_down = self.store.settings.max_cool_down.min(FULL_COOL_DOWN);
+            transport.answer(connection, &viewers::release(wire_id, THROTTLED, cool_down));
             return;
         }
-        let mut asked = request.asked;
-        let named = asked.client_timeout;
-        asked.client_timeout = named - MARGIN.min(named / 10);
-        let until = now + named - LAST_CALL.min(named / 20);
-        let offered =
-            Offered { room_type: asked.room_type, title: request.title, description: request.description };
-        let call = Call {
+        let mut subscription = request.subscription;
+        let stated = subscription.client_timeout;
+        subscription.client_timeout = stated - ANSWER_MARGIN.min(stated / 10);
+        let answer_by = now + stated - ANSWER_DEADLINE_MARGIN.min(stated / 20);
+        let offer = OfferFields {
+            room_type: subscription.room_type,
+            title: request.title,
+            description: request.description,
+        };
+        let session = Session {
             wire_id,
-            line,
-            came: now,
-            until,
-            offered: Some(Box::new(offered)),
+            connection,
+            received_at: now,
+            answer_by,
+            offer: Some(Box::new(offer)),
             rung: None,
             joins: 0,
-            sent: now,
+            join_sent_at: now,
             phase: Phase::Waiting,
         };
-        let job = self.calls.keep(call);
-        trace(wire_id, "set-up", (line, asked.path_key));
-        self.calls.due.insert((until, Due::LastCall(job)));
-        self.calls.arrivals.push(Box::new(move |module| module.request(job, asked)));
+        let job = self.store.insert(session);
+        trace_session(wire_id, "set-up", (connection, subscription.path_key));
+        self.store.timers.insert((answer_by, Timer::AnswerDeadline(job)));
+        self.store.inputs.push(Box::new(move |module| module.request(job, subscription)));
     }
 
-    /// A subscription that plays already is handed over. It wants no answer; one at a streamer that is not
-    /// listed is over.
-    fn hand_over(
-        &mut self, now: Duration, line: Line, wire_id: u64, request: &asked::Request,
-        streamer: Option<StreamerId>, wires: &mut impl Wires,
+    /// Accepts a session that already plays. It gets no answer; one at a streamer that is not listed is
+    /// released.
+    fn accept_handover(
+        &mut self, now: Duration, connection: Line, wire_id: u64, request: &request::Request,
+        streamer: Option<StreamerId>, transport: &mut impl Transport,
     ) {
-        if self.calls.by_wire_id.contains_key(&wire_id) {
+        if self.store.by_wire_id.contains_key(&wire_id) {
             return;
         }
-        let listed = streamer.filter(|streamer| self.listed.contains_key(streamer));
-        let Some(streamer) = listed.filter(|_| self.len() < self.most_standing) else {
-            return wires.release(line, wire_id, viewers::release(wire_id, CUT, Duration::ZERO));
+        let listed = streamer.filter(|streamer| self.health_by_streamer.contains_key(streamer));
+        let Some(streamer) = listed.filter(|_| self.len() < self.max_playing) else {
+            return transport.release(connection, wire_id, viewers::release(wire_id, FAILED, Duration::ZERO));
         };
-        wires.trust(line);
-        trace(wire_id, "handed over", streamer);
-        let asked = request.asked;
+        transport.mark_serving(connection);
+        trace_session(wire_id, "handed over", streamer);
+        let subscription = request.subscription;
         let phase = Phase::Stands(streamer);
-        let call = Call {
+        let session = Session {
             wire_id,
-            line,
-            came: now,
-            until: now,
-            offered: None,
+            connection,
+            received_at: now,
+            answer_by: now,
+            offer: None,
             rung: None,
             joins: 1,
-            sent: now,
+            join_sent_at: now,
             phase,
         };
-        let job = self.calls.keep(call);
-        self.calls.arrivals.push(Box::new(move |module| module.resumed(job, asked, streamer)));
+        let job = self.store.insert(session);
+        self.store.inputs.push(Box::new(move |module| module.resumed(job, subscription, streamer)));
     }
 
-    /// A set-up that cannot be used gets a final answer. If its id is that of an open one on the same
+    /// Rejects an invalid set-up with a final answer. If its id is that of a pending set-up on the same
     /// connection, one answer ends both, since the viewer could not tell two apart.
-    pub fn turn_away(&mut self, now: Duration, line: Line, wire_id: u64, wires: &mut impl Wires) {
-        let open = self.calls.by_wire_id.get(&wire_id).copied();
-        let same = open.filter(|job| {
-            let here = self.calls.get(*job).filter(|call| call.line == line);
-            here.is_some_and(|call| call.phase.is_open())
+    pub fn reject(&mut self, now: Duration, connection: Line, wire_id: u64, transport: &mut impl Transport) {
+        let existing = self.store.by_wire_id.get(&wire_id).copied();
+        let pending_here = existing.filter(|job| {
+            let on_connection = self.store.get(*job).filter(|session| session.connection == connection);
+            on_connection.is_some_and(|session| session.phase.is_pending())
         });
-        if let Some(job) = same {
-            self.expire(now, job, wires);
+        if let Some(job) = pending_here {
+            self.expire(now, job, transport);
         }
-        wires.answer(line, &viewers::release(wire_id, UNUSABLE, Duration::ZERO));
-    }
-
-    /// The viewer gives its set-up up, or ends its subscription. A set-up that is given up on another connection than
-    /// its own ends with a final answer there: one that was not its viewer's to give up is not left without any.
-    pub fn ended_by_viewer(&mut self, now: Duration, line: Line, wire_id: u64, wires: &mut impl Wires) {
-        let Some(job) = self.calls.by_wire_id.get(&wire_id).copied() else { return };
-        let Some(call) = self.calls.get(job) else { return };
-        trace(wire_id, "ended by its viewer", call.phase);
-        match call.phase {
-            Phase::Waiting | Phase::Out(_) if call.line == line => self.expire(now, job, wires),
-            Phase::Waiting | Phase::Out(_) => self.fail(now, job, wires),
+        transport.answer(connection, &viewers::release(wire_id, INVALID_REQUEST, Duration::ZERO));
+    }
+
+    /// Handles a viewer that abandons its set-up or ends its session. A set-up that is abandoned on another
+    /// connection than its own gets a final answer on its own, so that a viewer is not left without one if a
+    /// stranger sent the end.
+    pub fn ended_by_viewer(
+        &mut self, now: Duration, connection: Line, wire_id: u64, transport: &mut impl Transport,
+    ) {
+        let Some(job) = self.store.by_wire_id.get(&wire_id).copied() else { return };
+        let Some(session) = self.store.get(job) else { return };
+        trace_session(wire_id, "ended by its viewer", session.phase);
+        match session.phase {
+            Phase::Waiting | Phase::Out(_) if session.connection == connection => {
+                self.expire(now, job, transport)
+            }
+            Phase::Waiting | Phase::Out(_) => self.answer_failed(now, job, transport),
             Phase::Stands(streamer) => {
-                wires.say(streamer, streamers::end(wire_id, NORMAL));
-                self.over(now, job, Ending::Cancelled, Vec::new());
+                transport.send(streamer, streamers::end(wire_id, NORMAL));
+                self.finish(now, job, Ending::Cancelled, Vec::new());
             }
             Phase::Leaves(_) => {}
         }
     }
 
-    /// A viewers' connection is gone, and with it the set-ups that wait on it.
-    pub fn viewer_gone(&mut self, now: Duration, line: Line, by: By, wires: &mut impl Wires) {
-        for job in self.calls.open.get(&line).cloned().unwrap_or_default() {
-            self.calls.note_unanswered(now, job, by, None);
-            self.expire(now, job, wires);
+    /// Handles a closed viewers' connection: drops the set-ups that are pending on it.
+    pub fn viewer_disconnected(
+        &mut self, now: Duration, connection: Line, closed_by: ClosedBy, transport: &mut impl Transport,
+    ) {
+        for job in self.store.pending_by_connection.get(&connection).cloned().unwrap_or_default() {
+            self.store.count_unanswered(now, job, closed_by, None);
+            self.expire(now, job, transport);
         }
     }
 
-    /// Ends a call that has no answer, and owes none any more.
-    fn expire(&mut self, now: Duration, job: JobId, wires: &mut impl Wires) {
-        let Some(call) = self.calls.drop_call(job) else { return };
-        trace(call.wire_id, "expired", call.phase);
-        self.calls.arrivals.push(Box::new(move |module| module.expired(job)));
-        self.calls.withdraw_join(now, job, &call, wires);
+    /// Drops a session that has no answer and needs none any more.
+    fn expire(&mut self, now: Duration, job: JobId, transport: &mut impl Transport) {
+        let Some(session) = self.store.remove(job) else { return };
+        trace_session(session.wire_id, "expired", session.phase);
+        self.store.inputs.push(Box::new(move |module| module.expired(job)));
+        self.store.withdraw_join(now, job, &session, transport);
     }
 
-    /// A streamer answers the join that is out: the subscription stands.
-    pub fn answered(&mut self, now: Duration, job: JobId, description: &str, wires: &mut impl Wires) {
-        let Some(call) = self.calls.get(job) else { return };
-        let Phase::Out(streamer) = call.phase else { return };
-        let (wire_id, line, join, sent) = (call.wire_id, call.line, call.joins - 1, call.sent);
+    /// Handles a streamer's answer to the outstanding join: the session plays.
+    pub fn join_answered(
+        &mut self, now: Duration, job: JobId, description: &str, transport: &mut impl Transport,
+    ) {
+        let Some(session) = self.store.get(job) else { return };
+        let Phase::Out(streamer) = session.phase else { return };
+        let (wire_id, connection, number, sent_at) =
+            (session.wire_id, session.connection, session.joins - 1, session.join_sent_at);
         let message = viewers::answer(wire_id, description.as_bytes());
-        if !message.is_some_and(|message| wires.answer(line, &message)) {
-            // Its viewer cannot be told: it must not stand.
-            self.calls.note_unanswered(now, job, By::Network, Some(Step::NotTaken));
-            wires.say(streamer, streamers::end(wire_id, NORMAL));
-            if let Some(call) = self.calls.get_mut(job) {
-                call.phase = Phase::Waiting;
+        if !message.is_some_and(|message| transport.answer(connection, &message)) {
+            // The viewer cannot be answered, so the session must not play.
+            self.store.count_unanswered(now, job, ClosedBy::Network, Some(Step::NotTaken));
+            transport.send(streamer, streamers::end(wire_id, NORMAL));
+            if let Some(session) = self.store.get_mut(job) {
+                session.phase = Phase::Waiting;
             }
-            self.expire(now, job, wires);
-            return self.calls.outcome(now, job, (streamer, join, sent), Ending::Cancelled, true, Vec::new());
+            self.expire(now, job, transport);
+            return self.store.report_outcome(
+                now,
+                job,
+                (streamer, number, sent_at),
+                Ending::Cancelled,
+                true,
+                Vec::new(),
+            );
         }
-        trace(wire_id, "stands", streamer);
-        wires.trust(line);
-        self.calls.stand(job, streamer);
-        let latency = now.saturating_sub(sent);
-        self.calls.arrivals.push(Box::new(move |module| module.flowing(job, join, streamer, latency)));
+        trace_session(wire_id, "stands", streamer);
+        transport.mark_serving(connection);
+        self.store.set_playing(job, streamer);
+        let latency = now.saturating_sub(sent_at);
+        self.store.inputs.push(Box::new(move |module| module.flowing(job, number, streamer, latency)));
     }
 
-    /// The join that is out has ended without an answer.
+    /// Handles the end of the outstanding join without an answer.
     pub fn join_ended(&mut self, now: Duration, job: JobId, ending: Ending, load: Option<&str>) {
-        let usage = self.calls.usage(load);
-        let Some(call) = self.calls.get_mut(job) else { return };
-        let Phase::Out(streamer) = call.phase else { return };
-        call.phase = Phase::Waiting;
-        trace(call.wire_id, "join ended", (streamer, ending));
-        let join = (streamer, call.joins - 1, call.sent);
-        self.calls.outcome(now, job, join, ending, false, usage);
+        let usage = self.store.parse_usage(load);
+        let Some(session) = self.store.get_mut(job) else { return };
+        let Phase::Out(streamer) = session.phase else { return };
+        session.phase = Phase::Waiting;
+        trace_session(session.wire_id, "join ended", (streamer, ending));
+        let join = (streamer, session.joins - 1, session.join_sent_at);
+        self.store.report_outcome(now, job, join, ending, false, usage);
     }
 
-    /// What a streamer's release of a subscription that stands means, and that its viewer is told.
+    /// Handles a streamer's release of a playing session, and releases its viewer.
     pub fn ended_by_streamer(
         &mut self, now: Duration, streamer: StreamerId, wire_id: u64, cause: u64, load: Option<&str>,
-        wires: &mut impl Wires,
+        transport: &mut impl Transport,
     ) {
-        let Some(job) = self.calls.by_wire_id.get(&wire_id).copied() else { return };
-        let Some(call) = self.calls.get(job) else { return };
-        let line = call.line;
-        trace(wire_id, "ended by its streamer", (call.phase, cause));
-        let usage = self.calls.usage(load);
-        match call.phase {
-            // A move crosses with an end now and then: only its own end says that the viewer is told.
+        let Some(job) = self.store.by_wire_id.get(&wire_id).copied() else { return };
+        let Some(session) = self.store.get(job) else { return };
+        let connection = session.connection;
+        trace_session(wire_id, "ended by its streamer", (session.phase, cause));
+        let usage = self.store.parse_usage(load);
+        match session.phase {
+            // A move and an end may cross: only the end that the move causes needs no release to the viewer.
             Phase::Stands(at) | Phase::Leaves(at) if at == streamer => {
                 let ending = match u8::try_from(cause) {
                     Ok(NORMAL) => Ending::Served,
                     Ok(MOVED) => Ending::Cancelled,
                     _ => Ending::Reset,
                 };
-                // Who was moved, or has left, is owed no release.
+                // A viewer that was moved or has left needs no release.
                 if ending != Ending::Cancelled {
-                    let cause = if ending == Ending::Served { NORMAL } else { CUT };
-                    wires.release(line, wire_id, viewers::release(wire_id, cause, Duration::ZERO));
+                    let cause = if ending == Ending::Served { NORMAL } else { FAILED };
+                    transport.release(connection, wire_id, viewers::release(wire_id, cause, Duration::ZERO));
                 }
-                self.over(now, job, ending, usage);
+                self.finish(now, job, ending, usage);
             }
             _ => {}
         }
     }
 
-    fn over(&mut self, now: Duration, job: JobId, ending: Ending, usage: Vec<f64>) {
-        let Some(call) = self.calls.drop_call(job) else { return };
-        if let Phase::Stands(streamer) | Phase::Leaves(streamer) = call.phase {
-            let join = (streamer, call.joins.saturating_sub(1), call.sent);
-            self.calls.outcome(now, job, join, ending, true, usage);
+    fn finish(&mut self, now: Duration, job: JobId, ending: Ending, usage: Vec<f64>) {
+        let Some(session) = self.store.remove(job) else { return };
+        if let Phase::Stands(streamer) | Phase::Leaves(streamer) = session.phase {
+            let join = (streamer, session.joins.saturating_sub(1), session.join_sent_at);
+            self.store.report_outcome(now, job, join, ending, true, usage);
         }
     }
 
-    /// A streamer is gone, or was started anew at that time, with all that stood there before.
-    pub fn lost(&mut self, now: Duration, streamer: StreamerId, before: Duration, wires: &mut impl Wires) {
-        for job in self.calls.standing.get(&streamer).cloned().unwrap_or_default() {
-            let Some(call) = self.calls.get(job).filter(|call| call.sent < before) else { continue };
-            trace(call.wire_id, "lost with its streamer", streamer);
-            wires.release(call.line, call.wire_id, viewers::release(call.wire_id, CUT, Duration::ZERO));
-            self.over(now, job, Ending::Reset, Vec::new());
+    /// Ends the sessions that were sent to a streamer before the given time: it is gone, or was restarted
+    /// then.
+    pub fn streamer_lost(
+        &mut self, now: Duration, streamer: StreamerId, before: Duration, transport: &mut impl Transport,
+    ) {
+        for job in self.store.playing_by_streamer.get(&streamer).cloned().unwrap_or_default() {
+            let Some(session) = self.store.get(job).filter(|session| session.join_sent_at < before) else {
+                continue;
+            };
+            trace_session(session.wire_id, "lost with its streamer", streamer);
+            transport.release(
+                session.connection,
+                session.wire_id,
+                viewers::release(session.wire_id, FAILED, Duration::ZERO),
+            );
+            self.finish(now, job, Ending::Reset, Vec::new());
         }
     }
 
-    /// A note on a subscription that stands, and whether anybody holds that subscription. One that names another
-    /// streamer's subscription is nothing.
-    pub fn noted(
-        &mut self, streamer: StreamerId, wire_id: u64, note: &str, value: f64,
+    /// Handles a progress report on a playing session; returns whether the session is known. A report from
+    /// another streamer than the session's is ignored.
+    pub fn progress_report(
+        &mut self, streamer: StreamerId, wire_id: u64, kind: &str, value: f64,
     ) -> Result<bool, Fault> {
         let kinds = ["kept_up", "tier", "wire", "trunk"];
-        let kind = kinds.iter().position(|kind| *kind == note).ok_or(Fault::Field("note"))? as u8 + 1;
-        let job = self.calls.by_wire_id.get(&wire_id).copied();
-        let stands = |job: &JobId| self.calls.get(*job).is_some_and(|c| c.phase == Phase::Stands(streamer));
-        if let Some(job) = job.filter(stands) {
-            self.calls.arrivals.push(Box::new(move |module| module.progress(job, streamer, kind, value)));
+        let kind = kinds.iter().position(|known| *known == kind).ok_or(Fault::Field("note"))? as u8 + 1;
+        let job = self.store.by_wire_id.get(&wire_id).copied();
+        let plays = |job: &JobId| self.store.get(*job).is_some_and(|c| c.phase == Phase::Stands(streamer));
+        if let Some(job) = job.filter(plays) {
+            self.store.inputs.push(Box::new(move |module| module.progress(job, streamer, kind, value)));
         }
-        Ok(self.calls.by_wire_id.contains_key(&wire_id))
+        Ok(self.store.by_wire_id.contains_key(&wire_id))
     }
 
-    /// How a probe ended.
-    pub fn echo(&mut self, streamer: StreamerId, ending: Ending, latency: Duration, load: Option<&str>) {
-        let usage = self.calls.usage(load);
-        self.calls.arrivals.push(Box::new(move |module| module.echo(streamer, ending, latency, &usage)));
+    /// Passes the result of a probe to the decision module.
+    pub fn probe_finished(
+        &mut self, streamer: StreamerId, ending: Ending, latency: Duration, load: Option<&str>,
+    ) {
+        let usage = self.store.parse_usage(load);
+        self.store.inputs.push(Box::new(move |module| module.echo(streamer, ending, latency, &usage)));
     }
 
-    pub fn peer(&mut self, peer: u32, bytes: Vec<u8>) {
-        self.calls.arrivals.push(Box::new(move |module| module.peer(peer, &bytes)));
+    pub fn peer_message(&mut self, peer: u32, bytes: Vec<u8>) {
+        self.store.inputs.push(Box::new(move |module| module.peer(peer, &bytes)));
     }
 
-    /// A list, or what has changed in it, entry by entry. It goes to the module before all else that came.
-    pub fn list(&mut self, how: Listing, entries: Vec<ListEntry>) {
+    /// Applies the list of streamers, or changes to it. They reach the decision module before all other
+    /// inputs.
+    pub fn apply_list(&mut self, listing: Listing, entries: Vec<ListEntry>) {
         for entry in &entries {
             match entry.health {
-                Health::Gone => self.listed.remove(&entry.id),
-                health => self.listed.insert(entry.id, health),
+                Health::Gone => self.health_by_streamer.remove(&entry.id),
+                health => self.health_by_streamer.insert(entry.id, health),
             };
         }
-        self.lists.push(Box::new(move |module| {
-            module.list_begins(how);
+        self.list_inputs.push(Box::new(move |module| {
+            module.list_begins(listing);
             for e in entries {
-                module.list_entry(e.id, e.zone, e.kind, e.cell, e.health, e.weight, e.came_up);
+                module.list_entry(e.id, e.zone, e.kind, e.cell, e.health, e.weight, e.started);
             }
-            module.list_ends(how);
+            module.list_ends(listing);
         }));
     }
 
-    /// Whether a new join may go to a streamer.
-    pub fn takes_joins(&self, streamer: StreamerId) -> bool {
-        self.listed.get(&streamer) == Some(&Health::Ready)
-    }
-
-    /// The earliest time at which something falls due.
-    pub fn next_due(&self) -> Option<Duration> {
-        self.calls.due.first().map(|due| due.0)
-    }
-
-    /// Whether a round has something to bring.
-    pub fn has_news(&self) -> bool {
-        !self.calls.arrivals.is_empty() || !self.lists.is_empty()
-    }
-
-    /// What has fallen due.
-    pub fn fall_due(&mut self, now: Duration, wires: &mut impl Wires) {
-        while let Some((at, due)) = self.calls.due.first().copied().filter(|due| due.0 <= now) {
-            self.calls.due.remove(&(at, due));
-            match due {
-                Due::Module(token) => self.calls.arrivals.push(Box::new(move |m| m.fired(token))),
-                Due::Join(job, join) => self.late_join(now, job, join, wires),
-                Due::LastCall(job) => self.last_call(now, job, wires),
-                Due::Moved(job) => {
-                    let leaves = self.calls.get(job).map(|call| (call.phase, call.wire_id, call.line));
-                    if let Some((Phase::Leaves(streamer), wire_id, line)) = leaves {
-                        wires.say(streamer, streamers::end(wire_id, NORMAL));
-                        wires.release(line, wire_id, viewers::release(wire_id, NORMAL, Duration::ZERO));
-                        self.calls.drop_call(job);
+    /// Whether a streamer accepts new joins.
+    pub fn accepts_joins(&self, streamer: StreamerId) -> bool {
+        self.health_by_streamer.get(&streamer) == Some(&Health::Ready)
+    }
+
+    /// The time of the next timer.
+    pub fn next_timer(&self) -> Option<Duration> {
+        self.store.timers.first().map(|due| due.0)
+    }
+
+    /// Whether there are inputs for the next round.
+    pub fn has_inputs(&self) -> bool {
+        !self.store.inputs.is_empty() || !self.list_inputs.is_empty()
+    }
+
+    /// Runs the timers that are due.
+    pub fn run_timers(&mut self, now: Duration, transport: &mut impl Transport) {
+        while let Some((at, timer)) = self.store.timers.first().copied().filter(|due| due.0 <= now) {
+            self.store.timers.remove(&(at, timer));
+            match timer {
+                Timer::DecisionModule(token) => self.store.inputs.push(Box::new(move |m| m.fired(token))),
+                Timer::JoinTimeout(job, number) => self.join_timed_out(now, job, number, transport),
+                Timer::AnswerDeadline(job) => self.answer_overdue(now, job, transport),
+                Timer::MoveTimeout(job) => {
+                    let moved = self
+                        .store
+                        .get(job)
+                        .map(|session| (session.phase, session.wire_id, session.connection));
+                    if let Some((Phase::Leaves(streamer), wire_id, connection)) = moved {
+                        transport.send(streamer, streamers::end(wire_id, NORMAL));
+                        transport.release(
+                            connection,
+                            wire_id,
+                            viewers::release(wire_id, NORMAL, Duration::ZERO),
+                        );
+                        self.store.remove(job);
                     }
                 }
             }
         }
     }
 
-    fn late_join(&mut self, now: Duration, job: JobId, join: u16, wires: &mut impl Wires) {
-        let Some(call) = self.calls.get(job).filter(|call| call.joins == join + 1) else { return };
-        if let Phase::Out(streamer) = call.phase {
-            wires.withdraw(job, call.wire_id, streamer);
+    fn join_timed_out(&mut self, now: Duration, job: JobId, number: u16, transport: &mut impl Transport) {
+        let Some(session) = self.store.get(job).filter(|session| session.joins == number + 1) else { return };
+        if let Phase::Out(streamer) = session.phase {
+            transport.withdraw_join(job, session.wire_id, streamer);
             self.join_ended(now, job, Ending::Timeout, None);
         }
     }
 
-    /// The viewer is about to give up, and the module has not answered.
-    fn last_call(&mut self, now: Duration, job: JobId, wires: &mut impl Wires) {
-        let Some(call) = self.calls.get(job) else { return };
-        if call.phase.is_open() {
-            self.fail(now, job, wires);
+    /// Answers a viewer that is about to give up without an answer from the decision module.
+    fn answer_overdue(&mut self, now: Duration, job: JobId, transport: &mut impl Transport) {
+        let Some(session) = self.store.get(job) else { return };
+        if session.phase.is_pending() {
+            self.answer_failed(now, job, transport);
         }
     }
 
-    /// Answers a call that has no answer as failed, and ends it.
-    fn fail(&mut self, now: Duration, job: JobId, wires: &mut impl Wires) {
-        let Some(call) = self.calls.get(job) else { return };
-        let (line, wire_id) = (call.line, call.wire_id);
-        if !wires.answer(line, &viewers::release(wire_id, CUT, Duration::ZERO)) {
-            self.calls.note_unanswered(now, job, By::Network, Some(Step::NotTaken));
+    /// Answers a pending set-up as failed, and drops it.
+    fn answer_failed(&mut self, now: Duration, job: JobId, transport: &mut impl Transport) {
+        let Some(session) = self.store.get(job) else { return };
+        let (connection, wire_id) = (session.connection, session.wire_id);
+        if !transport.answer(connection, &viewers::release(wire_id, FAILED, Duration::ZERO)) {
+            self.store.count_unanswered(now, job, ClosedBy::Network, Some(Step::NotTaken));
         }
-        self.expire(now, job, wires);
+        self.expire(now, job, transport);
     }
 
-    /// The process ends with all that it still holds: each call gets its answer or its release, at both ends.
-    pub fn end_all(&mut self, now: Duration, wires: &mut impl Wires) {
-        for job in self.calls.all.keys().copied().collect::<Vec<_>>() {
-            let Some(call) = self.calls.get(job) else { continue };
-            let (line, wire_id) = (call.line, call.wire_id);
-            match call.phase {
-                Phase::Waiting | Phase::Out(_) => self.fail(now, job, wires),
+    /// Ends all sessions at shutdown: each gets its answer or its release, at both sides.
+    pub fn close_all(&mut self, now: Duration, transport: &mut impl Transport) {
+        for job in self.store.sessions.keys().copied().collect::<Vec<_>>() {
+            let Some(session) = self.store.get(job) else { continue };
+            let (connection, wire_id) = (session.connection, session.wire_id);
+            match session.phase {
+                Phase::Waiting | Phase::Out(_) => self.answer_failed(now, job, transport),
                 Phase::Stands(streamer) | Phase::Leaves(streamer) => {
-                    wires.say(streamer, streamers::end(wire_id, NORMAL));
-                    wires.release(line, wire_id, viewers::release(wire_id, CUT, Duration::ZERO));
-                    self.over(now, job, Ending::Cancelled, Vec::new());
+                    transport.send(streamer, streamers::end(wire_id, NORMAL));
+                    transport.release(connection, wire_id, viewers::release(wire_id, FAILED, Duration::ZERO));
+                    self.finish(now, job, Ending::Cancelled, Vec::new());
                 }
             }
         }
     }
 
-    /// One round of the module: all that came in, then what it decides.
-    pub fn round(&mut self, now: Duration, wires: &mut impl Wires) {
-        let mut arrivals = std::mem::take(&mut self.lists);
-        arrivals.append(&mut self.calls.arrivals);
-        let mut dispatcher = Dispatcher { now, calls: &mut self.calls, wires };
-        let feed =
-            |module: &mut Controller, _: &mut Dispatcher<'_, _>| arrivals.into_iter().for_each(|a| a(module));
+    /// Runs one round of the decision module: applies all inputs, then carries out its decisions.
+    pub fn round(&mut self, now: Duration, transport: &mut impl Transport) {
+        let mut inputs = std::mem::take(&mut self.list_inputs);
+        inputs.append(&mut self.store.inputs);
+        let mut dispatcher = Dispatcher { now, store: &mut self.store, transport };
+        let feed = |module: &mut Controller, _: &mut Dispatcher<'_, _>| {
+            inputs.into_iter().for_each(|input| input(module))
+        };
         self.module.round(now, feed, &mut dispatcher);
     }
 }
 
-/// What the list says of a streamer, as the module takes it.
+/// An entry of the streamer list, as the decision module takes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     pub id: StreamerId,
-    pub at: SocketAddrV4,
+    pub address: SocketAddrV4,
     pub zone: u16,
     pub kind: usize,
     pub cell: u32,
     pub health: Health,
     pub weight: f64,
-    pub came_up: Start,
+    pub started: Start,
 }
--- /dev/null
+++ b/crates/platform/src/streamer_pool.rs
@@ -0,0 +1,593 @@
+//! Pool of connections to streamers. A malformed answer fails all set-ups that are outstanding on its
+//! connection, so each join has its own connection while descriptors last, and a connection on which a join
+//! was abandoned is not used again. At least one connection to each streamer with playing sessions is kept,
+//! for progress reports and releases.
+
+mod sweep;
+
+use std::collections::{BTreeMap, VecDeque};
+use std::io::ErrorKind;
+use std::net::{SocketAddr, SocketAddrV4};
+use std::time::Duration;
+
+use badgerledge_core::interface::{Ending, JobId, StreamerId};
+use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_signalling::{streamers, MOST};
+
+/// Room for the longest message, and for the messages of one round.
+const BOUNDS: Bounds = Bounds { input: MOST + 1, output: 8 * MOST };
+/// Fraction of the idle time in the settings after which a connection takes no join and is closed: a streamer
+/// that closes it at that very time would reset the join.
+const IDLE_FRACTION: f64 = 0.7;
+/// How much longer than the interval of progress reports a streamer may be silent before it is checked. Two
+/// checks must fit in the eight seconds in which viewers have to learn of an end; must exceed the delay of
+/// progress reports.
+const SILENCE_MARGIN: Duration = Duration::from_millis(1500);
+const MAX_SILENCE: Duration = Duration::from_secs(6);
+/// A message is sent again if its connection closes within this time: more than a round trip and the time
+/// that a streamer takes to read it.
+const RESEND_WINDOW: Duration = Duration::from_secs(1);
+/// How long a message waits for a connection: a session that still plays this long after its end is lost
+/// anyway.
+const QUEUED_MESSAGE_LIFETIME: Duration = Duration::from_secs(8);
+/// Maximum of bytes that wait for one streamer: about two hundred releases.
+const MAX_QUEUED_BYTES: usize = MOST;
+/// Failed connection attempts in a row after which a streamer counts as lost, if it is silent or closed all
+/// connections.
+const MAX_FAILED_ATTEMPTS: u32 = 2;
+
+/// What became of joins, probes and streamers as connections closed or failed.
+#[derive(Clone, Debug, PartialEq)]
+pub enum PoolEvent {
+    JoinEnded(JobId, Ending),
+    ProbeFinished(StreamerId, Ending, Duration),
+    /// None of the sessions at this streamer can be playing any more.
+    StreamerLost(StreamerId),
+    /// Input was read on a connection outside of the event loop's wait.
+    Readable(Line),
+}
+
+/// Why no connection attempt could be started.
+enum ConnectError {
+    NoRoom,
+    /// Refused at once: no process listens there.
+    Refused,
+}
+
+/// State of a connection to a streamer.
+struct StreamerConnection {
+    streamer: StreamerId,
+    established: bool,
+    started_at: Duration,
+    /// When something was last sent on it.
+    last_sent_at: Duration,
+    /// When something was last received on it.
+    last_received_at: Duration,
+    /// Joins that wait for it to be established, with their offers; and outstanding joins.
+    queued_joins: Vec<(JobId, u64, Vec<u8>)>,
+    outstanding_joins: Vec<(JobId, u64)>,
+    /// When a join on it was abandoned: it takes no more joins.
+    abandoned_at: Option<Duration>,
+    /// Shut down for writing; it closes once the streamer has closed it too.
+    shut_down_at: Option<Duration>,
+    /// Outstanding probes, with when they were sent.
+    outstanding_probes: Vec<(u64, Duration)>,
+    /// Other messages that were recently sent on it.
+    recently_sent: VecDeque<(Duration, Vec<u8>)>,
+}
+
+/// What the pool knows of a streamer.
+struct StreamerState {
+    address: SocketAddrV4,
+    listed: bool,
+    connection_ids: Vec<Line>,
+    last_received_at: Duration,
+    /// Failed connection attempts in a row.
+    failed_attempts: u32,
+    /// Messages that wait for a connection, and since when; oldest first.
+    queued_messages: VecDeque<(Duration, Vec<u8>)>,
+}
+
+/// The connections to all streamers.
+pub struct StreamerPool {
+    streamers: BTreeMap<StreamerId, StreamerState>,
+    connections: BTreeMap<Line, StreamerConnection>,
+    /// Events for the session table, to be taken by the caller.
+    pub events: Vec<PoolEvent>,
+    max_connections: usize,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
+    max_joins_per_connection: usize,
+    /// How long a streamer with playing sessions may be silent before it is checked.
+    max_silence: Duration,
+    last_probe_id: u64,
+}
+
+impl StreamerPool {
+    pub fn new(
+        max_connections: usize, connect_timeout: Duration, keepalive: Duration,
+        max_joins_per_connection: usize, progress_interval: Duration, seed: u64,
+    ) -> Self {
+        Self {
+            streamers: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            events: Vec::new(),
+            max_connections,
+            connect_timeout,
+            idle_timeout: keepalive.mul_f64(IDLE_FRACTION),
+            max_joins_per_connection,
+            max_silence: (progress_interval + SILENCE_MARGIN).min(MAX_SILENCE),
+            last_probe_id: seed,
+        }
+    }
+
+    /// Adds a listed streamer at this address. Connections to a previous address are closed.
+    pub fn streamer_listed(
+        &mut self, streamer: StreamerId, address: SocketAddrV4, now: Duration, reactor: &mut Reactor,
+    ) {
+        let unchanged = self.streamers.get(&streamer).is_some_and(|state| state.address == address);
+        if !unchanged {
+            self.close_all(streamer, now, reactor);
+            let state = StreamerState {
+                address,
+                listed: true,
+                connection_ids: Vec::new(),
+                last_received_at: now,
+                failed_attempts: 0,
+                queued_messages: VecDeque::new(),
+            };
+            self.streamers.insert(streamer, state);
+        }
+        // A removed streamer at the same address cannot be reached any more.
+        let removed = self
+            .streamers
+            .iter()
+            .filter(|(id, state)| **id != streamer && state.address == address && !state.listed);
+        for id in removed.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.declare_lost(id, now, reactor);
+        }
+        self.streamers.entry(streamer).and_modify(|state| state.listed = true);
+    }
+
+    /// Marks a streamer as removed from the list.
+    pub fn streamer_removed(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) {
+        let Some(state) = self.streamers.get_mut(&streamer) else { return };
+        state.listed = false;
+        // Check at once whether it still runs.
+        state.last_received_at = state.last_received_at.min(now.saturating_sub(self.max_silence));
+        let address = state.address;
+        if self
+            .streamers
+            .iter()
+            .any(|(id, other)| *id != streamer && other.address == address && other.listed)
+        {
+            self.declare_lost(streamer, now, reactor);
+        }
+    }
+
+    fn declare_lost(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) {
+        self.close_all(streamer, now, reactor);
+        self.streamers.entry(streamer).and_modify(|state| {
+            (state.failed_attempts, state.last_received_at) = (0, now);
+            state.queued_messages.clear();
+        });
+        self.events.push(PoolEvent::StreamerLost(streamer));
+    }
+
+    fn close_all(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) {
+        let ids = self.streamers.get(&streamer).map_or_else(Vec::new, |state| state.connection_ids.clone());
+        for connection_id in ids {
+            self.close(connection_id, Ending::Reset, now, reactor);
+        }
+    }
+
+    /// The number of connections.
+    #[cfg(test)]
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The established connections.
+    pub fn established(&self) -> impl Iterator<Item = Line> + '_ {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| connection.established)
+            .map(|(connection_id, _)| *connection_id)
+    }
+
+    /// Whether bytes are not yet written, or messages wait for a connection.
+    pub fn has_pending_output(&self, now: Duration, reactor: &Reactor) -> bool {
+        let has_queued = |state: &StreamerState| {
+            state.queued_messages.iter().any(|(queued_at, _)| now < *queued_at + QUEUED_MESSAGE_LIFETIME)
+        };
+        self.streamers.values().any(has_queued)
+            || self.connections.keys().any(|connection_id| reactor.unwritten(*connection_id) > 0)
+    }
+
+    /// Whether a connection belongs to this pool.
+    pub fn contains(&self, connection_id: Line) -> bool {
+        self.connections.contains_key(&connection_id)
+    }
+
+    /// The streamer that a connection leads to.
+    pub fn streamer(&self, connection_id: Line) -> Option<StreamerId> {
+        self.connections.get(&connection_id).map(|connection| connection.streamer)
+    }
+
+    /// Starts a connection to a streamer.
+    fn connect(
+        &mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor,
+    ) -> Result<Line, ConnectError> {
+        if self.connections.len() >= self.max_connections && !self.close_longest_idle(reactor) {
+            return Err(ConnectError::NoRoom);
+        }
+        let state = self.streamers.get_mut(&streamer).ok_or(ConnectError::NoRoom)?;
+        let connection_id = reactor.connect(SocketAddr::V4(state.address), self.connect_timeout, BOUNDS);
+        let connection_id = connection_id.map_err(|error| match error.kind() {
+            ErrorKind::ConnectionRefused => ConnectError::Refused,
+            _ => ConnectError::NoRoom,
+        })?;
+        state.connection_ids.push(connection_id);
+        tracing::trace!(target: "badgerledge_platform::pool", %streamer, line = connection_id, "connects");
+        self.connections.insert(
+            connection_id,
+            StreamerConnection {
+                streamer,
+                established: false,
+                started_at: now,
+                last_sent_at: now,
+                last_received_at: now,
+                queued_joins: Vec::new(),
+                outstanding_joins: Vec::new(),
+                abandoned_at: None,
+                shut_down_at: None,
+                outstanding_probes: Vec::new(),
+                recently_sent: VecDeque::new(),
+            },
+        );
+        Ok(connection_id)
+    }
+
+    /// Closes the least recently used idle connection to make room for another. One on which input has just
+    /// arrived is kept for now, so that the input is handled first.
+    fn close_longest_idle(&mut self, reactor: &mut Reactor) -> bool {
+        let idle =
+            self.connections.iter().filter(|(_, connection)| connection.established && connection.is_idle());
+        let mut idle: Vec<_> =
+            idle.map(|(connection_id, connection)| (connection.last_sent_at, *connection_id)).collect();
+        idle.sort_unstable();
+        idle.into_iter().any(|(_, connection_id)| self.close_unless_readable(connection_id, reactor))
+    }
+
+    /// Closes an idle connection, unless input has just arrived on it that is not handled yet.
+    fn close_unless_readable(&mut self, connection_id: Line, reactor: &mut Reactor) -> bool {
+        if reactor.read_now(connection_id) {
+            self.events.push(PoolEvent::Readable(connection_id));
+            return false;
+        }
+        self.remove(connection_id);
+        reactor.close(connection_id);
+        true
+    }
+
+    /// Removes a connection from the pool, without closing it.
+    fn remove(&mut self, connection_id: Line) -> Option<StreamerConnection> {
+        let connection = self.connections.remove(&connection_id)?;
+        if let Some(state) = self.streamers.get_mut(&connection.streamer) {
+            state.connection_ids.retain(|id| *id != connection_id);
+        }
+        Some(connection)
+    }
+
+    /// The connection for a join or a probe: an idle one, a new one, or at the limit the one with the fewest
+    /// joins.
+    fn connection_for(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) -> Option<Line> {
+        let ids = self.streamers.get(&streamer)?.connection_ids.clone();
+        let usable = |connection: &&StreamerConnection| {
+            connection.established
+                && connection.is_idle()
+                && now < connection.last_sent_at + self.idle_timeout
+        };
+        let with_state = |connection_id: &Line| {
+            self.connections.get(connection_id).map(|connection| (*connection_id, connection))
+        };
+        let idle = ids.iter().filter_map(with_state).filter(|(_, connection)| usable(connection));
+        if let Some((connection_id, _)) =
+            idle.max_by_key(|(connection_id, connection)| (connection.last_sent_at, *connection_id))
+        {
+            return Some(connection_id);
+        }
+        if let Ok(connection_id) = self.connect(streamer, now, reactor) {
+            return Some(connection_id);
+        }
+        let join_count = |connection: &StreamerConnection| {
+            connection.outstanding_joins.len() + connection.queued_joins.len()
+        };
+        let shared = ids
+            .iter()
+            .filter_map(|connection_id| Some((*connection_id, self.connections.get(connection_id)?)));
+        // A join that is queued behind unwritten bytes could not be withdrawn.
+        let shared = shared.filter(|(connection_id, connection)| {
+            let accepts_joins = connection.abandoned_at.is_none() && connection.shut_down_at.is_none();
+            accepts_joins
+                && join_count(connection) < self.max_joins_per_connection
+                && flush_completely(*connection_id, reactor)
+        });
+        shared
+            .min_by_key(|(connection_id, connection)| (join_count(connection), *connection_id))
+            .map(|(connection_id, _)| connection_id)
+    }
+
+    /// Sends a join, or queues it until its connection is established.
+    pub fn join(
+        &mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>, now: Duration,
+        reactor: &mut Reactor,
+    ) {
+        let Some(connection_id) = self.connection_for(streamer, now, reactor) else {
+            return self.events.push(PoolEvent::JoinEnded(job, Ending::ConnectFailed));
+        };
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        if !connection.established {
+            return connection.queued_joins.push((job, wire_id, offer));
+        }
+        connection.last_sent_at = now;
+        if reactor.send(connection_id, &[&offer]) {
+            connection.outstanding_joins.push((job, wire_id));
+        } else {
+            self.events.push(PoolEvent::JoinEnded(job, Ending::Moot));
+        }
+    }
+
+    /// Withdraws a join: its streamer is notified before anything else is sent to it for that session.
+    pub fn withdraw_join(
+        &mut self, job: JobId, wire_id: u64, streamer: StreamerId, now: Duration, reactor: &mut Reactor,
+    ) {
+        let ids = self.streamers.get(&streamer).map_or(&[][..], |state| &state.connection_ids);
+        for connection_id in ids {
+            let Some(connection) = self.connections.get_mut(connection_id) else { continue };
+            connection.queued_joins.retain(|(queued_job, ..)| *queued_job != job);
+            if connection.outstanding_joins.iter().any(|(join_job, _)| *join_job == job) {
+                connection.outstanding_joins.retain(|(join_job, _)| *join_job != job);
+                (connection.abandoned_at, connection.last_sent_at) = (Some(now), now);
+                reactor.send(*connection_id, &[&streamers::end(wire_id, 16)]);
+                reactor.flush_line(*connection_id);
+            }
+        }
+    }
+
+    /// The outstanding join of that session on a connection.
+    pub fn outstanding_join(&self, connection_id: Line, wire_id: u64) -> Option<JobId> {
+        let joins = &self.connections.get(&connection_id)?.outstanding_joins;
+        joins.iter().find(|(_, join_wire_id)| *join_wire_id == wire_id).map(|(job, _)| *job)
+    }
+
+    /// Removes the finished join of that session from this connection.
+    pub fn finish_join(&mut self, connection_id: Line, wire_id: u64) {
+        if let Some(connection) = self.connections.get_mut(&connection_id) {
+            connection.outstanding_joins.retain(|(_, join_wire_id)| *join_wire_id != wire_id);
+        }
+    }
+
+    /// Sends a message on the connection that received input last, or as soon as there is a connection.
+    pub fn send(&mut self, streamer: StreamerId, message: Vec<u8>, now: Duration, reactor: &mut Reactor) {
+        let Some(state) = self.streamers.get_mut(&streamer) else { return };
+        state.queued_messages.retain(|(queued_at, _)| now < *queued_at + QUEUED_MESSAGE_LIFETIME);
+        if state.queued_messages.iter().map(|(_, message)| message.len()).sum::<usize>() < MAX_QUEUED_BYTES {
+            state.queued_messages.push_back((now, message));
+        }
+        self.send_queued(streamer, now, reactor);
+    }
+
+    /// Sends the queued messages in order if a connection is established, and otherwise starts one.
+    fn send_queued(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) {
+        let Some(state) = self.streamers.get_mut(&streamer) else { return };
+        state.queued_messages.retain(|(queued_at, _)| now < *queued_at + QUEUED_MESSAGE_LIFETIME);
+        if state.queued_messages.is_empty() {
+            return;
+        }
+        let open = |connection_id: &Line| {
+            self.connections.get(connection_id).filter(|connection| connection.shut_down_at.is_none())
+        };
+        let ranked = |connection_id: &Line| {
+            open(connection_id)
+                .map(|connection| (connection.established, connection.last_received_at, *connection_id))
+        };
+        let best = state.connection_ids.iter().filter_map(ranked).max();
+        let Some((true, _, connection_id)) = best else {
+            if best.is_none() {
+                // If none can be started now, the next sweep tries again.
+                let _ = self.connect(streamer, now, reactor);
+            }
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        connection.recently_sent.retain(|(sent_at, _)| now < *sent_at + RESEND_WINDOW);
+        while let Some((_, message)) = state.queued_messages.front() {
+            if !reactor.send(connection_id, &[message]) {
+                return;
+            }
+            connection.last_sent_at = now;
+            connection
+                .recently_sent
+                .extend(state.queued_messages.pop_front().map(|(_, message)| (now, message)));
+        }
+    }
+
+    /// Sends a probe, or queues it until its connection is established.
+    pub fn probe(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) {
+        let Some(connection_id) = self.connection_for(streamer, now, reactor) else {
+            return self.events.push(PoolEvent::ProbeFinished(
+                streamer,
+                Ending::ConnectFailed,
+                Duration::ZERO,
+            ));
+        };
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        self.last_probe_id = self.last_probe_id.wrapping_add(1);
+        let probe_id = self.last_probe_id;
+        connection.outstanding_probes.push((probe_id, now));
+        if connection.established {
+            connection.last_sent_at = now;
+            reactor.send(connection_id, &[&streamers::test(probe_id)]);
+        }
+    }
+
+    /// Removes an answered probe, and returns when it was sent.
+    pub fn take_probe(&mut self, connection_id: Line, probe_id: u64) -> Option<Duration> {
+        let probes = &mut self.connections.get_mut(&connection_id)?.outstanding_probes;
+        let index = probes.iter().position(|(id, _)| *id == probe_id)?;
+        Some(probes.remove(index).1)
+    }
+
+    /// Closes the idle connections to a streamer.
+    pub fn close_idle(&mut self, streamer: StreamerId, reactor: &mut Reactor) {
+        for connection_id in
+            self.streamers.get(&streamer).map_or_else(Vec::new, |state| state.connection_ids.clone())
+        {
+            if self
+                .connections
+                .get(&connection_id)
+                .is_some_and(|connection| connection.established && connection.is_idle())
+            {
+                self.close_unless_readable(connection_id, reactor);
+            }
+        }
+    }
+
+    /// Handles an established connection: sends what waited for it. A join to a streamer that accepts none
+    /// any more is not sent.
+    pub fn connection_established(
+        &mut self, connection_id: Line, accepts_joins: bool, now: Duration, reactor: &mut Reactor,
+    ) {
+        self.record_received(connection_id, now);
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        (connection.established, connection.last_sent_at) = (true, now);
+        let streamer = connection.streamer;
+        self.send_queued(streamer, now, reactor);
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        for (probe_id, _) in &connection.outstanding_probes {
+            reactor.send(connection_id, &[&streamers::test(*probe_id)]);
+        }
+        for (job, wire_id, offer) in std::mem::take(&mut connection.queued_joins) {
+            if accepts_joins && reactor.send(connection_id, &[&offer]) {
+                connection.outstanding_joins.push((job, wire_id));
+            } else {
+                self.events.push(PoolEvent::JoinEnded(job, Ending::Moot));
+            }
+        }
+    }
+
+    /// Records that input was received on a connection.
+    pub fn record_received(&mut self, connection_id: Line, now: Duration) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
+        connection.last_received_at = now;
+        if let Some(state) = self.streamers.get_mut(&connection.streamer) {
+            (state.last_received_at, state.failed_attempts) = (now, 0);
+        }
+    }
+
+    /// Handles a connection that closed by itself.
+    pub fn connection_closed(
+        &mut self, connection_id: Line, now: Duration, has_sessions: bool, reactor: &mut Reactor,
+    ) {
+        let Some(connection) = self.connections.get(&connection_id) else { return };
+        let (streamer, established, timed_out) = (
+            connection.streamer,
+            connection.established,
+            now >= connection.started_at + self.connect_timeout,
+        );
+        self.close(
+            connection_id,
+            if established { Ending::Reset } else { Ending::ConnectFailed },
+            now,
+            reactor,
+        );
+        if !established {
+            self.connect_failed(streamer, timed_out, has_sessions, now, reactor);
+        }
+    }
+
+    /// Handles a failed connection attempt: refused, or timed out if `timed_out`.
+    fn connect_failed(
+        &mut self, streamer: StreamerId, timed_out: bool, has_sessions: bool, now: Duration,
+        reactor: &mut Reactor,
+    ) {
+        let last_received_on_open = self.last_received_on_open(streamer);
+        let Some(state) = self.streamers.get_mut(&streamer) else { return };
+        // Refused with no other connection open: the process has ended. If other connections are open but
+        // silent, its machine may have vanished, which leaves them open; this takes one more failed attempt,
+        // and so does a streamer that does not answer at all.
+        state.failed_attempts += 1;
+        let max_attempts = if state.listed { MAX_FAILED_ATTEMPTS } else { 1 };
+        let lost = match (timed_out, last_received_on_open) {
+            (false, None) => true,
+            (false, Some(received_at)) => {
+                state.failed_attempts >= max_attempts && now >= received_at + self.max_silence
+            }
+            (true, _) => {
+                state.failed_attempts >= max_attempts && now >= state.last_received_at + self.max_silence
+            }
+        };
+        if has_sessions && lost {
+            self.declare_lost(streamer, now, reactor);
+        }
+    }
+
+    /// When input was last received on the connections that are open to a streamer.
+    fn last_received_on_open(&self, streamer: StreamerId) -> Option<Duration> {
+        let ids = self.streamers.get(&streamer)?.connection_ids.iter();
+        let open = ids.filter_map(|connection_id| self.connections.get(connection_id));
+        open.filter(|connection| connection.established && connection.shut_down_at.is_none())
+            .map(|connection| connection.last_received_at)
+            .max()
+    }
+
+    /// Closes a connection; its outstanding joins and probes end with this ending.
+    pub fn close(&mut self, connection_id: Line, ending: Ending, now: Duration, reactor: &mut Reactor) {
+        let Some(mut connection) = self.remove(connection_id) else { return };
+        reactor.close(connection_id);
+        // Recent messages may not have been read, unless both sides have closed the connection in order.
+        let unread = connection
+            .recently_sent
+            .drain(..)
+            .filter(|(sent_at, _)| connection.shut_down_at.is_none() && now < *sent_at + RESEND_WINDOW);
+        if let Some(state) = self.streamers.get_mut(&connection.streamer) {
+            unread.rev().for_each(|message| state.queued_messages.push_front(message));
+        }
+        tracing::trace!(
+            target: "badgerledge_platform::pool",
+            streamer = %connection.streamer,
+            line = connection_id,
+            ?ending,
+            retired = connection.shut_down_at.is_some(),
+            "closed"
+        );
+        let unsent_ending = if ending == Ending::ConnectFailed { ending } else { Ending::Moot };
+        let queued =
+            connection.queued_joins.iter().map(|(job, ..)| PoolEvent::JoinEnded(*job, unsent_ending));
+        let joins = connection.outstanding_joins.iter().map(|(job, _)| PoolEvent::JoinEnded(*job, ending));
+        let probe_finished = |sent_at: Duration| {
+            PoolEvent::ProbeFinished(connection.streamer, ending, now.saturating_sub(sent_at))
+        };
+        let probes = connection.outstanding_probes.iter().map(|(_, sent_at)| probe_finished(*sent_at));
+        self.events.extend(queued.chain(joins).chain(probes));
+    }
+}
+
+/// Whether all output of a connection could be written.
+fn flush_completely(connection_id: Line, reactor: &mut Reactor) -> bool {
+    reactor.flush_line(connection_id);
+    reactor.unwritten(connection_id) == 0
+}
+
+impl StreamerConnection {
+    fn has_no_requests(&self) -> bool {
+        self.outstanding_joins.is_empty()
+            && self.queued_joins.is_empty()
+            && self.outstanding_probes.is_empty()
+    }
+
+    fn is_idle(&self) -> bool {
+        self.has_no_requests() && self.abandoned_at.is_none() && self.shut_down_at.is_none()
+    }
+}
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -1,5 +1,5 @@
-//! The session table beside a slow, plain model of what viewers and streamers see, on generated events in any order;
-//! and a small test for each hard case.
+//! Compares the session table with a simple model of what viewers and streamers see, on generated events in
+//! any order; and one small test for each special case.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,20 +12,20 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{json, Value};
 
-use crate::asked::Terms;
 use crate::dispatcher::Dispatcher;
+use crate::request::PlatformSettings;
 use crate::session_table::{streamer_id, ListEntry, SessionTable};
-use crate::unanswered::{By, Lost, Step as Stood, Unanswered};
-use crate::wires::Wires;
+use crate::transport::Transport;
+use crate::unanswered::{ClosedBy, Step as ReachedStep, UnansweredCounts, UnansweredSetUp};
 
-const ORIGIN: Duration = Duration::from_secs(1000);
+const START: Duration = Duration::from_secs(1000);
 const STREAMERS: u32 = 4;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn options() -> Value {
+fn settings() -> Value {
     let profile = |name: &str| {
         json!({"name": name, "aimUs": 1_500_000, "deadlineUs": 4_000_000, "effect": "free", "group": "all",
             "worth": 1.0})
@@ -43,92 +43,97 @@
         "report": {"fields": ["x0", "x1"], "how": "answers"}})
 }
 
-/// Both ends, as they see it.
+/// Test double that records what viewers and streamers are sent.
 #[derive(Default)]
-struct Ends {
-    /// Frames that each connection of viewers was sent.
-    sent: Vec<(Line, Vec<u8>)>,
-    /// Joins that are out at a streamer.
-    out: BTreeMap<u64, (JobId, StreamerId)>,
-    /// What a streamer was told on subscriptions that stand there.
-    said: Vec<(StreamerId, String)>,
-    full: BTreeSet<Line>,
+struct RecordingTransport {
+    /// Frames sent on each viewers' connection.
+    viewer_frames: Vec<(Line, Vec<u8>)>,
+    /// Outstanding joins at streamers.
+    outstanding: BTreeMap<u64, (JobId, StreamerId)>,
+    /// Messages to streamers on their playing sessions.
+    streamer_messages: Vec<(StreamerId, String)>,
+    full_connections: BTreeSet<Line>,
     probes: Vec<StreamerId>,
 }
 
-impl Wires for Ends {
-    fn answer(&mut self, line: Line, message: &[u8]) -> bool {
-        let takes = !self.full.contains(&line);
-        if takes {
-            self.sent.push((line, message.to_vec()));
+impl Transport for RecordingTransport {
+    fn answer(&mut self, connection: Line, message: &[u8]) -> bool {
+        let accepts = !self.full_connections.contains(&connection);
+        if accepts {
+            self.viewer_frames.push((connection, message.to_vec()));
         }
-        takes
+        accepts
     }
-    fn release(&mut self, line: Line, _wire_id: u64, message: Vec<u8>) {
-        self.sent.push((line, message));
+    fn release(&mut self, connection: Line, _wire_id: u64, message: Vec<u8>) {
+        self.viewer_frames.push((connection, message));
     }
-    fn trust(&mut self, _line: Line) {}
+    fn mark_serving(&mut self, _line: Line) {}
     fn join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>) {
         let offer: Value = serde_json::from_slice(&offer).expect("a whole line");
         assert_eq!(offer["call"], json!(format!("{wire_id:016x}")));
-        assert_eq!(self.out.insert(wire_id, (job, streamer)), None, "two joins out");
+        assert_eq!(self.outstanding.insert(wire_id, (job, streamer)), None, "two outstanding joins");
     }
-    fn withdraw(&mut self, job: JobId, wire_id: u64, streamer: StreamerId) {
-        assert_eq!(self.out.remove(&wire_id), Some((job, streamer)), "what is given up was out");
+    fn withdraw_join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId) {
+        assert_eq!(
+            self.outstanding.remove(&wire_id),
+            Some((job, streamer)),
+            "a withdrawn join was outstanding"
+        );
     }
-    fn say(&mut self, streamer: StreamerId, message: Vec<u8>) {
-        self.said.push((streamer, String::from_utf8(message).expect("text")));
+    fn send(&mut self, streamer: StreamerId, message: Vec<u8>) {
+        self.streamer_messages.push((streamer, String::from_utf8(message).expect("text")));
     }
     fn probe(&mut self, streamer: StreamerId) {
         self.probes.push(streamer);
     }
-    fn drop_idle(&mut self, _streamer: StreamerId) {}
-    fn signal(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
+    fn close_idle(&mut self, _streamer: StreamerId) {}
+    fn send_to_peers(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
 }
 
-impl Ends {
-    /// Kinds and causes of the frames that a subscription was sent.
-    fn told(&self, wire_id: u64) -> Vec<(u8, u8)> {
-        let of = |(_, frame): &(Line, Vec<u8>)| {
+impl RecordingTransport {
+    /// Types and causes of the frames sent for a session.
+    fn frames_of(&self, wire_id: u64) -> Vec<(u8, u8)> {
+        let type_and_cause = |(_, frame): &(Line, Vec<u8>)| {
             let own = frame[3..11] == wire_id.to_be_bytes();
             own.then(|| (frame[2], if frame[2] == 12 { frame[14] } else { 0 }))
         };
-        self.sent.iter().filter_map(of).collect()
+        self.viewer_frames.iter().filter_map(type_and_cause).collect()
     }
 }
 
-struct Play {
+struct Harness {
     sessions: SessionTable,
-    ends: Ends,
+    transport: RecordingTransport,
     now: Duration,
     next_round: Duration,
 }
 
-impl Play {
+impl Harness {
     fn new() -> Self {
-        let Value::Object(options) = options() else { unreachable!("an object") };
-        let terms = Terms::new(&options);
-        let sessions = SessionTable::new(Controller::new(ORIGIN, 7, options), terms, 32);
-        let mut play = Self { sessions, ends: Ends::default(), now: ORIGIN, next_round: ORIGIN };
+        let Value::Object(settings) = settings() else { unreachable!("an object") };
+        let platform_settings = PlatformSettings::new(&settings);
+        let sessions = SessionTable::new(Controller::new(START, 7, settings), platform_settings, 32);
+        let mut harness =
+            Self { sessions, transport: RecordingTransport::default(), now: START, next_round: START };
         let entries = (0..STREAMERS).map(|n| entry(n, Health::Ready)).collect();
-        play.sessions.list(Listing::Cached, entries);
-        play.pass(10);
-        play
+        harness.sessions.apply_list(Listing::Cached, entries);
+        harness.advance(10);
+        harness
     }
 
-    /// Lets time pass, round by round.
-    fn pass(&mut self, millis: u64) {
+    /// Advances the time, round by round.
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis.div_ceil(10) {
             self.now += ms(10);
-            self.sessions.fall_due(self.now, &mut self.ends);
-            if self.now >= self.next_round && self.sessions.has_news() {
+            self.sessions.run_timers(self.now, &mut self.transport);
+            if self.now >= self.next_round && self.sessions.has_inputs() {
                 self.next_round = self.now + ms(10);
-                self.sessions.round(self.now, &mut self.ends);
+                self.sessions.round(self.now, &mut self.transport);
             }
         }
     }
 
-    fn set_up(&mut self, line: Line, wire_id: u64, change: &[(&str, &str)]) {
+    fn set_up(&mut self, connection: Line, wire_id: u64, change: &[(&str, &str)]) {
         let mut fields = BTreeMap::from([
             ("class", "tour"),
             ("left", "2000"),
@@ -149,173 +154,208 @@
         frame.push(1);
         frame.extend(wire_id.to_be_bytes());
         frame.extend(parameters);
-        let mut ear = Ear { play: self, line };
-        viewers::hear(&frame, &mut ear).expect("a frame");
+        let mut handler = Handler { harness: self, connection };
+        viewers::hear(&frame, &mut handler).expect("a frame");
     }
 
     fn answer(&mut self, wire_id: u64) -> Option<StreamerId> {
-        let (job, streamer) = self.ends.out.remove(&wire_id)?;
-        self.sessions.answered(self.now, job, "a500\r\nc=IN", &mut self.ends);
+        let (job, streamer) = self.transport.outstanding.remove(&wire_id)?;
+        self.sessions.join_answered(self.now, job, "a500\r\nc=IN", &mut self.transport);
         Some(streamer)
     }
 
     fn join_ends(&mut self, wire_id: u64, ending: Ending) {
-        if let Some((job, _)) = self.ends.out.remove(&wire_id) {
+        if let Some((job, _)) = self.transport.outstanding.remove(&wire_id) {
             self.sessions.join_ended(self.now, job, ending, Some("x0:0.4;x1:0.2"));
         }
     }
 }
 
-struct Ear<'a> {
-    play: &'a mut Play,
-    line: Line,
+struct Handler<'a> {
+    harness: &'a mut Harness,
+    connection: Line,
 }
 
-impl viewers::Heard for Ear<'_> {
+impl viewers::Heard for Handler<'_> {
     fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
-        let play = &mut *self.play;
-        play.sessions.set_up(play.now, self.line, wire_id, parameters, &mut play.ends);
+        let harness = &mut *self.harness;
+        harness.sessions.set_up(harness.now, self.connection, wire_id, parameters, &mut harness.transport);
     }
     fn spoilt_set_up(&mut self, wire_id: u64) {
-        self.play.sessions.turn_away(self.play.now, self.line, wire_id, &mut self.play.ends);
+        self.harness.sessions.reject(self.harness.now, self.connection, wire_id, &mut self.harness.transport);
     }
     fn ended(&mut self, wire_id: u64) {
-        self.play.sessions.ended_by_viewer(self.play.now, self.line, wire_id, &mut self.play.ends);
+        self.harness.sessions.ended_by_viewer(
+            self.harness.now,
+            self.connection,
+            wire_id,
+            &mut self.harness.transport,
+        );
     }
     fn tested(&mut self, _session: u64) {}
     fn release_heard(&mut self, _session: u64) {}
 }
 
 fn entry(number: u32, health: Health) -> ListEntry {
-    let at = SocketAddrV4::new(Ipv4Addr::LOCALHOST, number as u16);
+    let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, number as u16);
     let id = streamer_id(number);
-    ListEntry { id, at, zone: 0, kind: 0, cell: number, health, weight: 4.0, came_up: Start::default() }
+    ListEntry { id, address, zone: 0, kind: 0, cell: number, health, weight: 4.0, started: Start::default() }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     SetUp(Line),
-    GiveUp(u64, bool),
-    Gone(Line),
-    Full(Line),
+    ViewerEnds(u64, bool),
+    ViewerDisconnects(Line),
+    ConnectionFull(Line),
     Answer(u64),
     JoinEnds(u64, u8),
     Release(u64, u8),
-    Lost(u32),
+    StreamerLost(u32),
     Listed(u32, bool),
-    Pass(u8),
+    AdvanceTime(u8),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (wire_id, line) = (u64::arbitrary(g) % 24, Line::arbitrary(g) % 3);
+        let (wire_id, connection) = (u64::arbitrary(g) % 24, Line::arbitrary(g) % 3);
         let number = u32::arbitrary(g) % STREAMERS;
         match u8::arbitrary(g) % 16 {
-            0..=3 => Step::SetUp(line),
-            4 => Step::GiveUp(wire_id, bool::arbitrary(g)),
-            5 => Step::Gone(line),
-            6 => Step::Full(line),
+            0..=3 => Step::SetUp(connection),
+            4 => Step::ViewerEnds(wire_id, bool::arbitrary(g)),
+            5 => Step::ViewerDisconnects(connection),
+            6 => Step::ConnectionFull(connection),
             7..=9 => Step::Answer(wire_id),
             10 => Step::JoinEnds(wire_id, u8::arbitrary(g)),
             11 => Step::Release(wire_id, u8::arbitrary(g)),
-            12 => Step::Lost(number),
+            12 => Step::StreamerLost(number),
             13 => Step::Listed(number, bool::arbitrary(g)),
-            _ => Step::Pass(u8::arbitrary(g)),
+            _ => Step::AdvanceTime(u8::arbitrary(g)),
         }
     }
 }
 
-/// What the plain model knows of a subscription.
+/// What the model knows of a session.
 #[derive(Default)]
-struct Seen {
-    line: Line,
-    stands: Option<StreamerId>,
-    stood: bool,
+struct ModelViewer {
+    connection: Line,
+    plays_at: Option<StreamerId>,
+    was_answered: bool,
     left: bool,
-    over: bool,
+    was_released: bool,
 }
 
-fn play(steps: &[Step]) {
-    let mut play = Play::new();
-    let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
+fn run(steps: &[Step]) {
+    let mut harness = Harness::new();
+    let mut model: BTreeMap<u64, ModelViewer> = BTreeMap::new();
     for step in steps {
         match *step {
-            Step::SetUp(line) => {
-                let wire_id = seen.len() as u64;
-                play.set_up(line, wire_id, &[]);
-                seen.insert(wire_id, Seen { line, ..Seen::default() });
+            Step::SetUp(connection) => {
+                let wire_id = model.len() as u64;
+                harness.set_up(connection, wire_id, &[]);
+                model.insert(wire_id, ModelViewer { connection, ..ModelViewer::default() });
             }
-            Step::GiveUp(wire_id, elsewhere) => {
-                let Some(call) = seen.get_mut(&wire_id) else { continue };
-                let line = call.line + u64::from(elsewhere);
-                play.sessions.ended_by_viewer(play.now, line, wire_id, &mut play.ends);
-                if call.stands.take().is_some() || !elsewhere && !call.stood {
-                    call.left = true;
+            Step::ViewerEnds(wire_id, elsewhere) => {
+                let Some(viewer) = model.get_mut(&wire_id) else { continue };
+                let connection = viewer.connection + u64::from(elsewhere);
+                harness.sessions.ended_by_viewer(harness.now, connection, wire_id, &mut harness.transport);
+                if viewer.plays_at.take().is_some() || !elsewhere && !viewer.was_answered {
+                    viewer.left = true;
                 }
             }
-            Step::Gone(line) => {
-                play.sessions.viewer_gone(play.now, line, By::Viewer, &mut play.ends);
-                seen.values_mut().filter(|c| c.line == line && !c.stood).for_each(|c| c.left = true);
+            Step::ViewerDisconnects(connection) => {
+                harness.sessions.viewer_disconnected(
+                    harness.now,
+                    connection,
+                    ClosedBy::Viewer,
+                    &mut harness.transport,
+                );
+                model
+                    .values_mut()
+                    .filter(|viewer| viewer.connection == connection && !viewer.was_answered)
+                    .for_each(|viewer| viewer.left = true);
             }
-            Step::Full(line) => drop(play.ends.full.insert(line)),
+            Step::ConnectionFull(connection) => drop(harness.transport.full_connections.insert(connection)),
             Step::Answer(wire_id) => {
-                let full = seen.get(&wire_id).is_some_and(|call| play.ends.full.contains(&call.line));
-                let Some(streamer) = play.answer(wire_id) else { continue };
-                let call = seen.get_mut(&wire_id).expect("known");
+                let full = model
+                    .get(&wire_id)
+                    .is_some_and(|viewer| harness.transport.full_connections.contains(&viewer.connection));
+                let Some(streamer) = harness.answer(wire_id) else { continue };
+                let viewer = model.get_mut(&wire_id).expect("known");
                 if !full {
-                    (call.stands, call.stood) = (Some(streamer), true);
+                    (viewer.plays_at, viewer.was_answered) = (Some(streamer), true);
                 }
             }
             Step::JoinEnds(wire_id, n) => {
                 let all = [Ending::Full, Ending::Error, Ending::Reset, Ending::ConnectFailed, Ending::Moot];
-                play.join_ends(wire_id, all[usize::from(n) % all.len()]);
+                harness.join_ends(wire_id, all[usize::from(n) % all.len()]);
             }
             Step::Release(wire_id, n) => {
-                let Some(streamer) = seen.get(&wire_id).and_then(|call| call.stands) else { continue };
+                let Some(streamer) = model.get(&wire_id).and_then(|viewer| viewer.plays_at) else { continue };
                 let cause = [16, 31, 41][usize::from(n) % 3];
-                play.sessions.ended_by_streamer(play.now, streamer, wire_id, cause, None, &mut play.ends);
-                let call = seen.get_mut(&wire_id).expect("known");
-                (call.stands, call.left, call.over) = (None, call.left || cause == 31, cause != 31);
+                harness.sessions.ended_by_streamer(
+                    harness.now,
+                    streamer,
+                    wire_id,
+                    cause,
+                    None,
+                    &mut harness.transport,
+                );
+                let viewer = model.get_mut(&wire_id).expect("known");
+                (viewer.plays_at, viewer.left, viewer.was_released) =
+                    (None, viewer.left || cause == 31, cause != 31);
             }
-            Step::Lost(number) => {
+            Step::StreamerLost(number) => {
                 let streamer = streamer_id(number);
-                play.sessions.lost(play.now, streamer, Duration::MAX, &mut play.ends);
-                for call in seen.values_mut().filter(|call| call.stands == Some(streamer)) {
-                    (call.stands, call.over) = (None, true);
+                harness.sessions.streamer_lost(harness.now, streamer, Duration::MAX, &mut harness.transport);
+                for viewer in model.values_mut().filter(|viewer| viewer.plays_at == Some(streamer)) {
+                    (viewer.plays_at, viewer.was_released) = (None, true);
                 }
             }
             Step::Listed(number, ready) => {
                 let health = if ready { Health::Ready } else { Health::Draining };
-                play.sessions.list(Listing::Changes, vec![entry(number, health)]);
+                harness.sessions.apply_list(Listing::Changes, vec![entry(number, health)]);
             }
-            Step::Pass(n) => play.pass(u64::from(n) * 4),
+            Step::AdvanceTime(n) => harness.advance(u64::from(n) * 4),
         }
     }
-    play.pass(4000);
-    for (wire_id, call) in &seen {
-        let told = play.ends.told(*wire_id);
-        let answers = told.iter().filter(|told| told.0 == 9).count();
-        let releases = told.iter().filter(|told| told.0 == 12).count();
-        let full = play.ends.full.contains(&call.line);
-        // One final answer: that it stands, or a release; none where the viewer left or takes nothing.
-        assert_eq!(answers, usize::from(call.stood), "{wire_id}: {told:?}");
-        let owed = usize::from(if call.stood { call.over } else { !call.left && !full });
-        assert!(releases == owed || full || call.left && releases <= 1, "{wire_id}: {releases} of {owed}");
-        assert_eq!(play.sessions.stands_at().count() > 0, seen.values().any(|call| call.stands.is_some()));
+    harness.advance(4000);
+    for (wire_id, viewer) in &model {
+        let frames = harness.transport.frames_of(*wire_id);
+        let answers = frames.iter().filter(|frame| frame.0 == 9).count();
+        let releases = frames.iter().filter(|frame| frame.0 == 12).count();
+        let full = harness.transport.full_connections.contains(&viewer.connection);
+        // One final answer: either that it plays or a release; none if the viewer left or accepts no output.
+        assert_eq!(answers, usize::from(viewer.was_answered), "{wire_id}: {frames:?}");
+        let expected =
+            usize::from(if viewer.was_answered { viewer.was_released } else { !viewer.left && !full });
+        assert!(
+            releases == expected || full || viewer.left && releases <= 1,
+            "{wire_id}: {releases} of {expected}"
+        );
+        assert_eq!(
+            harness.sessions.playing_streamers().count() > 0,
+            model.values().any(|viewer| viewer.plays_at.is_some())
+        );
     }
-    assert!(play.ends.out.is_empty(), "a join is left out");
-    let standing = seen.values().filter(|call| call.stands.is_some()).count();
-    assert_eq!(play.sessions.len(), standing, "what the session table holds stands");
+    assert!(harness.transport.outstanding.is_empty(), "a join is still outstanding");
+    let playing = model.values().filter(|viewer| viewer.plays_at.is_some()).count();
+    assert_eq!(harness.sessions.len(), playing, "the session table holds exactly the playing sessions");
     for number in 0..STREAMERS {
-        play.sessions.lost(play.now, streamer_id(number), Duration::MAX, &mut play.ends);
+        harness.sessions.streamer_lost(
+            harness.now,
+            streamer_id(number),
+            Duration::MAX,
+            &mut harness.transport,
+        );
     }
-    assert!(play.sessions.is_empty() && play.sessions.next_due().is_some());
+    assert!(harness.sessions.is_empty() && harness.sessions.next_timer().is_some());
 }
 
 #[test]
-fn one_answer_each_one_join_out_and_no_call_left() {
+fn each_set_up_gets_one_answer_and_one_join_at_a_time() {
     fn holds(steps: Vec<Step>) -> bool {
-        play(&steps);
+        run(&steps);
         true
     }
     let gen = Gen::from_size_and_seed(120, 11);
@@ -323,26 +363,29 @@
 }
 
 #[test]
-fn an_answer_goes_on_at_once_and_a_release_after_it() {
-    let mut play = Play::new();
-    play.set_up(1, 5, &[]);
-    play.pass(10);
-    let streamer = play.answer(5).expect("it was sent in the next round");
-    assert_eq!(play.ends.told(5), [(9, 0)]);
-    // A note or a release of another streamer means nothing.
+fn an_answer_and_a_later_release_are_forwarded_at_once() {
+    let mut harness = Harness::new();
+    harness.set_up(1, 5, &[]);
+    harness.advance(10);
+    let streamer = harness.answer(5).expect("it was sent in the next round");
+    assert_eq!(harness.transport.frames_of(5), [(9, 0)]);
+    // A progress report or a release from another streamer is ignored.
     let other = streamer_id(99);
-    play.sessions.noted(other, 5, "wire", 0.5).unwrap();
-    play.sessions.ended_by_streamer(play.now, other, 5, 16, None, &mut play.ends);
-    assert!(play.sessions.stands(streamer, 5) && play.sessions.noted(streamer, 5, "wine", 0.5).is_err());
-    play.sessions.ended_by_streamer(play.now, streamer, 5, 16, None, &mut play.ends);
-    play.sessions.ended_by_streamer(play.now, streamer, 5, 16, None, &mut play.ends);
-    assert_eq!(play.ends.told(5), [(9, 0), (12, 16)]);
+    harness.sessions.progress_report(other, 5, "wire", 0.5).unwrap();
+    harness.sessions.ended_by_streamer(harness.now, other, 5, 16, None, &mut harness.transport);
+    assert!(
+        harness.sessions.is_playing_at(streamer, 5)
+            && harness.sessions.progress_report(streamer, 5, "wine", 0.5).is_err()
+    );
+    harness.sessions.ended_by_streamer(harness.now, streamer, 5, 16, None, &mut harness.transport);
+    harness.sessions.ended_by_streamer(harness.now, streamer, 5, 16, None, &mut harness.transport);
+    assert_eq!(harness.transport.frames_of(5), [(9, 0), (12, 16)]);
 }
 
-/// Guards against figures that no viewer has: they would be wrong in every decision. Harm: none seen.
+/// Guards against values that no viewer has: they would distort every decision.
 #[test]
-fn what_is_out_of_range_is_turned_away_at_once_and_never_passed_on() {
-    let mut play = Play::new();
+fn set_ups_with_values_out_of_range_are_rejected() {
+    let mut harness = Harness::new();
     let extras = |text: &'static str| ("extras", text);
     let wrong = [
         ("class", "gold"),
@@ -367,199 +410,241 @@
         extras("-"),
     ];
     for (wire_id, change) in wrong.iter().enumerate() {
-        play.set_up(1, wire_id as u64, &[*change]);
-        assert_eq!(play.ends.told(wire_id as u64), [(12, 96)], "{change:?}");
+        harness.set_up(1, wire_id as u64, &[*change]);
+        assert_eq!(harness.transport.frames_of(wire_id as u64), [(12, 96)], "{change:?}");
     }
-    play.set_up(1, 99, &[("desc", &"\u{1}".repeat(3000))]);
-    assert_eq!(play.ends.told(99), [(12, 96)], "too long once it is escaped");
-    play.pass(50);
-    assert!(play.ends.out.is_empty() && play.sessions.is_empty());
+    harness.set_up(1, 99, &[("desc", &"\u{1}".repeat(3000))]);
+    assert_eq!(harness.transport.frames_of(99), [(12, 96)], "too long once it is escaped");
+    harness.advance(50);
+    assert!(harness.transport.outstanding.is_empty() && harness.sessions.is_empty());
 }
 
-/// Guards against a hostile viewer that names another's open request. Harm: none, usual ids are new each time.
+/// Guards against a hostile viewer that uses the id of another's pending request. Ids are normally unique.
 #[test]
-fn the_id_of_an_open_request_again_does_not_touch_it() {
-    let mut play = Play::new();
-    play.set_up(1, 5, &[]);
-    play.set_up(2, 5, &[("desc", "other")]);
-    play.pass(10);
-    assert_eq!(play.ends.sent.iter().map(|(line, _)| *line).collect::<Vec<_>>(), [2]);
-    assert!(play.answer(5).is_some());
+fn reusing_the_id_of_a_pending_request_does_not_affect_it() {
+    let mut harness = Harness::new();
+    harness.set_up(1, 5, &[]);
+    harness.set_up(2, 5, &[("desc", "other")]);
+    harness.advance(10);
+    assert_eq!(
+        harness.transport.viewer_frames.iter().map(|(connection, _)| *connection).collect::<Vec<_>>(),
+        [2]
+    );
+    assert!(harness.answer(5).is_some());
     // On the same connection the two cannot be told apart: one final answer ends both.
-    play.set_up(1, 6, &[]);
-    play.set_up(1, 6, &[]);
-    play.pass(10);
-    assert_eq!(play.ends.told(6), [(12, 96)]);
-    assert!(!play.ends.out.contains_key(&6));
+    harness.set_up(1, 6, &[]);
+    harness.set_up(1, 6, &[]);
+    harness.advance(10);
+    assert_eq!(harness.transport.frames_of(6), [(12, 96)]);
+    assert!(!harness.transport.outstanding.contains_key(&6));
 }
 
-/// Who cancels has gone, on whatever connection it says so: no attempt goes on. Harm: a stranger that knows an open id ends
-/// that request, whose viewer hears so at once and is not left without an answer.
+/// A viewer that cancels is gone, whichever connection it says so on, so no join continues. A stranger that
+/// knows a pending id ends that request; its viewer learns so at once and is not left without an answer.
 #[test]
-fn what_is_given_up_on_another_connection_ends_with_its_answer() {
-    let mut play = Play::new();
-    play.set_up(1, 5, &[]);
-    play.pass(10);
-    assert!(play.ends.out.contains_key(&5));
-    play.sessions.ended_by_viewer(play.now, 2, 5, &mut play.ends);
-    assert!(play.ends.out.is_empty() && play.sessions.is_empty());
-    play.sessions.ended_by_viewer(play.now, 1, 5, &mut play.ends);
-    play.pass(3000);
-    assert_eq!(play.ends.sent.iter().map(|(line, _)| *line).collect::<Vec<_>>(), [1]);
-    assert_eq!(play.ends.told(5), [(12, 41)]);
-    assert!(play.ends.out.is_empty(), "no further join");
+fn a_set_up_cancelled_on_another_connection_gets_its_answer() {
+    let mut harness = Harness::new();
+    harness.set_up(1, 5, &[]);
+    harness.advance(10);
+    assert!(harness.transport.outstanding.contains_key(&5));
+    harness.sessions.ended_by_viewer(harness.now, 2, 5, &mut harness.transport);
+    assert!(harness.transport.outstanding.is_empty() && harness.sessions.is_empty());
+    harness.sessions.ended_by_viewer(harness.now, 1, 5, &mut harness.transport);
+    harness.advance(3000);
+    assert_eq!(
+        harness.transport.viewer_frames.iter().map(|(connection, _)| *connection).collect::<Vec<_>>(),
+        [1]
+    );
+    assert_eq!(harness.transport.frames_of(5), [(12, 41)]);
+    assert!(harness.transport.outstanding.is_empty(), "no further join");
 }
 
-/// After SIGTERM nothing that is held may end with the process alone: both ends hear of each call.
+/// Guards against sessions that end with the process at shutdown without a message to both sides.
 #[test]
-fn what_is_held_as_the_process_ends_has_its_answer_or_its_release_at_both_ends() {
-    let mut play = Play::new();
+fn shutdown_answers_or_releases_every_session_on_both_sides() {
+    let mut harness = Harness::new();
     for wire_id in 1..=3 {
-        play.set_up(1, wire_id, &[]);
+        harness.set_up(1, wire_id, &[]);
     }
-    play.pass(10);
-    assert!(play.answer(1).is_some());
-    play.set_up(1, 4, &[]);
-    play.sessions.end_all(play.now, &mut play.ends);
-    assert!(play.sessions.is_empty() && play.ends.out.is_empty());
-    assert_eq!(play.ends.told(1), [(9, 0), (12, 41)]);
+    harness.advance(10);
+    assert!(harness.answer(1).is_some());
+    harness.set_up(1, 4, &[]);
+    harness.sessions.close_all(harness.now, &mut harness.transport);
+    assert!(harness.sessions.is_empty() && harness.transport.outstanding.is_empty());
+    assert_eq!(harness.transport.frames_of(1), [(9, 0), (12, 41)]);
     for wire_id in 2..=4 {
-        assert_eq!(play.ends.told(wire_id), [(12, 41)]);
+        assert_eq!(harness.transport.frames_of(wire_id), [(12, 41)]);
     }
-    let ends: Vec<_> = play.ends.said.iter().filter(|(_, said)| said.contains("\"end\"")).collect();
-    assert!(ends.len() == 1 && ends[0].1.contains("0000000000000001"), "{ends:?}");
+    let end_messages: Vec<_> = harness
+        .transport
+        .streamer_messages
+        .iter()
+        .filter(|(_, message)| message.contains("\"end\""))
+        .collect();
+    assert!(end_messages.len() == 1 && end_messages[0].1.contains("0000000000000001"), "{end_messages:?}");
 }
 
-/// What the settings allow bounds what the session table names itself, and memory bounds what one connection may have open.
+/// The settings limit the cool-down that the session table sends itself, and memory limits the pending
+/// set-ups of one connection.
 #[test]
-fn a_flood_is_told_to_stay_away_only_as_long_as_the_settings_allow() {
-    let named = |change: &dyn Fn(&mut Value)| {
-        let mut told = options();
-        change(&mut told);
-        let Value::Object(told) = told else { unreachable!("an object") };
-        let mut play = Play::new();
-        play.sessions = SessionTable::new(Controller::new(ORIGIN, 7, told.clone()), Terms::new(&told), 64);
-        (0..300).for_each(|wire_id| play.set_up(1, wire_id, &[]));
-        (play.ends.sent.len(), play.ends.sent[0].1[15..].to_vec())
+fn the_cool_down_of_a_flood_is_limited_by_the_settings() {
+    let throttled = |change: &dyn Fn(&mut Value)| {
+        let mut settings = settings();
+        change(&mut settings);
+        let Value::Object(settings) = settings else { unreachable!("an object") };
+        let mut harness = Harness::new();
+        harness.sessions = SessionTable::new(
+            Controller::new(START, 7, settings.clone()),
+            PlatformSettings::new(&settings),
+            64,
+        );
+        (0..300).for_each(|wire_id| harness.set_up(1, wire_id, &[]));
+        (harness.transport.viewer_frames.len(), harness.transport.viewer_frames[0].1[15..].to_vec())
     };
-    let away = |ms: &[u8]| [&[51, 0, ms.len() as u8][..], ms].concat();
-    assert_eq!(named(&|_| {}), (300 - 256, away(b"500")));
-    assert_eq!(named(&|told| told["permissions"]["maxRetryAfterUs"] = json!(90_000)).1, away(b"90"));
-    assert_eq!(named(&|told| told["permissions"]["retryAfter"] = json!(false)).1, Vec::<u8>::new());
+    let cool_down_field = |ms: &[u8]| [&[51, 0, ms.len() as u8][..], ms].concat();
+    assert_eq!(throttled(&|_| {}), (300 - 256, cool_down_field(b"500")));
+    assert_eq!(
+        throttled(&|settings| settings["permissions"]["maxRetryAfterUs"] = json!(90_000)).1,
+        cool_down_field(b"90")
+    );
+    assert_eq!(
+        throttled(&|settings| settings["permissions"]["retryAfter"] = json!(false)).1,
+        Vec::<u8>::new()
+    );
 }
 
 #[test]
-fn what_is_handed_over_stands_unless_its_streamer_is_gone() {
-    let mut play = Play::new();
+fn a_handed_over_session_plays_unless_its_streamer_is_gone() {
+    let mut harness = Harness::new();
     let at = "home:0;copies:4;top:2;viewer:00000000b4d65521;at:s-00000002";
-    // Its wait has no end, and it wants no answer, the second time neither.
-    play.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
-    play.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
-    play.set_up(1, 6, &[("extras", &at.replace("0002", "0077"))]);
-    assert_eq!((play.ends.told(5), play.ends.told(6)), (vec![], vec![(12, 41)]));
-    assert!(play.sessions.stands(streamer_id(2), 5) && play.sessions.len() == 1);
-    // A start told later than what stands there ends it; one told earlier is the one it stands on.
-    play.sessions.lost(play.now, streamer_id(2), ORIGIN, &mut play.ends);
-    assert!(play.sessions.stands(streamer_id(2), 5));
-    play.sessions.lost(play.now, streamer_id(2), play.now + ms(1), &mut play.ends);
-    assert_eq!(play.ends.told(5), [(12, 41)]);
+    // Its timeout is unbounded, and it gets no answer, nor does a duplicate.
+    harness.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
+    harness.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
+    harness.set_up(1, 6, &[("extras", &at.replace("0002", "0077"))]);
+    assert_eq!((harness.transport.frames_of(5), harness.transport.frames_of(6)), (vec![], vec![(12, 41)]));
+    assert!(harness.sessions.is_playing_at(streamer_id(2), 5) && harness.sessions.len() == 1);
+    // A start reported after the session began ends it; an earlier one is the process that it plays on.
+    harness.sessions.streamer_lost(harness.now, streamer_id(2), START, &mut harness.transport);
+    assert!(harness.sessions.is_playing_at(streamer_id(2), 5));
+    harness.sessions.streamer_lost(harness.now, streamer_id(2), harness.now + ms(1), &mut harness.transport);
+    assert_eq!(harness.transport.frames_of(5), [(12, 41)]);
 }
 
-/// Guards against a viewer that floods one connection. Harm: a front that sends more in one wait is throttled.
+/// Guards against a viewer that floods one connection. A front end that sends more at once is throttled.
 #[test]
 fn a_flood_on_one_connection_is_throttled_and_others_are_not() {
-    let mut play = Play::new();
-    (0..300).for_each(|wire_id| play.set_up(1, wire_id, &[]));
-    let throttled = play.ends.sent.len();
-    assert!(throttled > 100 && play.ends.sent.iter().all(|(_, frame)| frame[14] == 42));
-    play.set_up(2, 999, &[]);
-    assert!(play.ends.told(999).is_empty());
+    let mut harness = Harness::new();
+    (0..300).for_each(|wire_id| harness.set_up(1, wire_id, &[]));
+    let throttled = harness.transport.viewer_frames.len();
+    assert!(throttled > 100 && harness.transport.viewer_frames.iter().all(|(_, frame)| frame[14] == 42));
+    harness.set_up(2, 999, &[]);
+    assert!(harness.transport.frames_of(999).is_empty());
 }
 
-/// A request that the module has given up on has its final answer at once, with a time to come back.
+/// A request that the decision module gives up on gets its final answer at once, with a cool-down.
 #[test]
-fn what_is_given_up_on_is_answered_in_that_round() {
-    let mut play = Play::new();
-    let gone = (0..STREAMERS).map(|n| entry(n, Health::Gone)).collect();
-    play.sessions.list(Listing::Changes, gone);
-    play.set_up(1, 5, &[]);
-    play.pass(20);
-    assert_eq!(play.ends.told(5), [(12, 42)]);
-    let frame = &play.ends.sent[0].1;
-    assert_eq!((frame[15], frame.len() > 18), (51, true), "it names how long to stay away");
+fn a_request_the_module_gives_up_on_is_answered_in_the_same_round() {
+    let mut harness = Harness::new();
+    let removed = (0..STREAMERS).map(|n| entry(n, Health::Gone)).collect();
+    harness.sessions.apply_list(Listing::Changes, removed);
+    harness.set_up(1, 5, &[]);
+    harness.advance(20);
+    assert_eq!(harness.transport.frames_of(5), [(12, 42)]);
+    let frame = &harness.transport.viewer_frames[0].1;
+    assert_eq!((frame[15], frame.len() > 18), (51, true), "it carries a cool-down");
 }
 
-/// Found on the long day: a streamer ended a subscription in the very moment in which it was moved, and its viewer, whose
-/// move came to nothing, was not told. Harm: none, a release after a move means nothing to a viewer.
+/// Guards against a session whose streamer ends it in the moment it is moved: the move fails, and the viewer
+/// must still get its release. A release after a move is ignored by viewers.
 #[test]
-fn an_end_that_crosses_a_move_is_told_and_the_moves_own_end_is_not() {
-    for (cause, told) in [(31, vec![(51, 0)]), (16, vec![(51, 0), (12, 16)]), (41, vec![(51, 0), (12, 41)])] {
-        let mut play = moving();
-        play.sessions.ended_by_streamer(play.now, streamer_id(0), 5, cause, None, &mut play.ends);
-        assert_eq!(play.ends.told(5), told);
-        assert!(play.sessions.is_empty());
+fn an_end_that_crosses_a_move_releases_the_viewer_and_the_end_of_the_move_does_not() {
+    for (cause, expected) in
+        [(31, vec![(51, 0)]), (16, vec![(51, 0), (12, 16)]), (41, vec![(51, 0), (12, 41)])]
+    {
+        let mut harness = moving();
+        harness.sessions.ended_by_streamer(
+            harness.now,
+            streamer_id(0),
+            5,
+            cause,
+            None,
+            &mut harness.transport,
+        );
+        assert_eq!(harness.transport.frames_of(5), expected);
+        assert!(harness.sessions.is_empty());
     }
-    // A streamer that says nothing is told, and so is the viewer.
-    let mut play = moving();
-    play.pass(700);
-    assert_eq!((play.ends.told(5), play.ends.said.len()), (vec![(51, 0), (12, 16)], 1));
-    assert!(play.sessions.is_empty());
+    // If the streamer does not end it, the streamer is told to and the viewer is released.
+    let mut harness = moving();
+    harness.advance(700);
+    assert_eq!(
+        (harness.transport.frames_of(5), harness.transport.streamer_messages.len()),
+        (vec![(51, 0), (12, 16)], 1)
+    );
+    assert!(harness.sessions.is_empty());
 }
 
-/// A subscription that the module has just moved.
-fn moving() -> Play {
-    let mut play = Play::new();
+/// A session that the decision module has just moved.
+fn moving() -> Harness {
+    let mut harness = Harness::new();
     let at = "home:0;copies:4;top:2;viewer:00000000b4d65521;at:s-00000000";
-    play.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
-    let job = play.sessions.calls.job(5).expect("it is held");
-    Dispatcher { now: play.now, calls: &mut play.sessions.calls, wires: &mut play.ends }.shift(job);
-    play
+    harness.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
+    let job = harness.sessions.store.job(5).expect("the session exists");
+    Dispatcher { now: harness.now, store: &mut harness.sessions.store, transport: &mut harness.transport }
+        .shift(job);
+    harness
 }
 
-fn counted(unanswered: &Unanswered, by: By, step: Stood) -> u64 {
-    unanswered.all().filter(|one| (one.0, one.1) == (by, step)).map(|one| one.2).sum()
+fn count_of(unanswered: &UnansweredCounts, closed_by: ClosedBy, step: ReachedStep) -> u64 {
+    unanswered.all().filter(|one| (one.0, one.1) == (closed_by, step)).map(|one| one.2).sum()
 }
 
-/// A request was lost on the fleet with nothing in the program that told where: each set-up whose connection ends
-/// without its answer is counted by who ended it and the step it stood at; one that was answered is not.
+/// Each set-up whose connection closes before its answer must be counted by who closed it and the step it had
+/// reached, so that a lost request can be located; one that was answered is not counted.
 #[test]
-fn a_set_up_whose_connection_ends_without_its_answer_is_counted_with_its_step() {
-    let mut play = Play::new();
-    let lost = |play: &Play, by, step| counted(&play.sessions.calls.unanswered, by, step);
-    play.set_up(1, 0xa1, &[]);
-    play.sessions.viewer_gone(play.now, 1, By::Viewer, &mut play.ends);
-    assert_eq!(lost(&play, By::Viewer, Stood::Unplaced), 1);
-
-    play.set_up(2, 0xa2, &[]);
-    play.pass(20);
-    assert!(play.ends.out.contains_key(&0xa2));
-    play.sessions.viewer_gone(play.now, 2, By::Us, &mut play.ends);
-    assert_eq!(lost(&play, By::Us, Stood::JoinOut), 1);
-
-    play.set_up(3, 0xa3, &[]);
-    play.pass(20);
-    play.join_ends(0xa3, Ending::Error);
-    play.sessions.viewer_gone(play.now, 3, By::Unreadable, &mut play.ends);
-    assert_eq!(lost(&play, By::Unreadable, Stood::Between), 1);
-
-    play.set_up(4, 0xa4, &[]);
-    play.pass(20);
-    play.ends.full.insert(4);
-    play.answer(0xa4);
-    assert_eq!(lost(&play, By::Network, Stood::NotTaken), 1);
-
-    play.set_up(5, 0xa5, &[]);
-    play.pass(20);
-    assert!(play.answer(0xa5).is_some());
-    play.sessions.viewer_gone(play.now, 5, By::Us, &mut play.ends);
-    assert_eq!(play.sessions.calls.unanswered.all().map(|(_, _, count)| count).sum::<u64>(), 4);
+fn an_unanswered_set_up_is_counted_with_its_step() {
+    let mut harness = Harness::new();
+    let unanswered_at =
+        |harness: &Harness, closed_by, step| count_of(&harness.sessions.store.unanswered, closed_by, step);
+    harness.set_up(1, 0xa1, &[]);
+    harness.sessions.viewer_disconnected(harness.now, 1, ClosedBy::Viewer, &mut harness.transport);
+    assert_eq!(unanswered_at(&harness, ClosedBy::Viewer, ReachedStep::Unplaced), 1);
+
+    harness.set_up(2, 0xa2, &[]);
+    harness.advance(20);
+    assert!(harness.transport.outstanding.contains_key(&0xa2));
+    harness.sessions.viewer_disconnected(harness.now, 2, ClosedBy::Us, &mut harness.transport);
+    assert_eq!(unanswered_at(&harness, ClosedBy::Us, ReachedStep::JoinOut), 1);
+
+    harness.set_up(3, 0xa3, &[]);
+    harness.advance(20);
+    harness.join_ends(0xa3, Ending::Error);
+    harness.sessions.viewer_disconnected(harness.now, 3, ClosedBy::Unreadable, &mut harness.transport);
+    assert_eq!(unanswered_at(&harness, ClosedBy::Unreadable, ReachedStep::Between), 1);
+
+    harness.set_up(4, 0xa4, &[]);
+    harness.advance(20);
+    harness.transport.full_connections.insert(4);
+    harness.answer(0xa4);
+    assert_eq!(unanswered_at(&harness, ClosedBy::Network, ReachedStep::NotTaken), 1);
+
+    harness.set_up(5, 0xa5, &[]);
+    harness.advance(20);
+    assert!(harness.answer(0xa5).is_some());
+    harness.sessions.viewer_disconnected(harness.now, 5, ClosedBy::Us, &mut harness.transport);
+    assert_eq!(harness.sessions.store.unanswered.all().map(|(_, _, count)| count).sum::<u64>(), 4);
 }
 
-/// A crowd that asks and closes is counted whole, and costs the log a line a second.
+/// A crowd that sends set-ups and closes is counted in full, and costs one log line a second.
 #[test]
-fn a_crowd_of_ended_connections_costs_a_line_a_second() {
-    let mut unanswered = Unanswered::default();
-    let lost = Lost { wire_id: 7, by: By::Viewer, step: Stood::Unplaced, streamer: None, held: ms(3) };
-    let said = (0..3000).filter(|n| unanswered.note(ORIGIN + ms(*n), &lost)).count();
-    assert_eq!((said, counted(&unanswered, By::Viewer, Stood::Unplaced)), (3, 3000));
+fn unanswered_set_ups_are_logged_at_most_once_a_second() {
+    let mut unanswered = UnansweredCounts::default();
+    let set_up = UnansweredSetUp {
+        wire_id: 7,
+        closed_by: ClosedBy::Viewer,
+        step: ReachedStep::Unplaced,
+        streamer: None,
+        age: ms(3),
+    };
+    let logged = (0..3000).filter(|n| unanswered.record(START + ms(*n), &set_up)).count();
+    assert_eq!((logged, count_of(&unanswered, ClosedBy::Viewer, ReachedStep::Unplaced)), (3, 3000));
 }
--- a/crates/platform/src/unanswered.rs
+++ b/crates/platform/src/unanswered.rs
@@ -1,8 +1,8 @@
-//! Set-ups that were taken and whose connection ended before their answer: counted by who ended it and the step they
-//! stood at, and written to the log, so that one lost request names where to look.
+//! Counts and logs accepted set-ups whose connection closed before their answer, by who closed it and by the
+//! step the set-up had reached, so that a single lost request can be located.
 //!
-//! A viewer that gives up by closing is among them, and is no fault; a connection that this program ended with a
-//! set-up open, or an answer that was given and not written, is.
+//! A viewer that gives up by closing its connection is counted too and is no fault. A connection that this
+//! program closed with a set-up pending, or an answer that was sent but never written, is one.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,26 +13,26 @@
 
 use crate::phase::Phase;
 
-/// A line in the log at most so often; what comes between is counted, and told with the next. A crowd that connects,
-/// asks and closes must not cost a write each.
-const SAID_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between log lines; set-ups in between are counted and reported with the next line. A
+/// crowd of viewers that connect, send a set-up and close must not cost a log write each.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who ended a viewers' connection.
+/// Who closed a viewer's connection. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum By {
-    /// The viewer's end closed it.
+pub enum ClosedBy {
+    /// The viewer closed it.
     Viewer,
-    /// It broke under a read or a write.
+    /// A read or write failed.
     Network,
-    /// What came on it cannot be read.
+    /// The viewer sent a malformed frame.
     Unreadable,
-    /// It gave way to another, or had had its time.
+    /// This program closed it: it was evicted or timed out.
     Us,
 }
 
-impl From<Closing> for By {
-    fn from(why: Closing) -> Self {
-        match why {
+impl From<Closing> for ClosedBy {
+    fn from(reason: Closing) -> Self {
+        match reason {
             Closing::ByPeer => Self::Viewer,
             Closing::Broken => Self::Network,
             Closing::NotMade | Closing::Finished => Self::Us,
@@ -40,23 +40,23 @@
     }
 }
 
-/// How far a set-up had come.
+/// The step that a set-up had reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// No join was made yet.
+    /// No join was sent yet.
     Unplaced,
-    /// Joins were made, and none is out.
+    /// Joins were sent, and none is outstanding.
     Between,
-    /// A join is out.
+    /// A join is outstanding.
     JoinOut,
-    /// A streamer answered, and the viewer's connection did not take the answer.
+    /// A streamer answered, but the viewer's connection did not accept the answer.
     NotTaken,
-    /// The answer was given to the connection, and its bytes were not all written.
+    /// The answer was passed to the connection, but was not completely written.
     NotWritten,
 }
 
 impl Step {
-    /// The step of a call without an answer, with its joins so far.
+    /// The step of a session without an answer, given its phase and the number of its joins so far.
     pub fn of(phase: Phase, joins: u16) -> (Self, Option<StreamerId>) {
         match phase {
             Phase::Out(streamer) => (Self::JoinOut, Some(streamer)),
@@ -78,43 +78,43 @@
     }
 }
 
-/// One such set-up.
+/// A set-up whose connection closed before its answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Lost {
+pub struct UnansweredSetUp {
     pub wire_id: u64,
-    pub by: By,
+    pub closed_by: ClosedBy,
     pub step: Step,
     pub streamer: Option<StreamerId>,
-    /// How long it had been here.
-    pub held: Duration,
+    /// Time since the set-up arrived.
+    pub age: Duration,
 }
 
-/// All of them since the start.
+/// Counts of all such set-ups since the start.
 #[derive(Default)]
-pub struct Unanswered {
-    counts: BTreeMap<(By, Step), u64>,
-    say_at: Duration,
-    unsaid: u64,
+pub struct UnansweredCounts {
+    counts: BTreeMap<(ClosedBy, Step), u64>,
+    next_log_at: Duration,
+    suppressed: u64,
 }
 
-impl Unanswered {
-    /// Counts one, and says so unless one was said just before. Tells whether it was said.
-    pub fn note(&mut self, now: Duration, lost: &Lost) -> bool {
-        *self.counts.entry((lost.by, lost.step)).or_default() += 1;
-        if now < self.say_at {
-            self.unsaid += 1;
+impl UnansweredCounts {
+    /// Counts a set-up, and logs it unless the last log line is too recent. Returns whether it was logged.
+    pub fn record(&mut self, now: Duration, set_up: &UnansweredSetUp) -> bool {
+        *self.counts.entry((set_up.closed_by, set_up.step)).or_default() += 1;
+        if now < self.next_log_at {
+            self.suppressed += 1;
             return false;
         }
-        self.say_at = now + SAID_EVERY;
-        let more = std::mem::take(&mut self.unsaid);
-        let Lost { wire_id, by, step, streamer, held } = *lost;
-        let (wire_id, step) = (format_args!("{wire_id:016x}"), format_args!("{step}"));
-        tracing::warn!(wire_id, ?by, %step, ?streamer, ?held, more, "a set-up's connection ended without its answer");
+        self.next_log_at = now + LOG_INTERVAL;
+        let more = std::mem::take(&mut self.suppressed);
+        let UnansweredSetUp { wire_id, closed_by, step, streamer, age } = *set_up;
+        let (wire_id, by, step) = (format_args!("{wire_id:016x}"), closed_by, format_args!("{step}"));
+        tracing::warn!(wire_id, ?by, %step, ?streamer, held = ?age, more, "connection closed before its set-up was answered");
         true
     }
 
-    /// All counts, for the log at the end.
-    pub fn all(&self) -> impl Iterator<Item = (By, Step, u64)> + '_ {
-        self.counts.iter().map(|((by, step), count)| (*by, *step, *count))
+    /// Returns all counts, for the log at shutdown.
+    pub fn all(&self) -> impl Iterator<Item = (ClosedBy, Step, u64)> + '_ {
+        self.counts.iter().map(|((closed_by, step), count)| (*closed_by, *step, *count))
     }
 }
--- a/crates/reactor/src/buffer.rs
+++ b/crates/reactor/src/buffer.rs
@@ -1,53 +1,57 @@
-//! Bytes on their way through one direction of a line.
+//! Byte buffer for one direction of a connection.
 
-/// A queue of bytes, taken from its front and filled at its end, with a bound that its owner keeps.
+/// A queue of bytes that is filled at the end and consumed at the front. Its owner enforces the size limit.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    taken: usize,
+    consumed: usize,
 }
 
 impl Buffer {
+    /// The number of bytes not yet consumed.
     pub fn len(&self) -> usize {
-        self.bytes.len() - self.taken
+        self.bytes.len() - self.consumed
     }
 
+    /// Whether all bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// The bytes not yet consumed.
     pub fn as_slice(&self) -> &[u8] {
-        &self.bytes[self.taken..]
+        &self.bytes[self.consumed..]
     }
 
+    /// Appends bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.make_room();
+        self.compact();
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Takes away `count` bytes from the front, or all if there are fewer.
+    /// Removes `count` bytes from the front, or all if there are fewer.
     pub fn consume(&mut self, count: usize) {
-        self.taken = (self.taken + count).min(self.bytes.len());
-        if self.taken == self.bytes.len() {
+        self.consumed = (self.consumed + count).min(self.bytes.len());
+        if self.consumed == self.bytes.len() {
             self.bytes.clear();
-            self.taken = 0;
-            // A burst must not hold its memory for as long as the line lives.
-            if self.bytes.capacity() > KEPT {
-                self.bytes.shrink_to(KEPT);
+            self.consumed = 0;
+            // A burst must not keep its memory for the life of the connection.
+            if self.bytes.capacity() > RETAINED_CAPACITY {
+                self.bytes.shrink_to(RETAINED_CAPACITY);
             }
         }
     }
 
-    /// Moves what is left to the front once more than half of the bytes are spent, so that each byte is
-    /// moved at most once on the mean.
-    fn make_room(&mut self) {
-        if self.taken > 0 && self.taken >= self.bytes.len() / 2 {
-            self.bytes.drain(..self.taken);
-            self.taken = 0;
+    /// Moves the rest to the front once more than half of the bytes are consumed, so that each byte is moved
+    /// at most once on average.
+    fn compact(&mut self) {
+        if self.consumed > 0 && self.consumed >= self.bytes.len() / 2 {
+            self.bytes.drain(..self.consumed);
+            self.consumed = 0;
         }
     }
 }
 
-/// Memory that an empty buffer keeps, in bytes: a few media packets, so that the ordinary path allocates
-/// nothing, and 2,000 lines hold some 64 MB at most.
-const KEPT: usize = 16 * 1024;
+/// Bytes of capacity that an empty buffer keeps: a few media packets, so that ordinary operation allocates
+/// nothing, and 2,000 connections hold about 64 MB at most.
+const RETAINED_CAPACITY: usize = 16 * 1024;
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,9 +1,9 @@
-//! The event loop of every program: it waits for sockets, due times and signals, and moves bytes between
-//! sockets and bounded buffers. It knows no protocol and decides nothing.
+//! The event loop of all programs: it waits for sockets, timers and signals, and moves bytes between sockets
+//! and bounded buffers. It implements no protocol.
 //!
-//! A program calls [`Reactor::wait`] for what happened, takes bytes with [`Reactor::input`] and
-//! [`Reactor::consume`], gives bytes with [`Reactor::send`], and lets them go with [`Reactor::flush`], once for
-//! all lines of a round. Times are spans since [`Reactor::new`], plus the offset that was given there.
+//! A program calls [`Reactor::wait`] to receive events, reads bytes with [`Reactor::input`] and
+//! [`Reactor::consume`], queues bytes with [`Reactor::send`], and writes them with [`Reactor::flush`], once
+//! for all connections of a round. Times are durations since [`Reactor::new`], plus the offset given there.
 
 mod buffer;
 mod descriptors;
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The loop itself: its state, its clock and its costs. Each of the modules below has one part of its work.
+//! The event loop: its state, clock and cost counters. Each submodule implements one part of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -20,31 +20,31 @@
 pub use sockets::Bounds;
 
 use sockets::Source;
-use timers::Due;
-use transfer::READ_AT_ONCE;
+use timers::Timer;
+use transfer::MAX_READ_PER_WAIT;
 
-/// Connections taken from one listener, and datagrams from one socket, in one wait at most: a burst at one of them
-/// leaves the others their turn.
-const TAKEN_AT_ONCE: usize = 64;
+/// Maximum of connections accepted from one listener, and of datagrams read from one socket, per wait: a
+/// burst at one socket must not starve the others.
+const MAX_PER_WAIT: usize = 64;
 
 /// The event loop.
 pub struct Reactor {
     poller: Poller,
-    events: Events,
+    poller_events: Events,
     start: Instant,
     offset: Duration,
     now: Duration,
-    next_line: Line,
-    lines: BTreeMap<Line, Source>,
+    next_id: Line,
+    sources: BTreeMap<Line, Source>,
     connections: usize,
-    due: BTreeSet<(Duration, Due)>,
-    dirty: Vec<Line>,
-    /// Lines that ended outside a wait, to be told in the next.
-    ended: Vec<Line>,
-    /// Lines told as ended, dropped at the next wait.
-    told_ended: Vec<Line>,
+    timers: BTreeSet<(Duration, Timer)>,
+    unflushed: Vec<Line>,
+    /// Connections that ended outside a wait, to be reported in the next one.
+    newly_ended: Vec<Line>,
+    /// Connections reported as ended, removed at the next wait.
+    reported_ended: Vec<Line>,
     scratch: Vec<u8>,
-    accepted_at_once: usize,
+    max_accepts_per_wait: usize,
     costs: Costs,
 }
 
@@ -53,33 +53,33 @@
 pub struct Costs {
     /// System calls made for sockets and waits.
     pub system_calls: u64,
-    /// Bytes copied in this process on their way from and to sockets; the kernel's own copies are not counted.
+    /// Bytes copied in this process from and to sockets, not counting the kernel's own copies.
     pub copied_bytes: u64,
 }
 
 impl Reactor {
-    /// A loop whose clock shows `offset` now, so that times before its start can be named.
+    /// Creates a loop whose clock shows `offset` now, so that times before its start can be expressed.
     pub fn new(offset: Duration) -> io::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
-            events: Events::new(),
+            poller_events: Events::new(),
             start: Instant::now(),
             offset,
             now: offset,
-            next_line: 1,
-            lines: BTreeMap::new(),
+            next_id: 1,
+            sources: BTreeMap::new(),
             connections: 0,
-            due: BTreeSet::new(),
-            dirty: Vec::new(),
-            ended: Vec::new(),
-            told_ended: Vec::new(),
-            scratch: vec![0; READ_AT_ONCE],
-            accepted_at_once: TAKEN_AT_ONCE,
+            timers: BTreeSet::new(),
+            unflushed: Vec::new(),
+            newly_ended: Vec::new(),
+            reported_ended: Vec::new(),
+            scratch: vec![0; MAX_READ_PER_WAIT],
+            max_accepts_per_wait: MAX_PER_WAIT,
             costs: Costs::default(),
         })
     }
 
-    /// The time of the last wait's end: one time for all that it brought.
+    /// The time at the end of the last wait, the same for all of its events.
     pub fn now(&self) -> Duration {
         self.now
     }
@@ -89,12 +89,12 @@
         self.costs
     }
 
-    /// The time by the clock.
+    /// The current time.
     pub fn clock(&self) -> Duration {
         self.offset + self.start.elapsed()
     }
 
-    /// How many connections are held, ended ones not counted.
+    /// The number of connections that have not ended.
     pub fn connections(&self) -> usize {
         self.connections
     }
--- a/crates/reactor/src/reactor/datagrams.rs
+++ b/crates/reactor/src/reactor/datagrams.rs
@@ -1,14 +1,14 @@
-//! Datagrams, in and out.
+//! Datagram sockets.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
 use super::events::{Happening, Line};
 use super::sockets::Source;
-use super::{Reactor, TAKEN_AT_ONCE};
+use super::{Reactor, MAX_PER_WAIT};
 
 impl Reactor {
-    /// Takes datagrams at an address.
+    /// Binds a datagram socket. Returns its id and its address.
     pub fn datagrams(&mut self, at: SocketAddr) -> io::Result<(Line, SocketAddr)> {
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
@@ -16,26 +16,27 @@
         Ok((self.register(Source::Datagrams(socket))?, at))
     }
 
-    /// Sends a datagram; one that the kernel cannot take now is lost, as datagrams are.
-    pub fn send_to(&self, line: Line, to: SocketAddr, bytes: &[u8]) -> bool {
-        match self.lines.get(&line) {
+    /// Sends a datagram. Returns false, and drops it, if the kernel cannot take it now.
+    pub fn send_to(&self, id: Line, to: SocketAddr, bytes: &[u8]) -> bool {
+        match self.sources.get(&id) {
             Some(Source::Datagrams(socket)) => socket.send_to(bytes, to).is_ok(),
             _ => false,
         }
     }
 
-    /// Takes datagrams from a socket.
-    pub(super) fn receive(&mut self, line: Line, told: &mut Vec<Happening>) {
-        for _ in 0..TAKEN_AT_ONCE {
-            let Some(Source::Datagrams(socket)) = self.lines.get(&line) else { return };
+    /// Receives datagrams from a socket.
+    pub(super) fn receive(&mut self, id: Line, events: &mut Vec<Happening>) {
+        for _ in 0..MAX_PER_WAIT {
+            let Some(Source::Datagrams(socket)) = self.sources.get(&id) else { return };
             self.costs.system_calls += 1;
             match socket.recv_from(&mut self.scratch) {
                 Ok((count, from)) => {
                     let bytes = self.scratch[..count].to_vec();
-                    told.push(Happening::Datagram { line, from, bytes });
+                    events.push(Happening::Datagram { line: id, from, bytes });
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // An answer that the port of an earlier datagram is shut; it says nothing of this socket.
+                // An ICMP error: the destination port of an earlier datagram is closed, which does not affect
+                // this socket.
                 Err(_) => {}
             }
         }
--- a/crates/reactor/src/reactor/events.rs
+++ b/crates/reactor/src/reactor/events.rs
@@ -1,40 +1,42 @@
-//! What a wait tells of the sockets, times and signals of the loop.
+//! The events that a wait reports for the sockets, timers and signals of the loop.
 
 use std::net::SocketAddr;
 
-/// A socket of the loop. Numbers are never used twice, so that a late word on a closed line names no other.
+/// Id of a socket of the loop: a connection, a listener or a datagram socket. Ids are never reused, so a late
+/// call with the id of a closed socket cannot affect another.
 pub type Line = u64;
 
-/// Why a line ended.
+/// Why a connection ended. The names of the variants are written to logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
-    /// The connection was never made: turned down, unreachable, or not in the time given.
+    /// It was never established: refused, unreachable, or timed out.
     NotMade,
-    /// The other end closed it.
+    /// The peer closed it.
     ByPeer,
-    /// It broke.
+    /// It failed with an I/O error.
     Broken,
-    /// It was to end once its output was written, and has.
+    /// It was closed after its output was written.
     Finished,
 }
 
-/// What a wait brought.
+/// An event reported by a wait.
 #[derive(Debug)]
 pub enum Happening {
-    /// A connection came in at a listener.
+    /// A listener accepted a connection.
     Accepted { line: Line, listener: Line, from: SocketAddr },
-    /// A connection that was asked for is made.
+    /// A connection attempt succeeded.
     Opened(Line),
-    /// There are new bytes in a line's input.
+    /// A connection's input has new bytes.
     Readable(Line),
-    /// A line whose output was found full has half of it free again.
+    /// A connection whose output was full has half of it free again.
     Drained(Line),
-    /// A line has ended; its input can still be read until [`close`](crate::Reactor::close) or the next wait.
+    /// A connection has ended; its input can still be read until [`close`](crate::Reactor::close) or the next
+    /// wait.
     Closed(Line, Closing),
-    /// A datagram came.
+    /// A datagram was received.
     Datagram { line: Line, from: SocketAddr, bytes: Vec<u8> },
-    /// A time set with [`due`](crate::Reactor::due) has come.
+    /// A timer set with [`set_timer`](crate::Reactor::set_timer) is due; its token.
     Due(u64),
-    /// A signal came.
+    /// A signal was delivered.
     Signal(i32),
 }
--- a/crates/reactor/src/reactor/poll.rs
+++ b/crates/reactor/src/reactor/poll.rs
@@ -1,4 +1,4 @@
-//! One wait of the loop: what the poller brings, then what has fallen due, then which lines have ended.
+//! One wait of the loop: events of the poller, then due timers, then ended connections.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -10,56 +10,58 @@
 use super::{signals, Reactor};
 
 impl Reactor {
-    /// Waits until something happens, or until that time, and tells what.
-    pub fn wait(&mut self, until: Option<Duration>, told: &mut Vec<Happening>) -> io::Result<()> {
-        for line in std::mem::take(&mut self.told_ended) {
-            self.deregister(line);
+    /// Waits until there are events, or until the given time, and appends the events.
+    pub fn wait(&mut self, until: Option<Duration>, events: &mut Vec<Happening>) -> io::Result<()> {
+        for id in std::mem::take(&mut self.reported_ended) {
+            self.deregister(id);
         }
-        let first = self.due.first().map(|due| due.0);
-        let until = until.into_iter().chain(first).min();
-        let timeout = match (self.ended.is_empty(), until) {
+        let next_timer = self.timers.first().map(|due| due.0);
+        let until = until.into_iter().chain(next_timer).min();
+        let timeout = match (self.newly_ended.is_empty(), until) {
             (false, _) => Some(Duration::ZERO),
             (true, until) => until.map(|at| at.saturating_sub(self.clock())),
         };
-        self.events.clear();
+        self.poller_events.clear();
         self.costs.system_calls += 1;
-        match self.poller.wait(&mut self.events, timeout) {
+        match self.poller.wait(&mut self.poller_events, timeout) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
         self.now = self.clock();
-        let ready: Vec<Event> = self.events.iter().collect();
+        let ready: Vec<Event> = self.poller_events.iter().collect();
         for event in ready {
-            self.serve(event, told);
+            self.handle_poller_event(event, events);
         }
-        while let Some((at, due)) = self.due.first().copied().filter(|due| due.0 <= self.now) {
-            self.due.remove(&(at, due));
-            self.fall_due(due, told);
+        while let Some((at, timer)) = self.timers.first().copied().filter(|due| due.0 <= self.now) {
+            self.timers.remove(&(at, timer));
+            self.handle_timer(timer, events);
         }
-        for line in std::mem::take(&mut self.ended) {
-            if let Some(why) = self.conn(line).and_then(|conn| conn.ended) {
-                told.push(Happening::Closed(line, why));
-                self.told_ended.push(line);
+        for id in std::mem::take(&mut self.newly_ended) {
+            if let Some(reason) = self.connection(id).and_then(|connection| connection.ended) {
+                events.push(Happening::Closed(id, reason));
+                self.reported_ended.push(id);
             }
         }
         Ok(())
     }
 
     /// Handles one event of the poller.
-    fn serve(&mut self, event: Event, told: &mut Vec<Happening>) {
-        let line = event.key as Line;
-        match self.lines.get_mut(&line) {
-            Some(Source::Listener { .. }) => self.accept(line, told),
-            Some(Source::Datagrams(_)) => self.receive(line, told),
-            Some(Source::Signal(pipe, signal)) => signals::receive(pipe, *signal, told),
-            Some(Source::Stream { conn, .. }) if conn.making => self.made(line, told),
+    fn handle_poller_event(&mut self, event: Event, events: &mut Vec<Happening>) {
+        let id = event.key as Line;
+        match self.sources.get_mut(&id) {
+            Some(Source::Listener { .. }) => self.accept(id, events),
+            Some(Source::Datagrams(_)) => self.receive(id, events),
+            Some(Source::Signal(pipe, signal)) => signals::receive(pipe, *signal, events),
+            Some(Source::Stream { connection, .. }) if connection.connecting => {
+                self.check_connected(id, events)
+            }
             Some(Source::Stream { .. }) => {
                 if event.writable {
-                    self.write_out(line);
-                    self.tell_drained(line, told);
+                    self.write_output(id);
+                    self.report_drained(id, events);
                 }
                 if event.readable {
-                    self.read_in(line, told);
+                    self.read_input(id, events);
                 }
             }
             None => {}
--- a/crates/reactor/src/reactor/sockets.rs
+++ b/crates/reactor/src/reactor/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of the loop and their place in the poller.
+//! The sockets of the loop and their registration with the poller.
 
 use std::io;
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -11,61 +11,61 @@
 use super::Reactor;
 use crate::buffer::Buffer;
 
-/// How many bytes a line holds at most.
+/// Limits of a connection's buffers, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Bytes read and not yet consumed; at the bound reading stops until some are.
+    /// Bytes read and not yet consumed; at the limit reading pauses.
     pub input: usize,
-    /// Bytes given and not yet written; [`Reactor::send`] takes nothing that goes over it.
+    /// Bytes queued and not yet written; [`Reactor::send`] accepts nothing beyond it.
     pub output: usize,
 }
 
-/// The state of one connection.
-pub(super) struct Conn {
+/// State of a connection.
+pub(super) struct Connection {
     pub(super) input: Buffer,
     pub(super) output: Buffer,
     pub(super) bounds: Bounds,
-    pub(super) making: bool,
-    pub(super) finishing: bool,
-    pub(super) was_full: bool,
-    /// What the poller was last asked for: readable, writable.
+    pub(super) connecting: bool,
+    pub(super) closing_after_flush: bool,
+    pub(super) output_was_full: bool,
+    /// Interest registered with the poller: readable, writable.
     pub(super) interest: (bool, bool),
-    /// In the list of lines that have output to flush.
+    /// Whether it is in the list of connections to flush.
     pub(super) dirty: bool,
     pub(super) ended: Option<Closing>,
 }
 
-impl Conn {
-    pub(super) fn new(bounds: Bounds, making: bool) -> Self {
+impl Connection {
+    pub(super) fn new(bounds: Bounds, connecting: bool) -> Self {
         Self {
             input: Buffer::default(),
             output: Buffer::default(),
             bounds,
-            making,
-            finishing: false,
-            was_full: false,
-            interest: (!making, making),
+            connecting,
+            closing_after_flush: false,
+            output_was_full: false,
+            interest: (!connecting, connecting),
             dirty: false,
             ended: None,
         }
     }
 
-    /// What the poller is to be asked for: readable, writable.
-    pub(super) fn wanted(&self) -> (bool, bool) {
-        let reads = !self.making && !self.finishing && self.input.len() < self.bounds.input;
-        (reads, self.making || !self.output.is_empty())
+    /// Interest to register with the poller: readable, writable.
+    pub(super) fn wanted_interest(&self) -> (bool, bool) {
+        let reads = !self.connecting && !self.closing_after_flush && self.input.len() < self.bounds.input;
+        (reads, self.connecting || !self.output.is_empty())
     }
 }
 
-/// A socket and what the loop holds for it.
+/// A socket and its state.
 pub(super) enum Source {
-    Listener { socket: TcpListener, bounds: Bounds, resting: bool },
-    Stream { socket: TcpStream, conn: Conn },
+    Listener { socket: TcpListener, bounds: Bounds, paused: bool },
+    Stream { socket: TcpStream, connection: Connection },
     Datagrams(UdpSocket),
     Signal(UnixStream, i32),
 }
 
-/// The descriptor that the poller knows a socket by.
+/// The file descriptor that the poller uses for a socket.
 pub(super) fn fd(source: &Source) -> BorrowedFd<'_> {
     match source {
         Source::Listener { socket, .. } => socket.as_fd(),
@@ -76,28 +76,30 @@
 }
 
 impl Reactor {
-    /// Registers a socket with the poller under a number of its own.
+    /// Registers a socket with the poller under a new id.
     pub(super) fn register(&mut self, source: Source) -> io::Result<Line> {
-        let line = self.next_line;
+        let id = self.next_id;
         let interest = match &source {
-            Source::Stream { conn, .. } => Event::new(line as usize, conn.interest.0, conn.interest.1),
-            _ => Event::readable(line as usize),
+            Source::Stream { connection, .. } => {
+                Event::new(id as usize, connection.interest.0, connection.interest.1)
+            }
+            _ => Event::readable(id as usize),
         };
         self.costs.system_calls += 1;
-        // Safe since the source is removed from the poller in `deregister`, before the socket is dropped.
+        // Safety: `deregister` removes the socket from the poller before it is dropped.
         unsafe { self.poller.add_with_mode(fd(&source).as_raw_fd(), interest, PollMode::Level)? };
-        self.next_line += 1;
-        self.lines.insert(line, source);
-        Ok(line)
+        self.next_id += 1;
+        self.sources.insert(id, source);
+        Ok(id)
     }
 
-    /// Takes a socket out of the poller and closes it.
-    pub(super) fn deregister(&mut self, line: Line) {
-        let Some(source) = self.lines.remove(&line) else { return };
-        // Out of the poller, and closed.
+    /// Removes a socket from the poller and closes it.
+    pub(super) fn deregister(&mut self, id: Line) {
+        let Some(source) = self.sources.remove(&id) else { return };
+        // Removal from the poller, and close.
         self.costs.system_calls += 2;
         let _ = self.poller.delete(fd(&source));
-        if matches!(&source, Source::Stream { conn, .. } if conn.ended.is_none()) {
+        if matches!(&source, Source::Stream { connection, .. } if connection.ended.is_none()) {
             self.connections -= 1;
         }
     }
--- a/crates/reactor/src/reactor/timers.rs
+++ b/crates/reactor/src/reactor/timers.rs
@@ -1,39 +1,40 @@
-//! Due times: those of the program, and the loop's own for lines and listeners.
+//! Timers: those set by the program, and the loop's own for connections and listeners.
 
 use std::time::Duration;
 
 use super::events::{Closing, Happening, Line};
 use super::Reactor;
 
-/// What falls due at a time.
+/// The owner of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
+pub(super) enum Timer {
+    /// A timer of the program, with its token.
     Program(u64),
-    /// The end of a line that is not made, or not finished, by then.
-    Line(Line),
-    /// A listener that ran out of descriptors is tried again.
-    Listen(Line),
+    /// Time limit of a connection that is not yet established, or not yet flushed before closing.
+    Connection(Line),
+    /// Resumes a listener that ran out of descriptors.
+    ResumeListener(Line),
 }
 
 impl Reactor {
-    /// Has a token told at that time. One set twice for a time is told once.
+    /// Sets a timer that reports this token. The same token and time set twice is reported once.
     pub fn due(&mut self, at: Duration, token: u64) {
-        self.due.insert((at, Due::Program(token)));
+        self.timers.insert((at, Timer::Program(token)));
     }
 
-    /// Takes back what [`Reactor::due`] set.
+    /// Cancels a timer set with [`Reactor::set_timer`].
     pub fn not_due(&mut self, at: Duration, token: u64) {
-        self.due.remove(&(at, Due::Program(token)));
+        self.timers.remove(&(at, Timer::Program(token)));
     }
 
-    /// Does or tells what has fallen due.
-    pub(super) fn fall_due(&mut self, due: Due, told: &mut Vec<Happening>) {
-        match due {
-            Due::Program(token) => told.push(Happening::Due(token)),
-            Due::Listen(line) => self.rest(line, false),
-            Due::Line(line) => match self.conn(line) {
-                Some(conn) if conn.making => self.end(line, Closing::NotMade),
-                Some(conn) if conn.finishing => self.end(line, Closing::Finished),
+    /// Handles a due timer.
+    pub(super) fn handle_timer(&mut self, timer: Timer, events: &mut Vec<Happening>) {
+        match timer {
+            Timer::Program(token) => events.push(Happening::Due(token)),
+            Timer::ResumeListener(id) => self.set_paused(id, false),
+            Timer::Connection(id) => match self.connection(id) {
+                Some(connection) if connection.connecting => self.mark_ended(id, Closing::NotMade),
+                Some(connection) if connection.closing_after_flush => self.mark_ended(id, Closing::Finished),
                 _ => {}
             },
         }
--- a/crates/reactor/src/reactor/transfer.rs
+++ b/crates/reactor/src/reactor/transfer.rs
@@ -1,4 +1,5 @@
-//! Bytes of connections: from the kernel into bounded inputs, and from bounded outputs to the kernel.
+//! Byte transfer of connections: from the kernel into bounded input buffers, and from bounded output buffers
+//! to the kernel.
 
 use std::io::{ErrorKind, Read, Write};
 
@@ -7,149 +8,156 @@
 use super::Reactor;
 use crate::buffer::Buffer;
 
-/// Bytes read from one line in one wait at most: a fast sender leaves the others their turn.
-pub(super) const READ_AT_ONCE: usize = 64 * 1024;
+/// Maximum of bytes read from one connection per wait: a fast sender must not starve the others.
+pub(super) const MAX_READ_PER_WAIT: usize = 64 * 1024;
 
 impl Reactor {
-    /// Bytes that came in and were not consumed yet; none for a line that is gone.
-    pub fn input(&self, line: Line) -> &[u8] {
-        self.conn(line).map_or(&[], |conn| conn.input.as_slice())
+    /// Bytes received and not yet consumed; empty for an unknown connection.
+    pub fn input(&self, id: Line) -> &[u8] {
+        self.connection(id).map_or(&[], |connection| connection.input.as_slice())
     }
 
-    /// Takes away bytes from the front of a line's input.
-    pub fn consume(&mut self, line: Line, count: usize) {
-        let Some(conn) = self.conn_mut(line) else { return };
-        conn.input.consume(count);
-        self.tune(line);
+    /// Removes bytes from the front of a connection's input.
+    pub fn consume(&mut self, id: Line, count: usize) {
+        let Some(connection) = self.connection_mut(id) else { return };
+        connection.input.consume(count);
+        self.update_interest(id);
     }
 
-    /// Takes a line's input away, so that it can be read while other lines are sent to; to be laid back.
-    pub fn lift(&mut self, line: Line) -> Buffer {
-        self.conn_mut(line).map_or_else(Buffer::default, |conn| std::mem::take(&mut conn.input))
+    /// Takes a connection's input out, so that it can be parsed while other connections are written to. Must
+    /// be followed by [`restore_input`](Self::restore_input).
+    pub fn lift(&mut self, id: Line) -> Buffer {
+        self.connection_mut(id)
+            .map_or_else(Buffer::default, |connection| std::mem::take(&mut connection.input))
     }
 
-    /// Lays back what was lifted, less what was consumed of it.
-    pub fn lay_back(&mut self, line: Line, input: Buffer) {
-        if let Some(conn) = self.conn_mut(line) {
-            conn.input = input;
-            self.tune(line);
+    /// Puts the rest of the input back.
+    pub fn lay_back(&mut self, id: Line, input: Buffer) {
+        if let Some(connection) = self.connection_mut(id) {
+            connection.input = input;
+            self.update_interest(id);
         }
     }
 
-    /// Bytes given to a line and not yet written, also once it has ended; none for a line that is gone.
-    pub fn unwritten(&self, line: Line) -> usize {
-        self.conn(line).map_or(0, |conn| conn.output.len())
+    /// Bytes queued on a connection and not yet written, also after it has ended; zero for an unknown
+    /// connection.
+    pub fn unwritten(&self, id: Line) -> usize {
+        self.connection(id).map_or(0, |connection| connection.output.len())
     }
 
-    /// Gives bytes to a line's output, all or, where they do not fit, none. They go at the next flush.
-    pub fn send(&mut self, line: Line, parts: &[&[u8]]) -> bool {
-        self.send_leaving(line, 0, parts)
+    /// Queues bytes on a connection, to be written at the next flush. Accepts all of them or, if they do not
+    /// fit, none, and returns whether it did.
+    pub fn send(&mut self, id: Line, parts: &[&[u8]]) -> bool {
+        self.send_leaving(id, 0, parts)
     }
 
-    /// The same, where they also do not fit if less than `free` bytes of room would be left behind them.
-    pub fn send_leaving(&mut self, line: Line, free: usize, parts: &[&[u8]]) -> bool {
-        let Some(conn) = self.conn_mut(line) else { return false };
+    /// Like [`send`](Self::send), but the bytes must leave at least `free` bytes of room behind them.
+    pub fn send_leaving(&mut self, id: Line, free: usize, parts: &[&[u8]]) -> bool {
+        let Some(connection) = self.connection_mut(id) else { return false };
         let size: usize = parts.iter().map(|part| part.len()).sum();
-        let open = conn.ended.is_none() && !conn.finishing;
-        if !open || conn.output.len() + size + free > conn.bounds.output {
-            conn.was_full = true;
+        let open = connection.ended.is_none() && !connection.closing_after_flush;
+        if !open || connection.output.len() + size + free > connection.bounds.output {
+            connection.output_was_full = true;
             return false;
         }
-        parts.iter().for_each(|part| conn.output.push(part));
-        if !std::mem::replace(&mut conn.dirty, true) {
-            self.dirty.push(line);
+        parts.iter().for_each(|part| connection.output.push(part));
+        if !std::mem::replace(&mut connection.dirty, true) {
+            self.unflushed.push(id);
         }
         self.costs.copied_bytes += size as u64;
         true
     }
 
-    /// Writes what was given to one line, now.
-    pub fn flush_line(&mut self, line: Line) {
-        self.write_out(line);
+    /// Writes the output of one connection now.
+    pub fn flush_line(&mut self, id: Line) {
+        self.write_output(id);
     }
 
-    /// Writes what was given since the last flush.
+    /// Writes the output queued since the last flush.
     pub fn flush(&mut self) {
-        for line in std::mem::take(&mut self.dirty) {
-            self.write_out(line);
+        for id in std::mem::take(&mut self.unflushed) {
+            self.write_output(id);
         }
     }
 
-    /// Reads what has come on a line by now, without a wait, and tells whether its input holds anything then.
-    pub fn read_now(&mut self, line: Line) -> bool {
-        self.read_in(line, &mut Vec::new());
-        !self.input(line).is_empty()
+    /// Reads the available input of a connection without waiting, and returns whether its input is not empty.
+    pub fn read_now(&mut self, id: Line) -> bool {
+        self.read_input(id, &mut Vec::new());
+        !self.input(id).is_empty()
     }
 
-    /// Writes a line's output as far as the kernel takes it.
-    pub(super) fn write_out(&mut self, line: Line) {
-        let Some(Source::Stream { socket, conn }) = self.lines.get_mut(&line) else { return };
-        conn.dirty = false;
-        if conn.making || conn.ended.is_some() {
+    /// Writes a connection's output as far as the kernel accepts it.
+    pub(super) fn write_output(&mut self, id: Line) {
+        let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
+        connection.dirty = false;
+        if connection.connecting || connection.ended.is_some() {
             return;
         }
         let mut broken = false;
-        while !conn.output.is_empty() && !broken {
+        while !connection.output.is_empty() && !broken {
             self.costs.system_calls += 1;
-            match socket.write(conn.output.as_slice()) {
-                Ok(count) => conn.output.consume(count),
+            match socket.write(connection.output.as_slice()) {
+                Ok(count) => connection.output.consume(count),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => broken = true,
             }
         }
-        let finished = conn.finishing && conn.output.is_empty();
+        let finished = connection.closing_after_flush && connection.output.is_empty();
         if broken {
-            // What the other end said before it went is still there, and may be its last word.
-            while conn.input.len() < conn.bounds.input {
-                let most = (conn.bounds.input - conn.input.len()).min(READ_AT_ONCE);
-                match socket.read(&mut self.scratch[..most]) {
-                    Ok(count) if count > 0 => conn.input.push(&self.scratch[..count]),
+            // The peer's last bytes may still be in the kernel's buffer, and may matter.
+            while connection.input.len() < connection.bounds.input {
+                let limit = (connection.bounds.input - connection.input.len()).min(MAX_READ_PER_WAIT);
+                match socket.read(&mut self.scratch[..limit]) {
+                    Ok(count) if count > 0 => connection.input.push(&self.scratch[..count]),
                     _ => break,
                 }
             }
         }
         if broken || finished {
-            return self.end(line, if broken { Closing::Broken } else { Closing::Finished });
+            return self.mark_ended(id, if broken { Closing::Broken } else { Closing::Finished });
         }
-        self.tune(line);
+        self.update_interest(id);
     }
 
-    /// Reads all that has come, up to the bound. What follows the last bytes is read in the same wake, so that an end
-    /// that stands right behind a request is told with it, and not a wake later.
-    pub(super) fn read_in(&mut self, line: Line, told: &mut Vec<Happening>) {
-        let mut read = 0;
-        while read < READ_AT_ONCE {
-            let Some(Source::Stream { socket, conn }) = self.lines.get_mut(&line) else { return };
-            let most = conn.bounds.input.saturating_sub(conn.input.len()).min(READ_AT_ONCE - read);
-            if conn.ended.is_some() || most == 0 {
+    /// Reads all available input up to the limit, and continues until the kernel has no more, so that a close
+    /// right behind a request is reported in the same wait and not in the next.
+    pub(super) fn read_input(&mut self, id: Line, events: &mut Vec<Happening>) {
+        let mut total = 0;
+        while total < MAX_READ_PER_WAIT {
+            let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
+            let limit =
+                connection.bounds.input.saturating_sub(connection.input.len()).min(MAX_READ_PER_WAIT - total);
+            if connection.ended.is_some() || limit == 0 {
                 break;
             }
             self.costs.system_calls += 1;
-            match socket.read(&mut self.scratch[..most]) {
-                Ok(0) => self.end(line, Closing::ByPeer),
+            match socket.read(&mut self.scratch[..limit]) {
+                Ok(0) => self.mark_ended(id, Closing::ByPeer),
                 Ok(count) => {
-                    conn.input.push(&self.scratch[..count]);
+                    connection.input.push(&self.scratch[..count]);
                     self.costs.copied_bytes += count as u64;
-                    read += count;
+                    total += count;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => self.end(line, Closing::Broken),
+                Err(_) => self.mark_ended(id, Closing::Broken),
             }
         }
-        if read > 0 {
-            told.push(Happening::Readable(line));
+        if total > 0 {
+            events.push(Happening::Readable(id));
         }
-        self.tune(line);
+        self.update_interest(id);
     }
 
-    /// Tells that a line's output has room again, once half of it is free.
-    pub(super) fn tell_drained(&mut self, line: Line, told: &mut Vec<Happening>) {
-        let Some(conn) = self.conn_mut(line).filter(|conn| conn.ended.is_none()) else { return };
-        if conn.was_full && conn.output.len() <= conn.bounds.output / 2 {
-            conn.was_full = false;
-            told.push(Happening::Drained(line));
+    /// Reports that a connection's output has room again, once half of it is free.
+    pub(super) fn report_drained(&mut self, id: Line, events: &mut Vec<Happening>) {
+        let Some(connection) = self.connection_mut(id).filter(|connection| connection.ended.is_none()) else {
+            return;
+        };
+        if connection.output_was_full && connection.output.len() <= connection.bounds.output / 2 {
+            connection.output_was_full = false;
+            events.push(Happening::Drained(id));
         }
     }
 }
--- a/crates/reactor/src/tests.rs
+++ b/crates/reactor/src/tests.rs
@@ -1,4 +1,4 @@
-//! The loop on loopback sockets: rules and counts, never speed.
+//! The event loop on loopback sockets: behaviour and counts, no speed.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -12,85 +12,85 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Waits, at most five seconds, until `found` finds something in what happened.
+/// Waits, at most five seconds, until `found` accepts one of the events.
 fn until<T>(reactor: &mut Reactor, mut found: impl FnMut(&mut Reactor, &Happening) -> Option<T>) -> T {
     let end = reactor.clock() + Duration::from_secs(5);
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     while reactor.clock() < end {
         reactor.flush();
-        reactor.wait(Some(end), &mut told).unwrap();
-        for happening in told.drain(..) {
-            if let Some(it) = found(reactor, &happening) {
+        reactor.wait(Some(end), &mut events).unwrap();
+        for event in events.drain(..) {
+            if let Some(it) = found(reactor, &event) {
                 return it;
             }
         }
     }
-    panic!("nothing of the kind happened within five seconds");
+    panic!("no matching event within five seconds");
 }
 
 fn pair(reactor: &mut Reactor) -> (Line, TcpStream) {
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
-    let far = TcpStream::connect(at).unwrap();
-    let line = until(reactor, |_, it| match it {
-        Happening::Accepted { line, .. } => Some(*line),
+    let remote = TcpStream::connect(at).unwrap();
+    let connection = until(reactor, |_, it| match it {
+        Happening::Accepted { line: connection, .. } => Some(*connection),
         _ => None,
     });
-    (line, far)
+    (connection, remote)
 }
 
 #[test]
-fn reading_stops_at_the_bound_and_goes_on_when_consumed() {
+fn reading_pauses_at_the_limit_and_resumes_when_consumed() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    far.write_all(&[7; 2500]).unwrap();
+    let (connection, mut remote) = pair(&mut reactor);
+    remote.write_all(&[7; 2500]).unwrap();
     let mut sizes = Vec::new();
     while sizes.iter().sum::<usize>() < 2500 {
-        until(&mut reactor, |r, _| (!r.input(line).is_empty()).then_some(()));
-        sizes.push(reactor.input(line).len());
-        reactor.consume(line, 1000);
+        until(&mut reactor, |r, _| (!r.input(connection).is_empty()).then_some(()));
+        sizes.push(reactor.input(connection).len());
+        reactor.consume(connection, 1000);
     }
     assert!(sizes.iter().all(|size| *size <= 1000), "{sizes:?}");
 }
 
 #[test]
-fn output_over_its_bound_is_not_taken_and_drains_later() {
+fn output_over_its_limit_is_refused_and_drains_later() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    assert!(reactor.send(line, &[&[1; 600], &[2; 400]]));
-    assert!(!reactor.send(line, &[&[3]]), "one byte over the bound");
+    let (connection, mut remote) = pair(&mut reactor);
+    assert!(reactor.send(connection, &[&[1; 600], &[2; 400]]));
+    assert!(!reactor.send(connection, &[&[3]]), "one byte over the limit");
     reactor.flush();
-    assert!(reactor.send(line, &[&[0; 1000]]), "the whole bound again once it is drained");
+    assert!(reactor.send(connection, &[&[0; 1000]]), "the whole limit again once it is drained");
     let mut bytes = [0; 1000];
-    far.read_exact(&mut bytes).unwrap();
+    remote.read_exact(&mut bytes).unwrap();
     assert_eq!((bytes[599], bytes[600]), (1, 2));
 }
 
 #[test]
-fn a_finished_line_writes_its_last_bytes_first() {
+fn a_connection_closed_after_flush_writes_its_last_bytes_first() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    reactor.send(line, &[b"last"]);
-    reactor.finish(line);
+    let (connection, mut remote) = pair(&mut reactor);
+    reactor.send(connection, &[b"last"]);
+    reactor.finish(connection);
     let why = until(&mut reactor, |_, it| match it {
-        Happening::Closed(closed, why) if *closed == line => Some(*why),
+        Happening::Closed(closed, why) if *closed == connection => Some(*why),
         _ => None,
     });
     assert_eq!(why, Closing::Finished);
     assert_eq!(reactor.connections(), 0);
-    reactor.close(line);
+    reactor.close(connection);
     let mut text = String::new();
-    far.read_to_string(&mut text).unwrap();
+    remote.read_to_string(&mut text).unwrap();
     assert_eq!(text, "last");
 }
 
 #[test]
-fn a_connection_that_is_turned_down_is_told_as_not_made() {
+fn a_refused_connection_is_reported_as_not_made() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (listener, at) = reactor.listen(anywhere(), SMALL).unwrap();
     reactor.close(listener);
-    let line = reactor.connect(at, Duration::from_secs(1), SMALL).unwrap();
+    let connection = reactor.connect(at, Duration::from_secs(1), SMALL).unwrap();
     let why = until(&mut reactor, |_, it| match it {
-        Happening::Closed(closed, why) if *closed == line => Some(*why),
+        Happening::Closed(closed, why) if *closed == connection => Some(*why),
         _ => None,
     });
     assert_eq!(why, Closing::NotMade);
@@ -98,56 +98,61 @@
 }
 
 #[test]
-fn the_peers_close_is_told_after_its_last_bytes() {
+fn the_close_of_the_peer_is_reported_after_its_last_bytes() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    far.write_all(b"bye").unwrap();
-    drop(far);
+    let (connection, mut remote) = pair(&mut reactor);
+    remote.write_all(b"bye").unwrap();
+    drop(remote);
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, Closing::ByPeer) if *closed == line => Some(r.input(line).to_vec()),
+        Happening::Closed(closed, Closing::ByPeer) if *closed == connection => {
+            Some(r.input(connection).to_vec())
+        }
         _ => None,
     });
     assert_eq!(last, b"bye");
 }
 
 #[test]
-fn what_was_on_its_way_is_read_after_a_shut() {
+fn input_in_transit_is_read_after_a_shutdown() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    reactor.send(line, &[b"last"]);
-    reactor.shut(line);
-    let mut heard = String::new();
-    far.read_to_string(&mut heard).unwrap();
-    far.write_all(b"on its way").unwrap();
-    drop(far);
+    let (connection, mut remote) = pair(&mut reactor);
+    reactor.send(connection, &[b"last"]);
+    reactor.shut(connection);
+    let mut received = String::new();
+    remote.read_to_string(&mut received).unwrap();
+    remote.write_all(b"on its way").unwrap();
+    drop(remote);
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, Closing::ByPeer) if *closed == line => Some(r.input(line).to_vec()),
+        Happening::Closed(closed, Closing::ByPeer) if *closed == connection => {
+            Some(r.input(connection).to_vec())
+        }
         _ => None,
     });
-    assert_eq!((heard.as_str(), &last[..]), ("last", &b"on its way"[..]));
+    assert_eq!((received.as_str(), &last[..]), ("last", &b"on its way"[..]));
 }
 
-/// A write that finds the other end gone must not lose what it said before: a release, say.
+/// Guards against losing the peer's last input, such as a release, when a write discovers that the peer has
+/// gone.
 #[test]
-fn the_last_words_of_one_that_is_gone_are_read_where_a_write_finds_it_out() {
+fn the_last_input_is_read_when_a_write_finds_the_peer_gone() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    reactor.send(line, &[b"unread"]);
+    let (connection, mut remote) = pair(&mut reactor);
+    reactor.send(connection, &[b"unread"]);
     reactor.flush();
-    far.write_all(b"last words").unwrap();
-    // Closed with something unread: a reset.
-    drop(far);
-    reactor.send(line, &[b"more"]);
+    remote.write_all(b"last words").unwrap();
+    // Closing with unread input causes a reset.
+    drop(remote);
+    reactor.send(connection, &[b"more"]);
     reactor.flush();
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, _) if *closed == line => Some(r.input(line).to_vec()),
+        Happening::Closed(closed, _) if *closed == connection => Some(r.input(connection).to_vec()),
         _ => None,
     });
     assert_eq!(last, b"last words");
 }
 
 #[test]
-fn due_times_come_in_order_and_can_be_taken_back() {
+fn timers_fire_in_order_and_can_be_cancelled() {
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
     let now = reactor.now();
     assert_eq!(now, Duration::from_secs(100));
@@ -163,19 +168,19 @@
     assert_eq!(tokens, [1, 2, 3]);
 }
 
-/// What a connection holds is heard before it is closed, though no wait has told of it.
+/// Input can be read before a connection is closed, although no wait has reported it.
 #[test]
-fn what_has_come_can_be_read_without_a_wait() {
+fn available_input_can_be_read_without_a_wait() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    assert!(!reactor.read_now(line));
-    far.write_all(b"a set-up").unwrap();
-    assert!(reactor.read_now(line));
-    assert_eq!(reactor.input(line), b"a set-up");
+    let (connection, mut remote) = pair(&mut reactor);
+    assert!(!reactor.read_now(connection));
+    remote.write_all(b"a set-up").unwrap();
+    assert!(reactor.read_now(connection));
+    assert_eq!(reactor.input(connection), b"a set-up");
 }
 
 #[test]
-fn signals_and_datagrams_are_told() {
+fn signals_and_datagrams_are_reported() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (here, at) = reactor.datagrams(anywhere()).unwrap();
     assert!(reactor.send_to(here, at, b"to myself"));
@@ -194,11 +199,11 @@
 }
 
 #[test]
-fn thousands_of_lines_are_held_at_once() {
+fn thousands_of_connections_stay_open_at_once() {
     assert!(crate::raise_descriptors() > 4100, "this test holds 4,000 connections");
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
-    let mut held = 0;
+    let mut open_connections = 0;
     for _ in 0..40 {
         let more: Vec<Line> =
             (0..50).map(|_| reactor.connect(at, Duration::from_secs(5), SMALL).unwrap()).collect();
@@ -207,45 +212,45 @@
             left -= usize::from(matches!(it, Happening::Accepted { .. } | Happening::Opened(_)));
             (left == 0).then_some(())
         });
-        held += 2 * more.len();
+        open_connections += 2 * more.len();
     }
-    assert_eq!(reactor.connections(), held);
+    assert_eq!(reactor.connections(), open_connections);
 }
 
-/// Found by reading: an end that stood right behind a request was told a wake later, and what was begun for the request
-/// between was begun for one who had gone.
+/// Guards against reporting a close right behind a request one wait later: work for the request would be
+/// started although the peer has gone.
 #[test]
-fn an_end_behind_the_last_bytes_is_told_in_the_same_wait() {
+fn a_close_behind_the_last_bytes_is_reported_in_the_same_wait() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (line, mut far) = pair(&mut reactor);
-    far.write_all(&[7; 300]).unwrap();
-    drop(far);
-    // Both are in the kernel before the wait, as they are where the process had no processor meanwhile.
+    let (connection, mut remote) = pair(&mut reactor);
+    remote.write_all(&[7; 300]).unwrap();
+    drop(remote);
+    // Both are in the kernel before the wait, as when the process had no processor time meanwhile.
     std::thread::sleep(Duration::from_millis(50));
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     let end = reactor.clock() + Duration::from_secs(5);
-    reactor.wait(Some(end), &mut told).unwrap();
+    reactor.wait(Some(end), &mut events).unwrap();
     assert!(
-        matches!(told[..], [Happening::Readable(a), Happening::Closed(b, Closing::ByPeer)] if a == line && b == line),
-        "{told:?}"
+        matches!(events[..], [Happening::Readable(a), Happening::Closed(b, Closing::ByPeer)] if a == connection && b == connection),
+        "{events:?}"
     );
-    assert_eq!(reactor.input(line).len(), 300, "what came before it is there");
+    assert_eq!(reactor.input(connection).len(), 300, "the input before the close is available");
 }
 
-/// Found by reading: connections that are taken in one wait hold descriptors before their program has said which may stay.
+/// Connections accepted in one wait use descriptors before the program has decided which may stay.
 #[test]
-fn no_more_connections_are_taken_in_one_wait_than_there_is_room_for() {
+fn the_connections_accepted_per_wait_are_limited() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
     reactor.accept_at_once(3);
-    let far: Vec<_> = (0..10).map(|_| TcpStream::connect(at).unwrap()).collect();
-    let (mut all, mut told) = (0, Vec::new());
+    let remote: Vec<_> = (0..10).map(|_| TcpStream::connect(at).unwrap()).collect();
+    let (mut all, mut events) = (0, Vec::new());
     let end = reactor.clock() + Duration::from_secs(5);
-    while all < far.len() && reactor.clock() < end {
-        reactor.wait(Some(end), &mut told).unwrap();
-        let taken = told.drain(..).filter(|it| matches!(it, Happening::Accepted { .. })).count();
+    while all < remote.len() && reactor.clock() < end {
+        reactor.wait(Some(end), &mut events).unwrap();
+        let taken = events.drain(..).filter(|it| matches!(it, Happening::Accepted { .. })).count();
         assert!(taken <= 3, "{taken} in one wait");
         all += taken;
     }
-    assert_eq!(all, far.len(), "the others wait in the queue");
+    assert_eq!(all, remote.len(), "the others wait in the queue");
 }
