--- a/crates/witness/src/lib.rs
+++ b/crates/witness/src/lib.rs
@@ -1,11 +1,11 @@
-//! Judges the six rules from the bytes at viewers' and streamers' ends and from what the list service sent, never
-//! from what a controller says of itself.
+//! Checks the six rules from the messages that viewers, streamers and the list service see, never from what a
+//! controller reports about itself.
 //!
-//! Those who hold these ends call a method for each thing they saw, in the order they saw it; [`Witness::verdict`]
-//! then says of each rule how often it was put to the test and how often it was broken, with the first examples.
-//! What a killed or stopped controller held is no longer its duty.
+//! The test doubles for these parties report each event in order; [`RuleChecker::results`] then returns for
+//! each rule how often it was checked and violated, with the first examples. A killed or stopped controller
+//! is not responsible for the requests that it held.
 
-mod cold;
+mod cold_streamer;
 #[cfg(test)]
 mod tests;
 
@@ -15,9 +15,9 @@
 use badgerledge_core::interface::StreamerId;
 use badgerledge_deployment::Shared;
 
-use cold::Cold;
+use cold_streamer::ColdStreamer;
 
-/// The rules, in the order of the brief.
+/// The six rules, in order of their numbers.
 pub const RULES: [&str; 6] = [
     "one answer before the client timeout",
     "never two joins out, unsafe room types never set up twice",
@@ -27,391 +27,423 @@
     "further joins stay within their budget",
 ];
 
-/// What was seen of one rule.
+/// The result for one rule.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Judged {
     pub tested: u64,
     pub broken: u64,
-    /// The first few breaches.
+    /// Descriptions of the first few violations.
     pub examples: Vec<String>,
 }
 
-/// Breaches that are told in words; the rest is counted.
-const EXAMPLES: usize = 5;
-/// What passes between a word's way out at the list service and its way in at a controller, and between a SETUP's
-/// way out and in: loopback, but on a busy machine.
-const ON_THE_WAY: Duration = Duration::from_millis(100);
+/// Violations that are described; further ones are only counted.
+const MAX_EXAMPLES: usize = 5;
+/// Upper bound for the transit of a list update from the list service to a controller, and of a SETUP from a
+/// controller to a streamer: loopback, but on a busy machine.
+const MAX_TRANSIT: Duration = Duration::from_millis(100);
 
-/// A viewer's request, on one of its connections.
+/// A viewer's request on one of its connections.
 #[derive(Debug)]
-struct Ask {
+struct Request {
     viewer: u64,
     title: u64,
     room_type: usize,
     controller: u32,
-    at: Duration,
+    sent_at: Duration,
     client_timeout: Duration,
     answers: u32,
+    /// Its controller was killed or stopped, or its viewer abandoned it: it needs no answer.
     excused: bool,
-    /// The process that it was sent to is dead: nobody knows of it any more.
+    /// The process that it was sent to has ended, so nobody knows of it any more.
     void: bool,
-    /// The subscription that it asks for: a retry while the first try is out asks for the same.
+    /// The subscription it belongs to: a retry during the first try belongs to the same one.
     subscription: u64,
 }
 
-/// What was seen of one subscription, over its tries.
+/// Joins of one subscription, over all of its requests.
 #[derive(Debug, Default)]
 struct Subscription {
-    /// SETUPs at streamers for it that were not proven never to have run.
-    ran: u32,
-    /// All SETUPs at streamers for it.
+    /// SETUPs at streamers that are not proven to have never run.
+    possibly_ran: u32,
+    /// All SETUPs at streamers.
     joins: u32,
 }
 
-/// A SETUP at a streamer.
+/// An outstanding SETUP at a streamer.
 #[derive(Debug)]
-struct Out {
+struct OutstandingJoin {
     viewer: u64,
     title: u64,
     room_type: usize,
     controller: Option<u32>,
-    ask: Option<u64>,
+    request: Option<u64>,
 }
 
-/// What was seen of one controller since its start.
+/// State of one controller since its start.
 #[derive(Debug, Default)]
-struct Seen {
-    asks: VecDeque<Duration>,
-    further: VecDeque<Duration>,
-    /// Streamers that it was told are off, since when.
-    off: BTreeMap<StreamerId, Duration>,
-    /// Seats taken by title and room type.
+struct ControllerState {
+    requests: VecDeque<Duration>,
+    further_joins: VecDeque<Duration>,
+    /// Streamers that the controller was told are draining or gone, and since when.
+    unavailable: BTreeMap<StreamerId, Duration>,
+    /// Seats in use by title and room type.
     seats: BTreeMap<(u64, usize), u32>,
-    up: bool,
+    running: bool,
 }
 
+/// Follows the events of a run and checks the rules.
 pub struct Witness {
     shared: Shared,
     rules: [Judged; 6],
-    asks: BTreeMap<u64, Ask>,
+    requests: BTreeMap<u64, Request>,
     subscriptions: BTreeMap<u64, Subscription>,
-    /// The newest ask of a viewer for a title.
-    newest: BTreeMap<(u64, u64), u64>,
-    outs: BTreeMap<u64, Out>,
-    /// Joins out by viewer and title.
-    out_of: BTreeMap<(u64, u64), u32>,
-    controllers: BTreeMap<u32, Seen>,
-    cold: BTreeMap<StreamerId, Cold>,
-    /// When the first and the last controller was told that a streamer is off.
-    told_off: BTreeMap<StreamerId, (Duration, Duration)>,
-    /// All set-ups at streamers: when, where, and the title.
+    /// The latest request of a viewer for a title.
+    latest_request: BTreeMap<(u64, u64), u64>,
+    outstanding_joins: BTreeMap<u64, OutstandingJoin>,
+    /// Outstanding joins by viewer and title.
+    outstanding_counts: BTreeMap<(u64, u64), u32>,
+    controllers: BTreeMap<u32, ControllerState>,
+    cold_streamers: BTreeMap<StreamerId, ColdStreamer>,
+    /// When the first and the last controller was told that a streamer is draining or gone.
+    unavailable_since: BTreeMap<StreamerId, (Duration, Duration)>,
+    /// All SETUPs at streamers: the time, the streamer and the title.
     set_ups: Vec<(Duration, StreamerId, u64)>,
 }
 
 impl Witness {
+    /// Creates a checker for these settings.
     pub fn new(shared: Shared) -> Self {
         Self {
             shared,
             rules: Default::default(),
-            asks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             subscriptions: BTreeMap::new(),
-            newest: BTreeMap::new(),
-            outs: BTreeMap::new(),
-            out_of: BTreeMap::new(),
+            latest_request: BTreeMap::new(),
+            outstanding_joins: BTreeMap::new(),
+            outstanding_counts: BTreeMap::new(),
             controllers: BTreeMap::new(),
-            cold: BTreeMap::new(),
-            told_off: BTreeMap::new(),
+            cold_streamers: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
             set_ups: Vec::new(),
         }
     }
 
-    /// For each streamer that is off in the end, how long one controller was told so and another was not.
+    /// For each streamer that is draining or gone at the end: how long after the first controller the last
+    /// one was told.
     pub fn contradicting_lists(&self) -> Vec<Duration> {
-        self.told_off.values().map(|(first, last)| *last - *first).collect()
+        self.unavailable_since.values().map(|(first, last)| *last - *first).collect()
     }
 
-    /// All set-ups that came to streamers: when, where, and the title.
+    /// All SETUPs at streamers: the time, the streamer and the title.
     pub fn set_ups(&self) -> &[(Duration, StreamerId, u64)] {
         &self.set_ups
     }
 
-    fn tested(&mut self, rule: usize) {
+    fn count_check(&mut self, rule: usize) {
         self.rules[rule - 1].tested += 1;
     }
 
-    fn broken(&mut self, rule: usize, why: impl FnOnce() -> String) {
-        let judged = &mut self.rules[rule - 1];
-        judged.broken += 1;
-        if judged.examples.len() < EXAMPLES {
-            judged.examples.push(why());
+    fn report_violation(&mut self, rule: usize, describe: impl FnOnce() -> String) {
+        let result = &mut self.rules[rule - 1];
+        result.broken += 1;
+        if result.examples.len() < MAX_EXAMPLES {
+            result.examples.push(describe());
         }
     }
 
-    /// A controller process runs from now on; what was seen of an earlier one is void.
+    /// A controller process has started; requests held by an earlier one are void.
     pub fn controller_up(&mut self, controller: u32) {
-        let held = self.asks.values_mut().filter(|ask| ask.controller == controller && ask.answers == 0);
-        held.for_each(|ask| (ask.excused, ask.void) = (true, true));
-        self.controllers.insert(controller, Seen { up: true, ..Seen::default() });
+        let held_requests = self
+            .requests
+            .values_mut()
+            .filter(|request| request.controller == controller && request.answers == 0);
+        held_requests.for_each(|request| (request.excused, request.void) = (true, true));
+        self.controllers.insert(controller, ControllerState { running: true, ..ControllerState::default() });
     }
 
-    /// A controller was killed, or stopped for a while: the requests that it holds are not its duty any more.
+    /// A controller was killed or stopped: it is no longer responsible for the requests that it holds.
     pub fn controller_down(&mut self, controller: u32) {
-        if let Some(seen) = self.controllers.get_mut(&controller) {
-            seen.up = false;
+        if let Some(state) = self.controllers.get_mut(&controller) {
+            state.running = false;
         }
-        let held = self.asks.values_mut().filter(|ask| ask.controller == controller && ask.answers == 0);
-        held.for_each(|ask| ask.excused = true);
+        let held_requests = self
+            .requests
+            .values_mut()
+            .filter(|request| request.controller == controller && request.answers == 0);
+        held_requests.for_each(|request| request.excused = true);
     }
 
-    /// A stopped controller goes on, with all that it knew.
+    /// A stopped controller continues with its state.
     pub fn controller_goes_on(&mut self, controller: u32) {
-        self.controllers.entry(controller).or_default().up = true;
+        self.controllers.entry(controller).or_default().running = true;
     }
 
-    /// A viewer sent SETUP to a controller. `ask` numbers the viewer's requests.
+    /// A viewer sent SETUP to a controller. `id` numbers the requests of all viewers.
     #[allow(clippy::too_many_arguments)]
     pub fn asked(
-        &mut self, now: Duration, ask: u64, controller: u32, viewer: u64, title: u64, room_type: usize,
+        &mut self, now: Duration, id: u64, controller: u32, viewer: u64, title: u64, room_type: usize,
         client_timeout: Duration,
     ) {
-        let seen = self.controllers.entry(controller).or_default();
-        seen.asks.push_back(now);
-        let excused = !seen.up;
-        let first = self.newest.get(&(viewer, title)).and_then(|first| self.asks.get(first));
-        let first = first.filter(|first| first.answers == 0 && first.controller == controller && !first.void);
-        let subscription = first.map_or(ask, |first| first.subscription);
+        let state = self.controllers.entry(controller).or_default();
+        state.requests.push_back(now);
+        let excused = !state.running;
+        let previous =
+            self.latest_request.get(&(viewer, title)).and_then(|previous| self.requests.get(previous));
+        let previous = previous
+            .filter(|previous| previous.answers == 0 && previous.controller == controller && !previous.void);
+        let subscription = previous.map_or(id, |previous| previous.subscription);
         self.subscriptions.entry(subscription).or_default();
-        let (at, answers) = (now, 0);
-        let made = Ask {
+        let (sent_at, answers) = (now, 0);
+        let request = Request {
             viewer,
             title,
             room_type,
             controller,
-            at,
+            sent_at,
             client_timeout,
             answers,
             excused,
             void: false,
             subscription,
         };
-        self.asks.insert(ask, made);
-        self.newest.insert((viewer, title), ask);
+        self.requests.insert(id, request);
+        self.latest_request.insert((viewer, title), id);
     }
 
-    /// A final answer to a SETUP came to its viewer: the status.
-    pub fn answered(&mut self, now: Duration, ask: u64, status: u16) {
-        let Some(asked) = self.asks.get_mut(&ask) else { return };
-        asked.answers += 1;
-        let (answers, took, most) = (asked.answers, now - asked.at, asked.client_timeout);
-        let (excused, room_type, viewer) = (asked.excused, asked.room_type, asked.viewer);
-        let ran = self.subscriptions.get(&asked.subscription).map_or(0, |subscription| subscription.ran);
-        self.tested(1);
+    /// A viewer received the final answer to a SETUP, with this status.
+    pub fn answered(&mut self, now: Duration, id: u64, status: u16) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.answers += 1;
+        let (answers, took, max) = (request.answers, now - request.sent_at, request.client_timeout);
+        let (excused, room_type, viewer) = (request.excused, request.room_type, request.viewer);
+        let possibly_ran =
+            self.subscriptions.get(&request.subscription).map_or(0, |subscription| subscription.possibly_ran);
+        self.count_check(1);
         if answers > 1 {
-            self.broken(1, || format!("ask {ask} has {answers} answers"));
+            self.report_violation(1, || format!("request {id} has {answers} answers"));
         }
-        if took > most && !excused {
-            self.broken(1, || format!("ask {ask} was answered after {took:?}, over its {most:?}"));
+        if took > max && !excused {
+            self.report_violation(1, || {
+                format!("request {id} was answered after {took:?}, later than its timeout of {max:?}")
+            });
         }
-        if status == 503 && self.is_unsafe(room_type) && ran > 0 {
-            self.broken(2, || {
+        if status == 503 && self.is_unsafe(room_type) && possibly_ran > 0 {
+            self.report_violation(2, || {
                 format!("viewer {viewer:x} of an unsafe room type was throttled after a join that may have run, at {now:?}")
             });
         }
     }
 
-    /// A viewer gave a request up by itself before its time.
-    pub fn gave_up(&mut self, ask: u64) {
-        if let Some(asked) = self.asks.get_mut(&ask) {
-            asked.excused = true;
+    /// A viewer abandoned a request before its timeout.
+    pub fn gave_up(&mut self, id: u64) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.excused = true;
         }
     }
 
-    /// The viewer's time is over: without an answer the rule is broken.
-    pub fn timed_out(&mut self, ask: u64) {
-        let Some(asked) = self.asks.get(&ask).filter(|asked| !asked.excused && asked.answers == 0) else {
+    /// A request has reached its client timeout: without an answer the rule is violated.
+    pub fn timed_out(&mut self, id: u64) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.excused && request.answers == 0)
+        else {
             return;
         };
-        let (viewer, title, controller) = (asked.viewer, asked.title, asked.controller);
-        self.tested(1);
-        self.broken(1, || {
+        let (viewer, title, controller) = (request.viewer, request.title, request.controller);
+        self.count_check(1);
+        self.report_violation(1, || {
             format!(
-                "ask {ask} of viewer {viewer:x} for title {title:x} at controller {controller} had no answer"
+                "request {id} of viewer {viewer:x} for title {title:x} at controller {controller} had no answer"
             )
         });
     }
 
     fn is_unsafe(&self, room_type: usize) -> bool {
-        self.shared.room_types.get(room_type).is_some_and(|(_, told)| told.set_up_again == "single_shot")
+        self.shared
+            .room_types
+            .get(room_type)
+            .is_some_and(|(_, room_type)| room_type.set_up_again == "single_shot")
     }
 
-    /// The list service sent a controller what it says of a streamer.
-    pub fn told(&mut self, now: Duration, controller: u32, streamer: StreamerId, off: bool) {
-        let seen = self.controllers.entry(controller).or_default();
-        if off {
-            if !seen.off.contains_key(&streamer) {
-                self.told_off.entry(streamer).or_insert((now, now)).1 = now;
+    /// The list service reported the state of a streamer to a controller.
+    pub fn told(&mut self, now: Duration, controller: u32, streamer: StreamerId, unavailable: bool) {
+        let state = self.controllers.entry(controller).or_default();
+        if unavailable {
+            if !state.unavailable.contains_key(&streamer) {
+                self.unavailable_since.entry(streamer).or_insert((now, now)).1 = now;
             }
-            seen.off.entry(streamer).or_insert(now);
+            state.unavailable.entry(streamer).or_insert(now);
         } else {
-            self.told_off.remove(&streamer);
-            seen.off.remove(&streamer);
+            self.unavailable_since.remove(&streamer);
+            state.unavailable.remove(&streamer);
         }
     }
 
-    /// A streamer's process started, cold, with so many places.
-    pub fn started(&mut self, now: Duration, streamer: StreamerId, places: f64) {
-        let cold = Cold::new(now, places, &self.shared.rules);
-        self.cold.insert(streamer, cold);
+    /// A streamer process started, cold, with this capacity in sessions.
+    pub fn started(&mut self, now: Duration, streamer: StreamerId, capacity: f64) {
+        let cold = ColdStreamer::new(now, capacity, &self.shared.rules);
+        self.cold_streamers.insert(streamer, cold);
     }
 
-    /// SETUP came to a streamer, on a connection that `join` numbers. Tells whether it fell over by it.
+    /// A streamer received SETUP on a connection that `join` numbers. Returns whether this overloaded it.
     #[allow(clippy::too_many_arguments)]
     pub fn set_up(
         &mut self, now: Duration, join: u64, streamer: StreamerId, viewer: u64, title: u64, room_type: usize,
         rung: u8,
     ) -> bool {
         self.set_ups.push((now, streamer, title));
-        let ask = self.newest.get(&(viewer, title)).copied();
-        let controller = ask.and_then(|ask| self.asks.get(&ask)).map(|ask| ask.controller);
-        self.outs.insert(join, Out { viewer, title, room_type, controller, ask });
-        self.check_out(viewer, title);
-        if let Some(ask) = ask {
-            self.check_ask(now, ask);
+        let request = self.latest_request.get(&(viewer, title)).copied();
+        let controller =
+            request.and_then(|request| self.requests.get(&request)).map(|request| request.controller);
+        self.outstanding_joins
+            .insert(join, OutstandingJoin { viewer, title, room_type, controller, request });
+        self.check_outstanding(viewer, title);
+        if let Some(request) = request {
+            self.check_request(now, request);
         }
         if let Some(controller) = controller {
-            self.check_drain(now, controller, streamer);
+            self.check_unavailable(now, controller, streamer);
             self.check_seats(controller, title, room_type);
         }
         self.check_floor(room_type, rung);
-        let Some(cold) = self.cold.get_mut(&streamer).filter(|cold| cold.counts(now)) else { return false };
-        let fell = cold.take(now);
-        self.tested(4);
-        if fell {
-            self.broken(4, || format!("{streamer} fell over while cold, at {now:?}"));
+        let Some(cold) = self.cold_streamers.get_mut(&streamer).filter(|cold| cold.is_warming_up(now)) else {
+            return false;
+        };
+        let overloaded = cold.record_set_up(now);
+        self.count_check(4);
+        if overloaded {
+            self.report_violation(4, || format!("{streamer} fell over while cold, at {now:?}"));
         }
-        fell
+        overloaded
     }
 
-    /// Rule 2, its second half: one join out for a viewer and title.
-    fn check_out(&mut self, viewer: u64, title: u64) {
-        let out = self.out_of.entry((viewer, title)).or_default();
-        *out += 1;
-        let out = *out;
-        self.tested(2);
-        if out > 1 {
-            self.broken(2, || format!("viewer {viewer:x} has {out} joins out for title {title:x}"));
+    /// Rule 2, second half: one outstanding join for each viewer and title.
+    fn check_outstanding(&mut self, viewer: u64, title: u64) {
+        let count = self.outstanding_counts.entry((viewer, title)).or_default();
+        *count += 1;
+        let count = *count;
+        self.count_check(2);
+        if count > 1 {
+            self.report_violation(2, || {
+                format!("viewer {viewer:x} has {count} joins out for title {title:x}")
+            });
         }
     }
 
-    /// Rules 2 and 6 of a request: what has run before, and the budget of further joins.
-    fn check_ask(&mut self, now: Duration, ask: u64) {
-        let Some(asked) = self.asks.get(&ask) else { return };
-        let (room_type, controller, viewer) = (asked.room_type, asked.controller, asked.viewer);
-        let Some(subscription) = self.subscriptions.get_mut(&asked.subscription) else { return };
-        subscription.ran += 1;
+    /// Rules 2 and 6: earlier joins of the same subscription, and the budget for further joins.
+    fn check_request(&mut self, now: Duration, id: u64) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let (room_type, controller, viewer) = (request.room_type, request.controller, request.viewer);
+        let Some(subscription) = self.subscriptions.get_mut(&request.subscription) else { return };
+        subscription.possibly_ran += 1;
         subscription.joins += 1;
-        let (ran, joins) = (subscription.ran, subscription.joins);
-        if self.is_unsafe(room_type) && ran > 1 {
-            self.broken(2, || {
-                format!("viewer {viewer:x} of an unsafe room type was set up {ran} times, at {now:?}")
+        let (possibly_ran, joins) = (subscription.possibly_ran, subscription.joins);
+        if self.is_unsafe(room_type) && possibly_ran > 1 {
+            self.report_violation(2, || {
+                format!(
+                    "viewer {viewer:x} of an unsafe room type was set up {possibly_ran} times, at {now:?}"
+                )
             });
         }
-        let span = Duration::from_millis(self.shared.rules.budget_window_ms);
-        if joins < 2 || span.is_zero() {
+        let window = Duration::from_millis(self.shared.rules.budget_window_ms);
+        if joins < 2 || window.is_zero() {
             return;
         }
-        let seen = self.controllers.entry(controller).or_default();
-        seen.further.push_back(now);
-        // The edges of a window are seen here a little later than there.
-        seen.further.retain(|at| *at + span > now + ON_THE_WAY);
-        seen.asks.retain(|at| *at + span + ON_THE_WAY > now);
-        let (further, taken) = (seen.further.len() as f64, seen.asks.len() as f64);
-        let most = f64::from(self.shared.rules.budget_few) + self.shared.rules.budget_share * taken;
-        self.tested(6);
-        if further > most {
-            self.broken(6, || format!("controller {controller}: {further} further joins, {most:.1} at most"));
+        let state = self.controllers.entry(controller).or_default();
+        state.further_joins.push_back(now);
+        // The controller sees the edges of its window up to the transit time earlier.
+        state.further_joins.retain(|at| *at + window > now + MAX_TRANSIT);
+        state.requests.retain(|at| *at + window + MAX_TRANSIT > now);
+        let (further_joins, requests) = (state.further_joins.len() as f64, state.requests.len() as f64);
+        let max = f64::from(self.shared.rules.budget_few) + self.shared.rules.budget_share * requests;
+        self.count_check(6);
+        if further_joins > max {
+            self.report_violation(6, || {
+                format!("controller {controller}: {further_joins} further joins, at most {max:.1} allowed")
+            });
         }
     }
 
-    fn check_drain(&mut self, now: Duration, controller: u32, streamer: StreamerId) {
-        let grace = Duration::from_millis(self.shared.rules.drain_grace_ms) + ON_THE_WAY;
-        let Some(seen) = self.controllers.get(&controller) else { return };
-        let since = seen.off.get(&streamer).copied();
-        // Each join is a test once the controller was told of any streamer that is off.
-        if !seen.off.is_empty() {
-            self.tested(3);
+    fn check_unavailable(&mut self, now: Duration, controller: u32, streamer: StreamerId) {
+        let grace = Duration::from_millis(self.shared.rules.drain_grace_ms) + MAX_TRANSIT;
+        let Some(state) = self.controllers.get(&controller) else { return };
+        let since = state.unavailable.get(&streamer).copied();
+        // Each join counts as a check once the controller knows of a streamer that is draining or gone.
+        if !state.unavailable.is_empty() {
+            self.count_check(3);
         }
         if let Some(since) = since.filter(|since| *since + grace < now) {
-            let late = now - since;
-            self.broken(3, || {
-                format!("controller {controller}: SETUP to {streamer}, off for it since {late:?}")
+            let late_by = now - since;
+            self.report_violation(3, || {
+                format!("controller {controller}: SETUP to {streamer}, off for it since {late_by:?}")
             });
         }
     }
 
     fn check_seats(&mut self, controller: u32, title: u64, room_type: usize) {
-        let most = self.shared.room_types.get(room_type).map_or(0, |(_, told)| told.seats);
+        let max = self.shared.room_types.get(room_type).map_or(0, |(_, room_type)| room_type.seats);
         let seats =
             self.controllers.entry(controller).or_default().seats.entry((title, room_type)).or_default();
         *seats += 1;
-        let taken = *seats;
-        if most == 0 {
+        let seats = *seats;
+        if max == 0 {
             return;
         }
-        self.tested(5);
-        if taken > most {
-            self.broken(5, || {
-                format!("controller {controller}: {taken} seats of {most} for title {title:x}")
+        self.count_check(5);
+        if seats > max {
+            self.report_violation(5, || {
+                format!("controller {controller}: {seats} seats of {max} for title {title:x}")
             });
         }
     }
 
-    /// A rung was set, by SETUP or SET_PARAMETER.
+    /// Checks the rung set by a SETUP or SET_PARAMETER.
     pub fn check_floor(&mut self, room_type: usize, rung: u8) {
-        let Some((name, told)) = self.shared.room_types.get(room_type) else { return };
-        let (name, floor) = (name.clone(), told.floor);
+        let Some((name, room_type)) = self.shared.room_types.get(room_type) else { return };
+        let (name, floor) = (name.clone(), room_type.floor);
         if floor == 0 {
             return;
         }
-        self.tested(5);
+        self.count_check(5);
         if rung < floor {
-            self.broken(5, || format!("room type {name} at rung {rung}, under its floor {floor}"));
+            self.report_violation(5, || format!("room type {name} at rung {rung}, under its floor {floor}"));
         }
     }
 
-    /// The rung of a join that plays was set.
+    /// The rung of a playing join was changed.
     pub fn stepped(&mut self, join: u64, rung: u8) {
-        if let Some(out) = self.outs.get(&join) {
-            self.check_floor(out.room_type, rung);
+        if let Some(outstanding) = self.outstanding_joins.get(&join) {
+            self.check_floor(outstanding.room_type, rung);
         }
     }
 
-    /// The streamer turned a SETUP away unseen: it never ran.
+    /// A streamer rejected a SETUP before setting anything up: it never ran.
     pub fn turned_away(&mut self, join: u64) {
-        let ask = self.outs.get(&join).and_then(|out| out.ask).and_then(|ask| self.asks.get(&ask));
-        let subscription = ask.and_then(|ask| self.subscriptions.get_mut(&ask.subscription));
+        let request = self.outstanding_joins.get(&join).and_then(|outstanding| outstanding.request);
+        let request = request.and_then(|request| self.requests.get(&request));
+        let subscription = request.and_then(|request| self.subscriptions.get_mut(&request.subscription));
         if let Some(subscription) = subscription {
-            subscription.ran = subscription.ran.saturating_sub(1);
+            subscription.possibly_ran = subscription.possibly_ran.saturating_sub(1);
         }
         self.join_over(join);
     }
 
-    /// A join's connection has ended at the streamer, or the streamer with it.
+    /// The connection of a join has closed at its streamer, or the streamer has ended.
     pub fn join_over(&mut self, join: u64) {
-        let Some(out) = self.outs.remove(&join) else { return };
-        if let Some(count) = self.out_of.get_mut(&(out.viewer, out.title)) {
+        let Some(outstanding) = self.outstanding_joins.remove(&join) else { return };
+        if let Some(count) = self.outstanding_counts.get_mut(&(outstanding.viewer, outstanding.title)) {
             *count = count.saturating_sub(1);
             if *count == 0 {
-                self.out_of.remove(&(out.viewer, out.title));
+                self.outstanding_counts.remove(&(outstanding.viewer, outstanding.title));
             }
         }
-        let seen = out.controller.and_then(|controller| self.controllers.get_mut(&controller));
-        if let Some(seats) = seen.and_then(|seen| seen.seats.get_mut(&(out.title, out.room_type))) {
+        let state = outstanding.controller.and_then(|controller| self.controllers.get_mut(&controller));
+        if let Some(seats) =
+            state.and_then(|state| state.seats.get_mut(&(outstanding.title, outstanding.room_type)))
+        {
             *seats = seats.saturating_sub(1);
         }
     }
 
-    /// Of each rule, what was seen.
+    /// Returns the result for each rule.
     pub fn verdict(&self) -> [Judged; 6] {
         self.rules.clone()
     }
