--- a/crates/exchange/src/decision_executor.rs
+++ b/crates/exchange/src/decision_executor.rs
@@ -146,10 +146,9 @@
 
     fn shed(&mut self, job: JobId, cool_down: Duration) {
         if let Some(subscription) = self.book.get(job) {
-            let cool_down_ms = cool_down.as_millis() as u64;
             subscription
                 .span
-                .in_scope(|| tracing::info!(target: "badgerledge_exchange::desk", cool_down_ms, "throttled"));
+                .in_scope(|| tracing::info!(target: "badgerledge_exchange::desk", cool_down_ms = cool_down.as_millis() as u64, "throttled"));
         }
         self.answer(job, |carrier, connection| carrier.throttle(connection, cool_down));
     }
--- a/crates/names/src/tests.rs
+++ b/crates/names/src/tests.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn arbitrary_bytes_do_not_panic() {
+fn corrupted_answers_do_not_panic_and_noise_is_rejected() {
     fn holds(at: usize, byte: u8, noise: Vec<u8>) -> bool {
         let mut corrupted = bytes(&packet(7, 9, &[(5, 11, 0)]));
         let at = at % corrupted.len();
--- a/crates/platform/src/streamer_pool.rs
+++ b/crates/platform/src/streamer_pool.rs
@@ -128,15 +128,19 @@
         let unchanged = self.streamers.get(&streamer).is_some_and(|state| state.address == address);
         if !unchanged {
             self.close_all(streamer, now, reactor);
-            let state = StreamerState {
-                address,
-                listed: true,
-                connection_ids: Vec::new(),
-                last_received_at: now,
-                failed_attempts: 0,
-                queued_messages: VecDeque::new(),
-            };
-            self.streamers.insert(streamer, state);
+            let connection_ids = Vec::new();
+            let queued_messages = VecDeque::new();
+            self.streamers.insert(
+                streamer,
+                StreamerState {
+                    address,
+                    listed: true,
+                    connection_ids,
+                    last_received_at: now,
+                    failed_attempts: 0,
+                    queued_messages,
+                },
+            );
         }
         // A removed streamer at the same address cannot be reached any more.
         let removed = self
--- a/crates/platform/src/viewer_pool.rs
+++ b/crates/platform/src/viewer_pool.rs
@@ -241,10 +241,9 @@
             let mut others = others.into_iter().rev().map(|(_, connection)| connection);
             others.find(|connection| self.answer(*connection, &message, reactor))
         });
-        let session = format_args!("{wire_id:016x}");
         tracing::trace!(
             target: "badgerledge_platform::front",
-            wire_id = session,
+            wire_id = format_args!("{wire_id:016x}"),
             own = connection,
             sent = ?sent_on,
             "release sent or queued"
--- a/crates/witness/src/lib.rs
+++ b/crates/witness/src/lib.rs
@@ -417,8 +417,11 @@
 
     /// A streamer rejected a SETUP before setting anything up: it never ran.
     pub fn turned_away(&mut self, join: u64) {
-        let request = self.outstanding_joins.get(&join).and_then(|outstanding| outstanding.request);
-        let request = request.and_then(|request| self.requests.get(&request));
+        let request = self
+            .outstanding_joins
+            .get(&join)
+            .and_then(|outstanding| outstanding.request)
+            .and_then(|request| self.requests.get(&request));
         let subscription = request.and_then(|request| self.subscriptions.get_mut(&request.subscription));
         if let Some(subscription) = subscription {
             subscription.possibly_ran = subscription.possibly_ran.saturating_sub(1);
