--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -10,15 +10,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
     pub name: String,
+    /// The address for viewers.
     pub listen: SocketAddrV4,
+    /// The address of the name service.
     pub name_service: SocketAddrV4,
+    /// The address for datagrams of other controllers.
     pub peer_listen: Option<SocketAddrV4>,
+    /// The addresses of the other controllers, in the order of their numbers.
     pub peers: Vec<SocketAddrV4>,
     /// The address that reaches all other controllers.
     pub peers_broadcast: Option<SocketAddrV4>,
     pub seed: u64,
     /// Limit on open file descriptors.
     pub max_sockets: usize,
+    /// Memory limit in megabytes.
     pub memory_mb: usize,
     /// Events of the streamer list up to the start.
     pub known_events: Value,
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -14,6 +14,7 @@
 /// How long a streamer may take to end a moved session before it is told to.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
 
+/// Implements the decision module's [`Writer`] on the session store and the transport.
 pub struct Dispatcher<'a, W> {
     pub now: Duration,
     pub store: &'a mut SessionStore,
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -97,6 +97,7 @@
     pub connection: Line,
     pub streamer: StreamerId,
     pub now: Duration,
+    /// Set if a line was malformed; the connection must then be closed.
     pub fault: Option<Fault>,
 }
 
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -22,11 +22,15 @@
     rungs: f64,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
+    /// The fields of a load report, in order.
     pub report_fields: Vec<String>,
+    /// Minimum interval between rounds.
     pub tick: Duration,
     pub connect_timeout: Duration,
     pub keepalive: Duration,
+    /// Maximum of joins that may share a connection.
     pub max_streams_per_connection: usize,
+    /// Maximum of joins for one session.
     pub max_joins: u16,
     /// Interval at which streamers send progress reports on a session.
     pub progress_interval: Duration,
@@ -37,6 +41,7 @@
 }
 
 impl PlatformSettings {
+    /// Reads the settings; missing ones get their default.
     pub fn new(settings: &Map<String, Value>) -> Self {
         let settings = Value::Object(settings.clone());
         let number = |path: &str, default: f64| {
--- a/crates/platform/src/serve/discovery.rs
+++ b/crates/platform/src/serve/discovery.rs
@@ -87,6 +87,7 @@
         self.publish(listing, entries);
     }
 
+    /// Passes list entries to the streamer pool and the decision module.
     fn publish(&mut self, listing: Listing, entries: Vec<ListEntry>) {
         let now = self.connections.now;
         let connections = &mut self.connections;
--- a/crates/platform/src/session_store.rs
+++ b/crates/platform/src/session_store.rs
@@ -16,11 +16,13 @@
 
 /// The fields that are sent to streamers until one has answered.
 pub struct OfferFields {
+    /// Index in [`PlatformSettings::room_types`].
     pub room_type: usize,
     pub title: String,
     pub description: String,
 }
 
+/// A viewer's request, from its set-up to its end.
 pub struct Session {
     /// The id used by viewers and streamers.
     pub wire_id: u64,
@@ -30,8 +32,10 @@
     pub received_at: Duration,
     /// When the viewer gives up, less the time that an answer takes to reach it.
     pub answer_by: Duration,
+    /// Until a streamer has answered.
     pub offer: Option<Box<OfferFields>>,
     pub rung: Option<u8>,
+    /// The number of joins sent so far.
     pub joins: u16,
     pub join_sent_at: Duration,
     pub phase: Phase,
@@ -61,20 +65,24 @@
     /// Sessions without an answer, by the viewer's connection.
     pub pending_by_connection: BTreeMap<Line, BTreeSet<JobId>>,
     /// Sessions that play or are being moved away, by streamer.
-    pub playing_by_streamer: BTreeMap<StreamerId, BTreeSet<JobId>>,
+    pub by_streamer: BTreeMap<StreamerId, BTreeSet<JobId>>,
     pub timers: BTreeSet<(Duration, Timer)>,
     pub inputs: Vec<ModuleInput>,
+    /// The id of the next session.
     pub next_job: JobId,
+    /// The number of sessions without an answer.
     pub pending_count: usize,
     /// Set-ups whose connection closed before their answer.
     pub unanswered: UnansweredCounts,
 }
 
 impl SessionStore {
+    /// Returns a session.
     pub fn get(&self, job: JobId) -> Option<&Session> {
         self.sessions.get(&job)
     }
 
+    /// Returns a session for changes.
     pub fn get_mut(&mut self, job: JobId) -> Option<&mut Session> {
         self.sessions.get_mut(&job)
     }
@@ -85,14 +93,13 @@
         self.by_wire_id.get(&wire_id).copied()
     }
 
+    /// Adds a session, and returns its id.
     pub fn insert(&mut self, session: Session) -> JobId {
         let job = self.next_job;
         self.next_job = self.next_job.wrapping_add(1);
         self.by_wire_id.insert(session.wire_id, job);
         match session.phase {
-            Phase::Stands(streamer) => {
-                drop(self.playing_by_streamer.entry(streamer).or_default().insert(job))
-            }
+            Phase::Stands(streamer) => drop(self.by_streamer.entry(streamer).or_default().insert(job)),
             _ => {
                 self.pending_by_connection.entry(session.connection).or_default().insert(job);
                 self.pending_count += 1;
@@ -116,25 +123,27 @@
                 }
             }
             Phase::Stands(streamer) | Phase::Leaves(streamer) => {
-                if let Some(playing) = self.playing_by_streamer.get_mut(&streamer) {
+                if let Some(playing) = self.by_streamer.get_mut(&streamer) {
                     playing.remove(&job);
                     if playing.is_empty() {
-                        self.playing_by_streamer.remove(&streamer);
+                        self.by_streamer.remove(&streamer);
                     }
                 }
             }
         }
     }
 
+    /// Marks a session as playing at a streamer.
     pub fn set_playing(&mut self, job: JobId, streamer: StreamerId) {
         self.remove_from_index(job);
         let Some(session) = self.sessions.get_mut(&job) else { return };
         (session.phase, session.offer) = (Phase::Stands(streamer), None);
         let answer_deadline = (session.answer_by, Timer::AnswerDeadline(job));
-        self.playing_by_streamer.entry(streamer).or_default().insert(job);
+        self.by_streamer.entry(streamer).or_default().insert(job);
         self.timers.remove(&answer_deadline);
     }
 
+    /// Removes a session with its indexes and its answer deadline, and returns it.
     pub fn remove(&mut self, job: JobId) -> Option<Session> {
         self.remove_from_index(job);
         let session = self.sessions.remove(&job)?;
@@ -179,6 +188,7 @@
         );
     }
 
+    /// Parses a load report; empty if there is none or it is incomplete.
     pub fn parse_usage(&self, load: Option<&str>) -> Vec<f64> {
         load.map_or_else(Vec::new, |load| streamers::load(load, &self.settings.report_fields))
     }
--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -45,6 +45,7 @@
     SocketAddrV4::new(Ipv4Addr::from(bits), 0)
 }
 
+/// All sessions, and the decision module.
 pub struct SessionTable {
     module: Controller,
     pub store: SessionStore,
@@ -56,13 +57,14 @@
 }
 
 impl SessionTable {
+    /// Creates a table for these settings and this memory limit.
     pub fn new(module: Controller, settings: PlatformSettings, memory_mb: usize) -> Self {
         let store = SessionStore {
             settings,
             sessions: BTreeMap::new(),
             by_wire_id: BTreeMap::new(),
             pending_by_connection: BTreeMap::new(),
-            playing_by_streamer: BTreeMap::new(),
+            by_streamer: BTreeMap::new(),
             timers: BTreeSet::new(),
             inputs: Vec::new(),
             next_job: 1,
@@ -85,6 +87,7 @@
         self.store.sessions.len()
     }
 
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.store.sessions.is_empty()
     }
@@ -96,7 +99,7 @@
 
     /// The number of sessions that play at a streamer.
     pub fn playing_at(&self, streamer: StreamerId) -> usize {
-        self.store.playing_by_streamer.get(&streamer).map_or(0, BTreeSet::len)
+        self.store.by_streamer.get(&streamer).map_or(0, BTreeSet::len)
     }
 
     /// Whether that session plays at that streamer.
@@ -116,7 +119,7 @@
 
     /// The streamers with playing sessions.
     pub fn playing_streamers(&self) -> impl Iterator<Item = StreamerId> + '_ {
-        self.store.playing_by_streamer.keys().copied()
+        self.store.by_streamer.keys().copied()
     }
 
     /// Handles a viewer's set-up.
@@ -343,7 +346,7 @@
     pub fn streamer_lost(
         &mut self, now: Duration, streamer: StreamerId, before: Duration, transport: &mut impl Transport,
     ) {
-        for job in self.store.playing_by_streamer.get(&streamer).cloned().unwrap_or_default() {
+        for job in self.store.by_streamer.get(&streamer).cloned().unwrap_or_default() {
             let Some(session) = self.store.get(job).filter(|session| session.join_sent_at < before) else {
                 continue;
             };
@@ -380,6 +383,7 @@
         self.store.inputs.push(Box::new(move |module| module.echo(streamer, ending, latency, &usage)));
     }
 
+    /// Passes a message of another controller to the decision module.
     pub fn peer_message(&mut self, peer: u32, bytes: Vec<u8>) {
         self.store.inputs.push(Box::new(move |module| module.peer(peer, &bytes)));
     }
@@ -503,7 +507,9 @@
 pub struct ListEntry {
     pub id: StreamerId,
     pub address: SocketAddrV4,
+    /// Index in [`PlatformSettings::zones`].
     pub zone: u16,
+    /// Index in [`PlatformSettings::kinds`].
     pub kind: usize,
     pub cell: u32,
     pub health: Health,
--- a/crates/platform/src/streamer_pool.rs
+++ b/crates/platform/src/streamer_pool.rs
@@ -104,6 +104,7 @@
 }
 
 impl StreamerPool {
+    /// Creates an empty pool; `seed` is the first probe id.
     pub fn new(
         max_connections: usize, connect_timeout: Duration, keepalive: Duration,
         max_joins_per_connection: usize, progress_interval: Duration, seed: u64,
--- a/crates/platform/src/viewer_pool.rs
+++ b/crates/platform/src/viewer_pool.rs
@@ -99,6 +99,7 @@
 }
 
 impl ViewerPool {
+    /// Creates an empty pool with a limit on its connections.
     pub fn new(max_connections: usize) -> Self {
         Self {
             connections: BTreeMap::new(),
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -56,6 +56,7 @@
         Ok(id)
     }
 
+    /// The state of a connection.
     pub(super) fn connection(&self, id: Line) -> Option<&Connection> {
         match self.sources.get(&id) {
             Some(Source::Stream { connection, .. }) => Some(connection),
@@ -63,6 +64,7 @@
         }
     }
 
+    /// The state of a connection, for changes.
     pub(super) fn connection_mut(&mut self, id: Line) -> Option<&mut Connection> {
         match self.sources.get_mut(&id) {
             Some(Source::Stream { connection, .. }) => Some(connection),
--- a/crates/reactor/src/reactor/sockets.rs
+++ b/crates/reactor/src/reactor/sockets.rs
@@ -25,17 +25,22 @@
     pub(super) input: Buffer,
     pub(super) output: Buffer,
     pub(super) bounds: Bounds,
+    /// Not yet established.
     pub(super) connecting: bool,
+    /// Closes once its output is written.
     pub(super) closing_after_flush: bool,
+    /// Output was refused since the last [`Happening::Drained`](super::events::Happening::Drained).
     pub(super) output_was_full: bool,
     /// Interest registered with the poller: readable, writable.
     pub(super) interest: (bool, bool),
     /// Whether it is in the list of connections to flush.
     pub(super) dirty: bool,
+    /// Why it has ended.
     pub(super) ended: Option<Closing>,
 }
 
 impl Connection {
+    /// A connection that is established, or still connecting.
     pub(super) fn new(bounds: Bounds, connecting: bool) -> Self {
         Self {
             input: Buffer::default(),
