--- a/crates/exchange/src/decision_executor.rs
+++ b/crates/exchange/src/decision_executor.rs
@@ -31,8 +31,8 @@
     fn redirect(&mut self, viewer: Line);
     /// Tells a viewer that its stream has ended: sends BYE and closes the connection.
     fn farewell(&mut self, viewer: Line);
-    /// Reports the result of a join, which shows whether its streamer fails: `None` if it plays, otherwise how it
-    /// ended.
+    /// Reports the result of a join, which shows whether its streamer fails: `None` if it plays, otherwise
+    /// how it ended.
     fn came_to(&mut self, streamer: StreamerId, ending: Option<Ending>);
     /// Sets a reminder for the decision module.
     fn remind(&mut self, from_now: Duration, token: u64);
@@ -65,8 +65,8 @@
 pub(crate) enum PendingOutcome {
     /// The job, the number of its join, its streamer and the latency.
     Playing(JobId, u16, StreamerId, Duration),
-    /// The job, the number of its join, its streamer, how it ended, whether the subscription is over, the latency
-    /// and the load that the streamer reported.
+    /// The job, the number of its join, its streamer, how it ended, whether the subscription is over, the
+    /// latency and the load that the streamer reported.
     Ended(JobId, u16, StreamerId, Ending, bool, Duration, Vec<f64>),
 }
 
@@ -139,16 +139,28 @@
             return self.answer(job, |carrier, connection| carrier.throttle(connection, cool_down));
         }
         if let Some(subscription) = self.book.get(job) {
-            subscription.span.in_scope(|| tracing::debug!(target: "badgerledge_exchange::desk", %streamer, number, rung = subscription.rung, "join"));
+            subscription.span.in_scope(|| {
+                tracing::debug!(
+                    target: "badgerledge_exchange::desk",
+                    %streamer,
+                    number,
+                    rung = subscription.rung,
+                    "join"
+                )
+            });
         }
         self.carrier.open_join(job, number, streamer);
     }
 
     fn shed(&mut self, job: JobId, cool_down: Duration) {
         if let Some(subscription) = self.book.get(job) {
-            subscription
-                .span
-                .in_scope(|| tracing::info!(target: "badgerledge_exchange::desk", cool_down_ms = cool_down.as_millis() as u64, "throttled"));
+            subscription.span.in_scope(|| {
+                tracing::info!(
+                    target: "badgerledge_exchange::desk",
+                    cool_down_ms = cool_down.as_millis() as u64,
+                    "throttled"
+                )
+            });
         }
         self.answer(job, |carrier, connection| carrier.throttle(connection, cool_down));
     }
--- a/crates/exchange/src/event_handler.rs
+++ b/crates/exchange/src/event_handler.rs
@@ -73,7 +73,14 @@
         request.client_timeout = limits::client_timeout(request.client_timeout).saturating_sub(waited);
         let job = self.executor.book.open(connection, request, self.executor.now, answer_deadline);
         if let Some(subscription) = self.executor.book.get(job) {
-            subscription.span.in_scope(|| tracing::debug!(target: "badgerledge_exchange::floor", line = connection, moved = request.moved, "taken"));
+            subscription.span.in_scope(|| {
+                tracing::debug!(
+                    target: "badgerledge_exchange::floor",
+                    line = connection,
+                    moved = request.moved,
+                    "taken"
+                )
+            });
         }
         self.module.request(job, request);
     }
@@ -174,7 +181,12 @@
     fn answer_overdue(&mut self, job: JobId) {
         let Some(subscription) = self.executor.close(job) else { return };
         self.executor.remember_if_unsafe(&subscription.asked);
-        subscription.span.in_scope(|| tracing::warn!(target: "badgerledge_exchange::floor", "terminated: no decision before the answer deadline"));
+        subscription.span.in_scope(|| {
+            tracing::warn!(
+                target: "badgerledge_exchange::floor",
+                "terminated: no decision before the answer deadline"
+            )
+        });
         self.module.expired(job);
         if let Some(join) = &subscription.join {
             let latency = self.executor.now - join.sent;
--- a/crates/exchange/src/join_events.rs
+++ b/crates/exchange/src/join_events.rs
@@ -62,7 +62,16 @@
         let Some((viewer, abandoned)) = self.executor.book.play(job) else { return };
         if let Some(subscription) = self.executor.book.get(job) {
             let taken_ms = (self.executor.now - subscription.taken).as_millis() as u64;
-            subscription.span.in_scope(|| tracing::info!(target: "badgerledge_exchange::steps", %streamer, number, rung = subscription.rung, taken_ms, "plays"));
+            subscription.span.in_scope(|| {
+                tracing::info!(
+                    target: "badgerledge_exchange::steps",
+                    %streamer,
+                    number,
+                    rung = subscription.rung,
+                    taken_ms,
+                    "plays"
+                )
+            });
         }
         self.executor.pending_outcomes.push(PendingOutcome::Playing(job, number, streamer, latency));
         self.executor.carrier.grant(viewer, job);
@@ -85,7 +94,16 @@
         let over = join.flows();
         if let Some(subscription) = self.executor.book.get(job) {
             let streamer = join.streamer;
-            subscription.span.in_scope(|| tracing::info!(target: "badgerledge_exchange::steps", %streamer, number, ?ending, over, "join ended"));
+            subscription.span.in_scope(|| {
+                tracing::info!(
+                    target: "badgerledge_exchange::steps",
+                    %streamer,
+                    number,
+                    ?ending,
+                    over,
+                    "join ended"
+                )
+            });
         }
         if over {
             // The end of a started stream ends the subscription; its viewer sends a new SETUP by itself.
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -113,7 +113,11 @@
             // session is ended. A duplicate answer is ignored, and so is one that coincides with a further
             // join to the same streamer: ending that id would end the new join.
             None if !sessions.is_joining_or_playing_at(self.streamer, wire_id) => {
-                tracing::debug!(target: "badgerledge_platform::hearing", wire_id = format!("{wire_id:016x}"), "ending a session answered too late");
+                tracing::debug!(
+                    target: "badgerledge_platform::hearing",
+                    wire_id = format!("{wire_id:016x}"),
+                    "ending a session answered too late"
+                );
                 connections.reactor.send(self.connection, &[&streamers::end(wire_id, FAILED)]);
             }
             None => {}
@@ -149,7 +153,12 @@
             // The session was considered lost or was abandoned, but still plays at the streamer without a
             // viewer.
             Ok(false) => {
-                tracing::debug!(target: "badgerledge_platform::hearing", wire_id = format!("{wire_id:016x}"), note = kind, "ending an unknown session that reports progress");
+                tracing::debug!(
+                    target: "badgerledge_platform::hearing",
+                    wire_id = format!("{wire_id:016x}"),
+                    note = kind,
+                    "ending an unknown session that reports progress"
+                );
                 connections.reactor.send(self.connection, &[&streamers::end(wire_id, FAILED)]);
             }
             Err(fault) => self.fault = Some(fault),
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -38,7 +38,8 @@
 const RESERVED_DESCRIPTORS: usize = 15 + MAX_ACCEPTS_PER_WAIT + 1;
 /// Viewers still arrive for 0.6 s after SIGTERM, so the process serves at least this long.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(1500);
-/// All sessions are ended at the latest after this time, or after the longest client timeout if that is longer.
+/// All sessions are ended at the latest after this time, or after the longest client timeout if that is
+/// longer.
 const MAX_SHUTDOWN: Duration = Duration::from_secs(30);
 /// How long peers may take to read the last messages and close: as long as a release may take.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/platform/src/session_store.rs
+++ b/crates/platform/src/session_store.rs
@@ -196,5 +196,10 @@
 
 /// Logs an event of a session at trace level.
 pub fn trace_session(wire_id: u64, event: &str, details: impl Debug) {
-    tracing::trace!(target: "badgerledge_platform::calls", wire_id = format_args!("{wire_id:016x}"), of = ?details, "{event}");
+    tracing::trace!(
+        target: "badgerledge_platform::calls",
+        wire_id = format_args!("{wire_id:016x}"),
+        of = ?details,
+        "{event}"
+    );
 }
--- a/crates/platform/src/unanswered.rs
+++ b/crates/platform/src/unanswered.rs
@@ -109,7 +109,15 @@
         let more = std::mem::take(&mut self.suppressed);
         let UnansweredSetUp { wire_id, closed_by, step, streamer, age } = *set_up;
         let (wire_id, by, step) = (format_args!("{wire_id:016x}"), closed_by, format_args!("{step}"));
-        tracing::warn!(wire_id, ?by, %step, ?streamer, held = ?age, more, "connection closed before its set-up was answered");
+        tracing::warn!(
+            wire_id,
+            ?by,
+            %step,
+            ?streamer,
+            held = ?age,
+            more,
+            "connection closed before its set-up was answered"
+        );
         true
     }
 
