--- a/crates/exchange/src/tests.rs
+++ b/crates/exchange/src/tests.rs
@@ -649,17 +649,25 @@
     let mut harness = Harness::new();
     harness.request(2, 1);
     let first = only_outstanding(&harness);
-    let at = harness.transport.joins[&first].streamer;
-    harness.transport.unavailable.insert(at);
+    let joined_at = harness.transport.joins[&first].streamer;
+    harness.transport.unavailable.insert(joined_at);
     harness.round(|handler| {
         handler.list_begins(Listing::Changes, std::iter::empty());
-        handler.list_entry(at, 0, 0, u32::from(at.port()) - 100, Health::Draining, 1.0, Start::default());
+        handler.list_entry(
+            joined_at,
+            0,
+            0,
+            u32::from(joined_at.port()) - 100,
+            Health::Draining,
+            1.0,
+            Start::default(),
+        );
         handler.list_ends(Listing::Changes);
         handler.steps().join_opened(first.0, first.1);
         handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
     });
     let second = only_outstanding(&harness);
-    assert_ne!(harness.transport.joins[&second].streamer, at);
+    assert_ne!(harness.transport.joins[&second].streamer, joined_at);
 }
 
 #[test]
--- a/crates/exchange/src/tests/settings_changes.rs
+++ b/crates/exchange/src/tests/settings_changes.rs
@@ -93,15 +93,15 @@
     let mut harness = Harness::new();
     harness.request(2, 1);
     let id = only_outstanding(&harness);
-    let at = harness.transport.joins[&id].streamer;
+    let joined_at = harness.transport.joins[&id].streamer;
     let mut still_joining = false;
-    harness.round(|handler| still_joining = handler.move_on(id.0, at));
+    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
     assert!(still_joining && harness.transport.redirected.is_empty());
     play(&mut harness, id);
     harness.round(|handler| still_joining = handler.move_on(id.0, streamer(99)));
     assert!(!still_joining && harness.transport.redirected.is_empty(), "it has left that streamer");
-    harness.round(|handler| still_joining = handler.move_on(id.0, at));
+    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
     assert_eq!((still_joining, &harness.transport.redirected[..]), (false, &[1][..]));
-    harness.round(|handler| still_joining = handler.move_on(id.0, at));
+    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
     assert_eq!(harness.transport.redirected, [1]);
 }
--- a/crates/names/src/tests.rs
+++ b/crates/names/src/tests.rs
@@ -172,10 +172,10 @@
 
 #[test]
 fn corrupted_answers_do_not_panic_and_noise_is_rejected() {
-    fn holds(at: usize, byte: u8, noise: Vec<u8>) -> bool {
+    fn holds(index: usize, byte: u8, noise: Vec<u8>) -> bool {
         let mut corrupted = bytes(&packet(7, 9, &[(5, 11, 0)]));
-        let at = at % corrupted.len();
-        corrupted[at] = byte;
+        let index = index % corrupted.len();
+        corrupted[index] = byte;
         let _ = names().answer(&corrupted, &mut ReportedEntries::default());
         names().answer(&noise, &mut ReportedEntries::default()).is_err()
     }
--- a/crates/platform/src/connection_pool_tests.rs
+++ b/crates/platform/src/connection_pool_tests.rs
@@ -263,7 +263,7 @@
     let (mut viewer_pool, now) = (ViewerPool::new(3), secs(1000));
     connections[..3].iter().for_each(|connection| viewer_pool.insert(*connection, now));
     assert!(viewer_pool.is_full());
-    viewer_pool.answer(connections[0], b"told", &mut reactor);
+    viewer_pool.answer(connections[0], b"answer", &mut reactor);
     assert_eq!(
         viewer_pool.eviction_candidate(now, |_| false),
         Some(connections[0]),
--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -207,7 +207,7 @@
     }
 
     /// Rejects an invalid set-up with a final answer. If its id is that of a pending set-up on the same
-    /// connection, one answer ends both, since the viewer could not tell two apart.
+    /// connection, one answer ends both, since the viewer could not distinguish two.
     pub fn reject(&mut self, now: Duration, connection: Line, wire_id: u64, transport: &mut impl Transport) {
         let existing = self.store.by_wire_id.get(&wire_id).copied();
         let pending_here = existing.filter(|job| {
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -67,7 +67,7 @@
     fn release(&mut self, connection: Line, _wire_id: u64, message: Vec<u8>) {
         self.viewer_frames.push((connection, message));
     }
-    fn mark_serving(&mut self, _line: Line) {}
+    fn mark_serving(&mut self, _connection: Line) {}
     fn join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>) {
         let offer: Value = serde_json::from_slice(&offer).expect("a whole line");
         assert_eq!(offer["call"], json!(format!("{wire_id:016x}")));
@@ -431,7 +431,7 @@
         [2]
     );
     assert!(harness.answer(5).is_some());
-    // On the same connection the two cannot be told apart: one final answer ends both.
+    // On the same connection the two cannot be distinguished: one final answer ends both.
     harness.set_up(1, 6, &[]);
     harness.set_up(1, 6, &[]);
     harness.advance(10);
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -91,7 +91,7 @@
 
     /// Closes a connection once its output is written, or after [`LINGER`].
     pub fn finish(&mut self, id: Line) {
-        let at = self.clock() + LINGER;
+        let close_at = self.clock() + LINGER;
         let Some(connection) = self.connection_mut(id).filter(|connection| connection.ended.is_none()) else {
             return;
         };
@@ -99,7 +99,7 @@
         if connection.output.is_empty() && !connection.connecting {
             self.mark_ended(id, Closing::Finished);
         } else {
-            self.timers.insert((at, Timer::Connection(id)));
+            self.timers.insert((close_at, Timer::Connection(id)));
             self.update_interest(id);
         }
     }
--- a/crates/reactor/src/reactor/datagrams.rs
+++ b/crates/reactor/src/reactor/datagrams.rs
@@ -9,11 +9,11 @@
 
 impl Reactor {
     /// Binds a datagram socket. Returns its id and its address.
-    pub fn datagrams(&mut self, at: SocketAddr) -> io::Result<(Line, SocketAddr)> {
-        let socket = UdpSocket::bind(at)?;
+    pub fn datagrams(&mut self, address: SocketAddr) -> io::Result<(Line, SocketAddr)> {
+        let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        let at = socket.local_addr()?;
-        Ok((self.register(Source::Datagrams(socket))?, at))
+        let address = socket.local_addr()?;
+        Ok((self.register(Source::Datagrams(socket))?, address))
     }
 
     /// Sends a datagram. Returns false, and drops it, if the kernel cannot take it now.
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -19,16 +19,16 @@
 
 impl Reactor {
     /// Listens at an address; accepted connections get these buffer bounds. Returns the id and the address.
-    pub fn listen(&mut self, at: SocketAddr, bounds: Bounds) -> io::Result<(Line, SocketAddr)> {
-        let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
+    pub fn listen(&mut self, address: SocketAddr, bounds: Bounds) -> io::Result<(Line, SocketAddr)> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         // A restarted program can bind its address again while old connections are in TIME_WAIT.
         socket.set_reuse_address(true)?;
-        socket.bind(&SockAddr::from(at))?;
+        socket.bind(&SockAddr::from(address))?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
         let socket = TcpListener::from(socket);
-        let at = socket.local_addr()?;
-        Ok((self.register(Source::Listener { socket, bounds, paused: false })?, at))
+        let address = socket.local_addr()?;
+        Ok((self.register(Source::Listener { socket, bounds, paused: false })?, address))
     }
 
     /// Limits the connections accepted from a listener per wait, since each uses a descriptor before the
@@ -67,14 +67,14 @@
 
     /// Pauses a listener for [`ACCEPT_PAUSE`], or resumes it.
     pub(super) fn set_paused(&mut self, listener: Line, pause: bool) {
-        let at = self.clock() + ACCEPT_PAUSE;
+        let resume_at = self.clock() + ACCEPT_PAUSE;
         let Some(Source::Listener { socket, paused, .. }) = self.sources.get_mut(&listener) else { return };
         *paused = pause;
         let key = listener as usize;
         let event = if pause { Event::none(key) } else { Event::readable(key) };
         let _ = self.poller.modify_with_mode(&*socket, event, PollMode::Level);
         if pause {
-            self.timers.insert((at, Timer::ResumeListener(listener)));
+            self.timers.insert((resume_at, Timer::ResumeListener(listener)));
         }
     }
 }
