--- a/crates/distribution/src/control/batches.rs
+++ b/crates/distribution/src/control/batches.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::change::{Batch, Summary, LARGEST_BATCH};
+use crate::change::{Batch, Summary, MAX_BATCH_BYTES};
 use crate::control::ledger::{Ledger, Revision};
 use crate::control::state_check::StateCheck;
 use crate::control::StoredItem;
 use crate::state::{Edit, State};
-use crate::{digest, Digest, Hand, Number};
+use crate::{digest, Digest, Number, Signer};
 
-/// Batches that are kept at most, each of [`LARGEST_BATCH`] at most.
+/// Batches that are kept at most, each of [`MAX_BATCH_BYTES`] at most.
 const KEPT: usize = 48;
 /// Certified revisions behind the latest whose batches are kept for others.
 const KEPT_BEHIND: Number = 16;
@@ -74,7 +74,7 @@
         if self.held.contains_key(&text) {
             return Some(text);
         }
-        let whole = bytes.len() <= LARGEST_BATCH && Summary::of(summary.root, &bytes) == summary;
+        let whole = bytes.len() <= MAX_BATCH_BYTES && Summary::of(summary.root, &bytes) == summary;
         let batch = Batch::decode(&bytes).ok().filter(|batch| whole && batch.number > latest)?;
         self.held.insert(text, Held { summary, bytes, batch, stored: false });
         Some(text)
@@ -119,7 +119,7 @@
 
     /// The batches that lead from a revision to the one with this text, if all are here: the last one's text is
     /// certified, it names the root that it applies to, and so each the one before.
-    pub fn chain(&self, from: &Revision, text: &Digest, hand: &impl Hand) -> Option<Vec<Step>> {
+    pub fn chain(&self, from: &Revision, text: &Digest, hand: &impl Signer) -> Option<Vec<Step>> {
         let mut back = vec![*text];
         let mut first = self.held.get(text)?;
         while first.batch.number > from.number + 1 {
@@ -145,7 +145,7 @@
 
 impl Held {
     /// Whether an acceptor with this state may vote for it.
-    pub fn fitness(&self, ledger: &Ledger, hand: &impl Hand, check: &mut StateCheck) -> Fitness {
+    pub fn fitness(&self, ledger: &Ledger, hand: &impl Signer, check: &mut StateCheck) -> Fitness {
         let leads_there = |state: &State| state.root() == self.summary.root;
         if self.batch.number != ledger.number() + 1 {
             return Fitness::Unfit;
--- a/crates/exchange/src/admission.rs
+++ b/crates/exchange/src/admission.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 
 /// Limits the number of subscriptions of a controller. A plain count suffices since all use much the same
 /// resources: two connections, buffers, a record.
 pub struct Admission {
     max_subscriptions: usize,
     count: usize,
-    rng: Chance,
+    rng: Rng,
     /// When recent subscriptions ended: the rate at which room becomes free.
     departures: VecDeque<Duration>,
     /// End of the queue of throttled viewers: until when retries are already scheduled.
@@ -32,7 +32,7 @@
         Self {
             max_subscriptions,
             count: 0,
-            rng: Chance(seed),
+            rng: Rng(seed),
             departures: VecDeque::new(),
             scheduled_until: Duration::ZERO,
         }
@@ -58,7 +58,7 @@
         let cool_down = self.scheduled_until.saturating_sub(now).min(MAX_COOL_DOWN);
         // Random part of up to a quarter, so that controllers that filled up together do not get all retries
         // together.
-        Err(cool_down.mul_f64(1.0 - 0.25 * self.rng.share()).max(MIN_COOL_DOWN))
+        Err(cool_down.mul_f64(1.0 - 0.25 * self.rng.unit_interval()).max(MIN_COOL_DOWN))
     }
 
     /// Frees the place of a subscription that has ended.
--- a/crates/exchange/src/book.rs
+++ b/crates/exchange/src/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, StreamerId, SubscriptionRequest};
 use tracing::Span;
 
 use crate::Line;
@@ -34,7 +34,7 @@
 /// A subscription that was admitted and has not ended.
 #[derive(Debug)]
 pub struct Held {
-    pub asked: Asked,
+    pub asked: SubscriptionRequest,
     pub taken: Duration,
     /// Connections that wait for the answer; the viewer's current one is last.
     pub waiting: Vec<Line>,
@@ -127,12 +127,14 @@
     }
 
     /// The subscription of a viewer to a title.
-    pub fn of_viewer(&self, request: &Asked) -> Option<JobId> {
+    pub fn of_viewer(&self, request: &SubscriptionRequest) -> Option<JobId> {
         self.by_viewer.get(&(request.path_key, request.title)).copied()
     }
 
     /// Adds a record for a new subscription, and returns its id.
-    pub fn open(&mut self, connection: Line, request: Asked, taken: Duration, last_call: Duration) -> JobId {
+    pub fn open(
+        &mut self, connection: Line, request: SubscriptionRequest, taken: Duration, last_call: Duration,
+    ) -> JobId {
         let job = self.next_job();
         self.last_job = job;
         let span = tracing::info_span!("subscription", job, viewer = request.path_key, title = request.title);
@@ -249,7 +251,7 @@
     }
 
     /// Remembers an ended subscription that must not be set up twice and may have run.
-    pub fn remember_unsafe(&mut self, request: &Asked, until: Duration) {
+    pub fn remember_unsafe(&mut self, request: &SubscriptionRequest, until: Duration) {
         if self.recently_terminated.len() >= MAX_REMEMBERED {
             let oldest =
                 self.recently_terminated.iter().min_by_key(|(_, until)| **until).map(|(viewer, _)| *viewer);
@@ -259,7 +261,7 @@
     }
 
     /// Whether such a subscription ended so recently that its viewer sent this request before it knew.
-    pub fn ended_unsafe(&mut self, request: &Asked, now: Duration) -> bool {
+    pub fn ended_unsafe(&mut self, request: &SubscriptionRequest, now: Duration) -> bool {
         self.recently_terminated.retain(|_, until| *until > now);
         self.recently_terminated.contains_key(&(request.path_key, request.title))
     }
--- a/crates/exchange/src/decision_executor.rs
+++ b/crates/exchange/src/decision_executor.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Asked, Ending, JobId, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId, SubscriptionRequest};
 
 use crate::book::{Book, Join};
 use crate::{Admission, Line};
@@ -19,7 +19,7 @@
     /// Starts a join: connects, and reports [`crate::JoinEvents::join_opened`] once established.
     fn open_join(&mut self, job: JobId, number: u16, streamer: StreamerId);
     /// Sends SETUP on an established join.
-    fn set_up(&mut self, job: JobId, number: u16, asked: &Asked, rung: Option<u8>);
+    fn set_up(&mut self, job: JobId, number: u16, asked: &SubscriptionRequest, rung: Option<u8>);
     /// Sends PLAY on a join that was set up.
     fn play(&mut self, job: JobId, number: u16);
     /// Sends a new rung on a playing join.
@@ -46,7 +46,7 @@
     fn list_all(&mut self);
 }
 
-/// Implements the decision module's [`Writer`] on the subscription table and the transport.
+/// Implements the decision module's [`DecisionSink`] on the subscription table and the transport.
 pub(crate) struct DecisionExecutor<'a, C> {
     pub book: &'a mut Book,
     pub admission: &'a mut Admission,
@@ -85,7 +85,7 @@
     /// another request meanwhile; viewers of these room types do not retry once they know. Guards rule 2
     /// against a retry that waited unread while this process was stopped. A viewer that deliberately retries
     /// within this time is rejected.
-    pub fn remember_if_unsafe(&mut self, request: &Asked) {
+    pub fn remember_if_unsafe(&mut self, request: &SubscriptionRequest) {
         if self.unsafe_room_types.contains(&request.room_type) {
             self.book.remember_unsafe(request, self.now + request.client_timeout);
         }
@@ -118,8 +118,8 @@
     }
 }
 
-impl<C: Carrier> Writer for DecisionExecutor<'_, C> {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
+impl<C: Carrier> DecisionSink for DecisionExecutor<'_, C> {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
         let Some(number) = self.book.join(job, streamer, self.now, try_until) else {
             // The subscription has an outstanding join, plays or is over: reported as moot, as the simulator
             // does.
@@ -152,7 +152,7 @@
         self.carrier.open_join(job, number, streamer);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         if let Some(subscription) = self.book.get(job) {
             subscription.span.in_scope(|| {
                 tracing::info!(
@@ -176,7 +176,7 @@
         self.answer(job, |carrier, connection| carrier.terminate(connection, late));
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         let Some(subscription) = self.book.set_rung(job, rung) else { return };
         if let Some(join) = subscription.join.as_ref().filter(|join| join.flows()) {
             subscription
@@ -186,7 +186,7 @@
         }
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         let Some(subscription) = self.close(job) else { return };
         subscription.span.in_scope(|| tracing::info!(target: "badgerledge_exchange::desk", "moved"));
         if let Some(join) = &subscription.join {
@@ -218,34 +218,34 @@
         }
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         self.carrier.remind(from_now, token);
     }
 
-    fn health_check(&mut self, streamer: StreamerId) {
+    fn send_probe(&mut self, streamer: StreamerId) {
         self.carrier.probe(streamer);
     }
 
     // Each join has its own connection, which is closed with it: none is idle.
-    fn close(&mut self, _streamer: StreamerId) {}
+    fn close_connection(&mut self, _streamer: StreamerId) {}
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.carrier.signal(peer, bytes);
     }
 
-    fn observe(&mut self, want: bool) {
+    fn watch_list(&mut self, want: bool) {
         self.carrier.observe(want);
     }
 
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.carrier.list_all();
     }
 
-    fn emit(&mut self, text: &str) {
+    fn log_info(&mut self, text: &str) {
         tracing::info!(target: "module", "{text}");
     }
 
-    fn give_in(&mut self, text: &str) {
+    fn log_error(&mut self, text: &str) {
         tracing::error!(target: "module", "{text}");
     }
 }
--- a/crates/exchange/src/event_handler.rs
+++ b/crates/exchange/src/event_handler.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_core::decide::Controller;
-use badgerledge_core::interface::{Asked, Ending, Health, JobId, Listing, Start, StreamerId};
+use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest};
 
 use crate::book::Join;
 use crate::decision_executor::{Carrier, DecisionExecutor, PendingOutcome};
@@ -23,7 +23,7 @@
 
     /// Handles a viewer's SETUP on a connection, which waits for an answer from now on.
     /// `request.client_timeout` is as the viewer stated it, counted from `since`.
-    pub fn viewer_asks(&mut self, connection: Line, mut request: Asked, since: Duration) {
+    pub fn viewer_asks(&mut self, connection: Line, mut request: SubscriptionRequest, since: Duration) {
         self.deliver_outcomes();
         let answer_deadline = since + limits::answer_deadline(request.client_timeout);
         let waited = self.executor.now.saturating_sub(since);
@@ -140,7 +140,7 @@
             match outcome {
                 PendingOutcome::Playing(job, number, streamer, latency) => {
                     self.executor.carrier.came_to(streamer, None);
-                    self.module.flowing(job, number, streamer, latency);
+                    self.module.join_served(job, number, streamer, latency);
                 }
                 PendingOutcome::Ended(job, number, streamer, ending, over, latency, usage) => {
                     self.executor.carrier.came_to(streamer, Some(ending));
@@ -197,18 +197,18 @@
 
     /// Sets the remaining budget for new joins from one building, or from any other, in kB per second.
     pub fn crossing(&mut self, from: Option<u16>, left: f64) {
-        self.module.crossing(from, left);
+        self.module.set_crossing_budget(from, left);
     }
 
     /// Sets the highest rung that a subscription from another building may have for now.
     pub fn cap(&mut self, job: JobId, cap: Option<u8>) {
         self.deliver_outcomes();
-        self.module.cap(job, cap, self.executor);
+        self.module.set_rung_cap(job, cap, self.executor);
     }
 
     /// Handles a streamer on which several other controllers have lost joins.
     pub fn reported_in_trouble(&mut self, streamer: StreamerId) {
-        self.module.hearsay(streamer);
+        self.module.failure_reported_by_peers(streamer);
     }
 
     /// Sends the viewer of a subscription that may no longer cross buildings back to this controller, to be
@@ -236,17 +236,17 @@
 
     /// Handles the result of a probe.
     pub fn probed(&mut self, streamer: StreamerId, ending: Ending, latency: Duration, usage: &[f64]) {
-        self.module.echo(streamer, ending, latency, usage);
+        self.module.probe_result(streamer, ending, latency, usage);
     }
 
     /// Handles a reminder that the decision module has set.
     pub fn fired(&mut self, token: u64) {
-        self.module.fired(token);
+        self.module.timer_fired(token);
     }
 
     /// Handles a message of another controller.
     pub fn peer(&mut self, peer: u32, bytes: &[u8]) {
-        self.module.peer(peer, bytes);
+        self.module.receive_load_reports(peer, bytes);
     }
 
     /// Begins an update of the streamer list. A complete one replaces all `known` streamers: those that it
--- a/crates/exchange/src/settings_changes.rs
+++ b/crates/exchange/src/settings_changes.rs
@@ -1,7 +1,7 @@
 //! Applies new settings and titles, before the other events of a round, so that the round's decisions use
 //! them. What happens to each subscription is determined by `badgerledge-changes`; it is carried out here.
 
-use badgerledge_core::interface::{Ending, JobId, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId};
 use serde_json::{Map, Value};
 
 use crate::decision_executor::Carrier;
@@ -13,7 +13,7 @@
     /// the rates that it plays at still apply.
     pub fn ends_at(&mut self, job: JobId, top: u8) {
         self.deliver_outcomes();
-        self.module.ends_at(job, top, self.executor);
+        self.module.limit_rung(job, top, self.executor);
         // A subscription that does not play yet is set up at the lower rung, or steps down once it plays.
         let above_top = self
             .executor
@@ -29,7 +29,7 @@
     pub fn retell(&mut self, settings: Map<String, Value>) {
         self.deliver_outcomes();
         *self.executor.unsafe_room_types = unsafe_room_types(&settings);
-        self.module.retell(settings);
+        self.module.update_settings(settings);
     }
 
     /// Changes the cells that hold the title of a subscription.
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_core::interface::{Ending, JobId, Listing, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, JobId, Listing, StreamerId};
 use badgerledge_signalling::{streamers, viewers};
 
 use crate::phase::Phase;
@@ -14,7 +14,7 @@
 /// How long a streamer may take to end a moved session before it is told to.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Implements the decision module's [`Writer`] on the session store and the transport.
+/// Implements the decision module's [`DecisionSink`] on the session store and the transport.
 pub struct Dispatcher<'a, W> {
     pub now: Duration,
     pub store: &'a mut SessionStore,
@@ -35,8 +35,8 @@
     }
 }
 
-impl<W: Transport> Writer for Dispatcher<'_, W> {
-    fn pass_on(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
+impl<W: Transport> DecisionSink for Dispatcher<'_, W> {
+    fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
         let (now, max_joins) = (self.now, self.store.settings.max_joins);
         let Some(session) = self.store.get_mut(job) else { return };
         let number = session.joins;
@@ -65,7 +65,7 @@
         self.transport.join(job, wire_id, streamer, offer);
     }
 
-    fn shed(&mut self, job: JobId, cool_down: Duration) {
+    fn throttle(&mut self, job: JobId, cool_down: Duration) {
         self.answer(job, THROTTLED, cool_down);
     }
 
@@ -73,7 +73,7 @@
         self.answer(job, FAILED, Duration::ZERO);
     }
 
-    fn step_to(&mut self, job: JobId, rung: u8) {
+    fn set_rung(&mut self, job: JobId, rung: u8) {
         let Some(session) = self.store.get_mut(job) else { return };
         session.rung = Some(rung);
         if let Phase::Stands(streamer) = session.phase {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn shift(&mut self, job: JobId) {
+    fn move_subscription(&mut self, job: JobId) {
         let Some(session) = self.store.get_mut(job) else { return };
         if let Phase::Stands(streamer) = session.phase {
             session.phase = Phase::Leaves(streamer);
@@ -115,41 +115,41 @@
         }
     }
 
-    fn remind(&mut self, from_now: Duration, token: u64) {
+    fn set_timer(&mut self, from_now: Duration, token: u64) {
         // Never in the round that is being run.
         let at = self.now + from_now.max(Duration::from_micros(1));
         self.store.timers.insert((at, Timer::DecisionModule(token)));
     }
 
-    fn health_check(&mut self, streamer: StreamerId) {
+    fn send_probe(&mut self, streamer: StreamerId) {
         self.transport.probe(streamer);
     }
 
-    fn close(&mut self, streamer: StreamerId) {
+    fn close_connection(&mut self, streamer: StreamerId) {
         self.transport.close_idle(streamer);
     }
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.transport.send_to_peers(peer, bytes);
     }
 
-    fn observe(&mut self, _want: bool) {
-        self.list_all();
+    fn watch_list(&mut self, _want: bool) {
+        self.request_full_list();
     }
 
     /// The list is queried all the time; only its arrival is reported.
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.store.inputs.push(Box::new(|module| {
             module.list_begins(Listing::Changes);
             module.list_ends(Listing::Changes);
         }));
     }
 
-    fn emit(&mut self, text: &str) {
+    fn log_info(&mut self, text: &str) {
         tracing::info!(line = text, "the decision module reports");
     }
 
-    fn give_in(&mut self, text: &str) {
+    fn log_error(&mut self, text: &str) {
         tracing::error!(line = text, "the decision module reported a fault");
     }
 }
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -62,14 +62,14 @@
     pub ready: bool,
 }
 
-impl viewers::Heard for ViewerHandler<'_> {
+impl viewers::MessageHandler for ViewerHandler<'_> {
     fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
         let (sessions, connections) = &mut self.service;
         connections.viewer_pool.record_set_up(self.connection, self.now);
         sessions.set_up(self.now, self.connection, wire_id, parameters, *connections);
     }
 
-    fn spoilt_set_up(&mut self, wire_id: u64) {
+    fn malformed_set_up(&mut self, wire_id: u64) {
         let (sessions, connections) = &mut self.service;
         sessions.reject(self.now, self.connection, wire_id, *connections);
     }
@@ -86,7 +86,7 @@
         connections.answer(self.connection, &viewers::tested(wire_id, self.ready));
     }
 
-    fn release_heard(&mut self, wire_id: u64) {
+    fn release_acknowledged(&mut self, wire_id: u64) {
         self.service.1.viewer_pool.acknowledge_release(wire_id);
     }
 }
@@ -101,7 +101,7 @@
     pub fault: Option<Fault>,
 }
 
-impl streamers::Heard for StreamerHandler<'_> {
+impl streamers::MessageHandler for StreamerHandler<'_> {
     fn answered(&mut self, wire_id: u64, description: &str) {
         let (sessions, connections) = &mut self.service;
         match connections.streamer_pool.outstanding_join(self.connection, wire_id) {
@@ -146,7 +146,7 @@
         sessions.probe_finished(self.streamer, ending, self.now.saturating_sub(sent_at), load);
     }
 
-    fn noted(&mut self, wire_id: u64, kind: &str, value: f64) {
+    fn progress_report(&mut self, wire_id: u64, kind: &str, value: f64) {
         let (sessions, connections) = &mut self.service;
         match sessions.progress_report(self.streamer, wire_id, kind, value) {
             Ok(true) => {}
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use badgerledge_core::interface::Asked;
+use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_signalling::viewers::{
     Parameters, CLIENT_TIMEOUT, DESCRIPTION, FIGURES, HINT, ROOM_TYPE, TITLE,
 };
@@ -87,7 +87,7 @@
 /// A validated set-up request: the part for the decision module, and the fields that are forwarded to
 /// streamers unchanged.
 pub struct Request {
-    pub subscription: Asked,
+    pub subscription: SubscriptionRequest,
     pub title: String,
     pub description: String,
     /// The streamer that the session already plays at, for a handover.
@@ -114,14 +114,14 @@
     let max_timeout = if playing_at.is_some() { Duration::MAX } else { MAX_CLIENT_TIMEOUT };
     let client_timeout =
         timeout.filter(|timeout| !timeout.is_zero() && *timeout <= max_timeout).ok_or("client timeout")?;
-    let hinted = match parameters.text(HINT) {
+    let duration_hint = match parameters.text(HINT) {
         None => None,
         Some(text) => {
             let hint: Option<f64> = text.parse().ok().filter(|ms| (0.0..=MAX_HINT_MS).contains(ms));
             Some(Duration::from_secs_f64(hint.ok_or("hint")? / 1000.0)).filter(|hint| !hint.is_zero())
         }
     };
-    let subscription = Asked {
+    let subscription = SubscriptionRequest {
         title: hex64(title).ok_or("title")?,
         path_key: figures.get("viewer").copied().and_then(hex64).ok_or("viewer")?,
         room_type,
@@ -129,7 +129,7 @@
         first_cell: integer("home", 0.0, settings.positions - 1.0).ok_or("home")? as u32,
         copies: integer("copies", 1.0, settings.positions).ok_or("copies")? as u32,
         max_rung: integer("top", 0.0, settings.rungs - 1.0).ok_or("top")? as u8,
-        hinted,
+        duration_hint,
         moved: figures.get("again") == Some(&"1"),
     };
     let description = parameters.text(DESCRIPTION).filter(|text| !text.is_empty() || playing_at.is_some());
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result};
-use badgerledge_core::chance::Chance;
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{Ending, Listing, StreamerId};
+use badgerledge_core::random::Rng;
 use badgerledge_names::Names;
 use badgerledge_reactor::{raise_descriptors, Happening, Line, Reactor};
 use badgerledge_signalling::{streamers, viewers};
@@ -52,7 +52,7 @@
     connections: Connections,
     sessions: SessionTable,
     streamers: Names,
-    rng: Chance,
+    rng: Rng,
     /// The socket that viewers connect to.
     listener: Line,
     /// The datagram socket to the name service, and when the next query is sent.
@@ -120,7 +120,7 @@
             (configuration.max_sockets, configuration.memory_mb, streamers.last());
         let connections =
             Connections { reactor, now: CLOCK_START, viewer_pool, streamer_pool, configuration, peer_socket };
-        let rng = Chance(connections.configuration.seed.rotate_left(31));
+        let rng = Rng(connections.configuration.seed.rotate_left(31));
         let mut service = Self {
             connections,
             sessions,
@@ -302,7 +302,7 @@
                 now,
                 ready,
             };
-            match viewers::hear(input.as_slice(), &mut handler) {
+            match viewers::decode(input.as_slice(), &mut handler) {
                 Ok(0) => break None,
                 Ok(count) => input.consume(count),
                 Err(fault) => break Some(fault),
@@ -371,7 +371,7 @@
         let fault = loop {
             let service = (&mut self.sessions, &mut self.connections);
             let mut handler = StreamerHandler { service, connection, streamer, now, fault: None };
-            match streamers::hear(input.as_slice(), &mut handler) {
+            match streamers::decode(input.as_slice(), &mut handler) {
                 Ok(0) => break None,
                 Ok(count) => {
                     if let Some(fault) = handler.fault {
--- a/crates/platform/src/serve/discovery.rs
+++ b/crates/platform/src/serve/discovery.rs
@@ -29,8 +29,8 @@
             return;
         }
         // The random part keeps controllers that started together from querying at the same moment.
-        self.next_query_at = now + QUERY_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.share());
-        let query = self.streamers.query((self.rng.share() * 65536.0) as u16);
+        self.next_query_at = now + QUERY_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.unit_interval());
+        let query = self.streamers.query((self.rng.unit_interval() * 65536.0) as u16);
         if now >= CLOCK_START + MAX_LIST_DELAY {
             self.first_fresh_query.get_or_insert(self.streamers.asked());
         }
--- a/crates/platform/src/session_store.rs
+++ b/crates/platform/src/session_store.rs
@@ -190,7 +190,7 @@
 
     /// Parses a load report; empty if there is none or it is incomplete.
     pub fn parse_usage(&self, load: Option<&str>) -> Vec<f64> {
-        load.map_or_else(Vec::new, |load| streamers::load(load, &self.settings.report_fields))
+        load.map_or_else(Vec::new, |load| streamers::parse_load_report(load, &self.settings.report_fields))
     }
 }
 
--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -290,7 +290,7 @@
         transport.mark_serving(connection);
         self.store.set_playing(job, streamer);
         let latency = now.saturating_sub(sent_at);
-        self.store.inputs.push(Box::new(move |module| module.flowing(job, number, streamer, latency)));
+        self.store.inputs.push(Box::new(move |module| module.join_served(job, number, streamer, latency)));
     }
 
     /// Handles the end of the outstanding join without an answer.
@@ -380,12 +380,14 @@
         &mut self, streamer: StreamerId, ending: Ending, latency: Duration, load: Option<&str>,
     ) {
         let usage = self.store.parse_usage(load);
-        self.store.inputs.push(Box::new(move |module| module.echo(streamer, ending, latency, &usage)));
+        self.store
+            .inputs
+            .push(Box::new(move |module| module.probe_result(streamer, ending, latency, &usage)));
     }
 
     /// Passes a message of another controller to the decision module.
     pub fn peer_message(&mut self, peer: u32, bytes: Vec<u8>) {
-        self.store.inputs.push(Box::new(move |module| module.peer(peer, &bytes)));
+        self.store.inputs.push(Box::new(move |module| module.receive_load_reports(peer, &bytes)));
     }
 
     /// Applies the list of streamers, or changes to it. They reach the decision module before all other
@@ -426,7 +428,9 @@
         while let Some((at, timer)) = self.store.timers.first().copied().filter(|due| due.0 <= now) {
             self.store.timers.remove(&(at, timer));
             match timer {
-                Timer::DecisionModule(token) => self.store.inputs.push(Box::new(move |m| m.fired(token))),
+                Timer::DecisionModule(token) => {
+                    self.store.inputs.push(Box::new(move |m| m.timer_fired(token)))
+                }
                 Timer::JoinTimeout(job, number) => self.join_timed_out(now, job, number, transport),
                 Timer::AnswerDeadline(job) => self.answer_overdue(now, job, transport),
                 Timer::MoveTimeout(job) => {
--- a/crates/platform/src/streamer_pool.rs
+++ b/crates/platform/src/streamer_pool.rs
@@ -12,10 +12,10 @@
 
 use badgerledge_core::interface::{Ending, JobId, StreamerId};
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_signalling::{streamers, MOST};
+use badgerledge_signalling::{streamers, MAX_MESSAGE_BYTES};
 
 /// Room for the longest message, and for the messages of one round.
-const BOUNDS: Bounds = Bounds { input: MOST + 1, output: 8 * MOST };
+const BOUNDS: Bounds = Bounds { input: MAX_MESSAGE_BYTES + 1, output: 8 * MAX_MESSAGE_BYTES };
 /// Fraction of the idle time in the settings after which a connection takes no join and is closed: a streamer
 /// that closes it at that very time would reset the join.
 const IDLE_FRACTION: f64 = 0.7;
@@ -31,7 +31,7 @@
 /// anyway.
 const QUEUED_MESSAGE_LIFETIME: Duration = Duration::from_secs(8);
 /// Maximum of bytes that wait for one streamer: about two hundred releases.
-const MAX_QUEUED_BYTES: usize = MOST;
+const MAX_QUEUED_BYTES: usize = MAX_MESSAGE_BYTES;
 /// Failed connection attempts in a row after which a streamer counts as lost, if it is silent or closed all
 /// connections.
 const MAX_FAILED_ATTEMPTS: u32 = 2;
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use badgerledge_core::decide::Controller;
-use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, Writer};
+use badgerledge_core::interface::{DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId};
 use badgerledge_reactor::Line;
 use badgerledge_signalling::viewers::{self, Parameters};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -155,7 +155,7 @@
         frame.extend(wire_id.to_be_bytes());
         frame.extend(parameters);
         let mut handler = Handler { harness: self, connection };
-        viewers::hear(&frame, &mut handler).expect("a frame");
+        viewers::decode(&frame, &mut handler).expect("a frame");
     }
 
     fn answer(&mut self, wire_id: u64) -> Option<StreamerId> {
@@ -176,12 +176,12 @@
     connection: Line,
 }
 
-impl viewers::Heard for Handler<'_> {
+impl viewers::MessageHandler for Handler<'_> {
     fn set_up(&mut self, wire_id: u64, parameters: Parameters<'_>) {
         let harness = &mut *self.harness;
         harness.sessions.set_up(harness.now, self.connection, wire_id, parameters, &mut harness.transport);
     }
-    fn spoilt_set_up(&mut self, wire_id: u64) {
+    fn malformed_set_up(&mut self, wire_id: u64) {
         self.harness.sessions.reject(self.harness.now, self.connection, wire_id, &mut self.harness.transport);
     }
     fn ended(&mut self, wire_id: u64) {
@@ -193,7 +193,7 @@
         );
     }
     fn tested(&mut self, _session: u64) {}
-    fn release_heard(&mut self, _session: u64) {}
+    fn release_acknowledged(&mut self, _session: u64) {}
 }
 
 fn entry(number: u32, health: Health) -> ListEntry {
@@ -590,7 +590,7 @@
     harness.set_up(1, 5, &[("extras", at), ("left", "4294967")]);
     let job = harness.sessions.store.job(5).expect("the session exists");
     Dispatcher { now: harness.now, store: &mut harness.sessions.store, transport: &mut harness.transport }
-        .shift(job);
+        .move_subscription(job);
     harness
 }
 
--- a/crates/platform/src/viewer_pool.rs
+++ b/crates/platform/src/viewer_pool.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use badgerledge_reactor::{Bounds, Line, Reactor};
-use badgerledge_signalling::MOST;
+use badgerledge_signalling::MAX_MESSAGE_BYTES;
 
 /// Room for a whole frame, and for the answers to a burst of them.
-pub const BOUNDS: Bounds = Bounds { input: MOST + 2, output: 4 * MOST };
+pub const BOUNDS: Bounds = Bounds { input: MAX_MESSAGE_BYTES + 2, output: 4 * MAX_MESSAGE_BYTES };
 /// A connection that was sent nothing and has no set-up pending, or that owes the rest of a frame, is closed
 /// after this time: under the three seconds within which a client that sends malformed data must get a
 /// reaction.
--- a/crates/replay/src/revisions.rs
+++ b/crates/replay/src/revisions.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use badgerledge_core::interface::Asked;
-use badgerledge_revisions::{bound, lease_for};
+use badgerledge_core::interface::SubscriptionRequest;
+use badgerledge_revisions::{bound, lease_duration_for};
 
 use crate::operators::Pushed;
 use crate::script::RevisionsDay;
@@ -92,7 +92,7 @@
 
 /// How long two controllers may act on contradicting revisions in a day.
 pub fn day_bound(members: usize, tick: Duration) -> Duration {
-    bound(lease_for(members), tick * 2)
+    bound(lease_duration_for(members), tick * 2)
 }
 
 /// What a set-up can show to be acted on: a number of cells, or a place of a title.
@@ -123,9 +123,13 @@
         let mut cells = BTreeSet::new();
         let mut allowed = BTreeSet::new();
         for place in places {
-            let asked = Asked { first_cell: place.0, copies: place.1, ..Asked::default() };
+            let asked = SubscriptionRequest {
+                first_cell: place.0,
+                copies: place.1,
+                ..SubscriptionRequest::default()
+            };
             let fit: Vec<u32> =
-                lie.cells.iter().copied().filter(|cells| asked.held_by(set_up.cell, *cells)).collect();
+                lie.cells.iter().copied().filter(|cells| asked.is_held_by(set_up.cell, *cells)).collect();
             if !fit.is_empty() {
                 allowed.insert(*place);
             }
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -17,13 +17,13 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_core::chance::Chance;
+use badgerledge_core::random::Rng;
 use badgerledge_distribution::control;
 use badgerledge_distribution::message::decode;
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{lease, ControllerId};
-use badgerledge_revisions::Kept;
+use badgerledge_revisions::AcceptorState;
 use serde::de::DeserializeOwned;
 
 use crate::figures::{Figures, Title};
@@ -91,7 +91,7 @@
     timeline: Vec<crate::timeline::At>,
     genesis: State,
     hand: SimulatedHand,
-    chance: Chance,
+    chance: Rng,
     seen: Observations,
     memory_before: u64,
     show_progress: bool,
@@ -135,13 +135,13 @@
             timeline: timeline(scenario),
             genesis: genesis(fleet, &scenario.load)?,
             hand,
-            chance: Chance(seed),
+            chance: Rng(seed),
             seen: Observations::default(),
             memory_before: resident_bytes(std::process::id()),
             show_progress,
             scenario: scenario.clone(),
         };
-        simulation.chance.share();
+        simulation.chance.unit_interval();
         simulation.seat_all();
         Ok(simulation)
     }
@@ -171,7 +171,7 @@
                 cpu: Duration::ZERO,
                 acts_on: None,
             });
-            let at = self.chance.span(START_SPREAD);
+            let at = self.chance.random_duration(START_SPREAD);
             self.queue.push(at, Event::StartWatcher(controller, true));
         }
         for author in 0..self.scenario.load.at_once as u16 {
@@ -189,7 +189,10 @@
     }
 
     fn machine_seat(&self, machine: u16) -> MachineSeat {
-        let founded = badgerledge_revisions::Stored { keeper: Some(Kept::default()), ..Default::default() };
+        let founded = badgerledge_revisions::StoredState {
+            acceptor: Some(AcceptorState::default()),
+            ..Default::default()
+        };
         let acceptor = self.hand.acceptors.contains(&machine);
         let agreement = acceptor.then(|| founded.write());
         MachineSeat {
@@ -216,7 +219,7 @@
 
     /// The bound on contradictions that the protocol states.
     pub fn bound(&self) -> Duration {
-        lease::bound(control::Config::new(0, 1).late)
+        lease::contradiction_bound(control::Config::new(0, 1).late)
     }
 
     /// Plays to the end.
@@ -314,7 +317,7 @@
     fn watch(&mut self, controller: ControllerId) {
         let seat = &mut self.watchers[controller as usize];
         let acting = seat.state.as_ref().map(|state| state.acting(self.now));
-        let acts_on = acting.filter(|acting| acting.held.is_none() || self.broken.no_lease);
+        let acts_on = acting.filter(|acting| acting.hold_reason.is_none() || self.broken.no_lease);
         let acts_on = acts_on.map(|acting| acting.active);
         if let Some(number) = acts_on {
             self.seen.acted_on.note(number, self.now);
@@ -339,6 +342,7 @@
 }
 
 /// A seed for something else.
-pub fn seed_of(chance: &mut Chance) -> u64 {
-    (chance.share() * (1u64 << 32) as f64) as u64 ^ ((chance.share() * (1u64 << 32) as f64) as u64) << 32
+pub fn seed_of(chance: &mut Rng) -> u64 {
+    (chance.unit_interval() * (1u64 << 32) as f64) as u64
+        ^ ((chance.unit_interval() * (1u64 << 32) as f64) as u64) << 32
 }
