--- a/crates/bench/src/backdrop.rs
+++ b/crates/bench/src/backdrop.rs
@@ -7,7 +7,7 @@
 use badgerledge_core::interface::Health;
 use badgerledge_reactor::Reactor;
 use badgerledge_standins::{ListService, Streamers, Told};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 
 use crate::fixture::{shared, wait_for, Controller, Source};
 use crate::load::{Load, Then};
@@ -20,14 +20,14 @@
     pub reactor: Reactor,
     streamers: Streamers,
     list: ListService,
-    witness: Witness,
+    witness: RuleChecker,
 }
 
 impl Backdrop {
     pub fn new() -> Result<Self> {
         badgerledge_reactor::raise_descriptors();
         let mut reactor = Reactor::new(Duration::from_secs(100))?;
-        let mut witness = Witness::new(shared()?);
+        let mut witness = RuleChecker::new(shared()?);
         let mut streamers = Streamers::new(shared()?, 1);
         streamers.take_for_set_up(Duration::ZERO, Duration::ZERO);
         let mut list = ListService::new(&mut reactor, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
--- a/crates/bench/src/capacity/roles/idle_connections.rs
+++ b/crates/bench/src/capacity/roles/idle_connections.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 
 use super::{Role, CONNECTIONS_EACH, MEMORY_BYTES};
 use crate::capacity::measure::{processor_ms, with_live_bytes, Reading};
@@ -26,8 +26,8 @@
 struct Loop {
     reactor: Reactor,
     to: SocketAddr,
-    accepted: Vec<Line>,
-    made: Vec<Line>,
+    accepted: Vec<SocketId>,
+    made: Vec<SocketId>,
 }
 
 impl Loop {
@@ -57,9 +57,9 @@
         self.reactor.wait(Some(until), &mut told)?;
         for happening in &told {
             match happening {
-                Happening::Accepted { line, .. } => self.accepted.push(*line),
-                Happening::Readable(line) => self.reactor.consume(*line, self.reactor.input(*line).len()),
-                Happening::Closed(..) => anyhow::bail!("a connection ended"),
+                ReactorEvent::Accepted { connection: line, .. } => self.accepted.push(*line),
+                ReactorEvent::Readable(line) => self.reactor.consume(*line, self.reactor.input(*line).len()),
+                ReactorEvent::Closed(..) => anyhow::bail!("a connection ended"),
                 _ => {}
             }
         }
--- a/crates/bench/src/capacity/roles/name_service.rs
+++ b/crates/bench/src/capacity/roles/name_service.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_core::interface::Health;
-use badgerledge_names::{Names, Tells};
+use badgerledge_names::{StreamerList, StreamerSink};
 use simple_dns::rdata::{RData, A, SOA, SRV, TXT};
 use simple_dns::{Name, Packet, Question, ResourceRecord, CLASS, QCLASS, QTYPE, TYPE};
 
@@ -30,7 +30,7 @@
 /// Takes what is told, and keeps none of it.
 struct Nobody;
 
-impl Tells for Nobody {
+impl StreamerSink for Nobody {
     fn entry(
         &mut self, _id: u32, _at: std::net::SocketAddrV4, _zone: &str, _kind: &str, _cell: u32,
         _health: Health, _weight: f64, _started: u64,
@@ -62,14 +62,14 @@
 }
 
 fn readings(streamers: u32) -> Result<Vec<Reading>> {
-    let mut names = Names::default();
+    let mut names = StreamerList::default();
     let (mut spent_ms, mut bytes) = (0.0, 0);
     for number in 0..RUNS {
-        names.query(number);
+        names.next_query(number);
         let told = answer(number, u32::from(number) + 1, streamers)?;
         bytes = told.len();
         let mut taken = Ok(false);
-        spent_ms += processor_ms(|| taken = names.answer(&told, &mut Nobody));
+        spent_ms += processor_ms(|| taken = names.apply_answer(&told, &mut Nobody));
         taken.context("an answer of its own")?;
     }
     let each_ms = spent_ms / f64::from(RUNS);
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 use badgerledge_rtsp::words::{self, name};
 use badgerledge_rtsp::{Client, Framer, Unit};
 use hdrhistogram::Histogram;
@@ -35,7 +35,7 @@
     /// Asked in all, and at most.
     asked: u64,
     most: u64,
-    viewers: BTreeMap<Line, Viewer>,
+    viewers: BTreeMap<SocketId, Viewer>,
     pub granted: u64,
     pub turned_away: u64,
     pub media_bytes: u64,
@@ -78,17 +78,17 @@
         }
     }
 
-    pub fn take(&mut self, reactor: &mut Reactor, happening: &Happening) -> bool {
+    pub fn take(&mut self, reactor: &mut Reactor, happening: &ReactorEvent) -> bool {
         match happening {
-            Happening::Opened(line) if self.viewers.contains_key(line) => self.set_up(reactor, *line),
-            Happening::Readable(line) if self.viewers.contains_key(line) => self.read(reactor, *line),
-            Happening::Closed(line, _) if self.viewers.remove(line).is_some() => {}
+            ReactorEvent::Opened(line) if self.viewers.contains_key(line) => self.set_up(reactor, *line),
+            ReactorEvent::Readable(line) if self.viewers.contains_key(line) => self.read(reactor, *line),
+            ReactorEvent::Closed(line, _) if self.viewers.remove(line).is_some() => {}
             _ => return false,
         }
         true
     }
 
-    fn set_up(&mut self, reactor: &mut Reactor, line: Line) {
+    fn set_up(&mut self, reactor: &mut Reactor, line: SocketId) {
         let Some(viewer) = self.viewers.get_mut(&line) else { return };
         viewer.asked = reactor.now();
         let uri = words::uri("bench", line % TITLES);
@@ -101,7 +101,7 @@
     }
 
     fn send(
-        &mut self, reactor: &mut Reactor, line: Line, method: Method, uri: rtsp_types::Url,
+        &mut self, reactor: &mut Reactor, line: SocketId, method: Method, uri: rtsp_types::Url,
         headers: &[(headers::HeaderName, String)],
     ) {
         let Some(viewer) = self.viewers.get_mut(&line) else { return };
@@ -112,8 +112,8 @@
         }
     }
 
-    fn read(&mut self, reactor: &mut Reactor, line: Line) {
-        let mut input = reactor.lift(line);
+    fn read(&mut self, reactor: &mut Reactor, line: SocketId) {
+        let mut input = reactor.take_input(line);
         while let Some(viewer) = self.viewers.get_mut(&line) {
             let Ok(Some((unit, used))) = viewer.framer.next(input.as_slice()) else { break };
             match unit {
@@ -130,10 +130,10 @@
             }
             input.consume(used);
         }
-        reactor.lay_back(line, input);
+        reactor.restore_input(line, input);
     }
 
-    fn answered(&mut self, reactor: &mut Reactor, line: Line, granted: bool) {
+    fn answered(&mut self, reactor: &mut Reactor, line: SocketId, granted: bool) {
         let uri = words::uri("bench", line % TITLES);
         if !granted {
             self.turned_away += 1;
@@ -149,7 +149,7 @@
             Then::Leave => {
                 self.send(reactor, line, Method::Teardown, uri, &[]);
                 self.viewers.remove(&line);
-                reactor.finish(line);
+                reactor.close_after_flush(line);
             }
         }
     }
--- a/crates/bench/src/pusher.rs
+++ b/crates/bench/src/pusher.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use anyhow::Result;
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 use badgerledge_rtsp::{frame_header, Framer, Server, Unit};
 use badgerledge_standins::{packet, Packet};
 use rtsp_types::{Method, StatusCode};
@@ -18,11 +18,11 @@
 
 /// A streamer that sends as fast as its packets are taken.
 pub struct Pusher {
-    listener: Line,
+    listener: SocketId,
     pub at: SocketAddr,
-    streams: BTreeMap<Line, (Framer, Server)>,
+    streams: BTreeMap<SocketId, (Framer, Server)>,
     /// The streams that play, and whether their first packet has gone.
-    playing: Vec<(Line, bool)>,
+    playing: Vec<(SocketId, bool)>,
     frame: Vec<u8>,
     sent: u64,
 }
@@ -35,13 +35,13 @@
         Ok(Self { listener, at, streams: BTreeMap::new(), playing: Vec::new(), frame, sent: 0 })
     }
 
-    pub fn take(&mut self, reactor: &mut Reactor, happening: &Happening) -> bool {
+    pub fn take(&mut self, reactor: &mut Reactor, happening: &ReactorEvent) -> bool {
         match happening {
-            Happening::Accepted { line, listener, .. } if *listener == self.listener => {
+            ReactorEvent::Accepted { connection: line, listener, .. } if *listener == self.listener => {
                 self.streams.insert(*line, Default::default());
             }
-            Happening::Readable(line) if self.streams.contains_key(line) => self.read(reactor, *line),
-            Happening::Closed(line, _) if self.streams.remove(line).is_some() => {
+            ReactorEvent::Readable(line) if self.streams.contains_key(line) => self.read(reactor, *line),
+            ReactorEvent::Closed(line, _) if self.streams.remove(line).is_some() => {
                 self.playing.retain(|playing| playing.0 != *line);
             }
             _ => return false,
@@ -49,8 +49,8 @@
         true
     }
 
-    fn read(&mut self, reactor: &mut Reactor, line: Line) {
-        let mut input = reactor.lift(line);
+    fn read(&mut self, reactor: &mut Reactor, line: SocketId) {
+        let mut input = reactor.take_input(line);
         while let Some((framer, server)) = self.streams.get_mut(&line) {
             let Ok(Some((unit, used))) = framer.next(input.as_slice()) else { break };
             if let Unit::Request(request) = unit {
@@ -69,7 +69,7 @@
             }
             input.consume(used);
         }
-        reactor.lay_back(line, input);
+        reactor.restore_input(line, input);
     }
 
     /// Sends on all streams in turn, as much as may be on the way. Before all viewers play each gets one packet,
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -8,7 +8,7 @@
 use badgerledge_core::interface::Health;
 use badgerledge_reactor::Reactor;
 use badgerledge_standins::{free_port, ListService};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 
 use crate::capacity::child::processor_time_of;
 use crate::fixture::{shared, wait_for, Controller, Source};
@@ -20,14 +20,14 @@
     reactor: Reactor,
     pusher: Pusher,
     list: ListService,
-    witness: Witness,
+    witness: RuleChecker,
 }
 
 impl Scene {
     fn new() -> Result<Self> {
         let mut reactor = Reactor::new(Duration::from_secs(100))?;
         let pusher = Pusher::new(&mut reactor)?;
-        let mut witness = Witness::new(shared()?);
+        let mut witness = RuleChecker::new(shared()?);
         let mut list = ListService::new(&mut reactor, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let SocketAddr::V4(at) = pusher.at else { anyhow::bail!("an IPv4 address is wanted") };
         let now = reactor.now();
--- a/crates/bench/src/round.rs
+++ b/crates/bench/src/round.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId, SubscriptionRequest};
-use badgerledge_exchange::{Carrier, Exchange, Line};
+use badgerledge_exchange::{ConnectionId, Exchange, Transport};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 
@@ -17,10 +17,10 @@
     begun: Vec<(JobId, u16)>,
 }
 
-impl Carrier for Nowhere {
-    fn grant(&mut self, _viewer: Line, _job: JobId) {}
-    fn throttle(&mut self, _viewer: Line, _cool_down: Duration) {}
-    fn terminate(&mut self, _viewer: Line, _late: bool) {}
+impl Transport for Nowhere {
+    fn grant(&mut self, _viewer: ConnectionId, _job: JobId) {}
+    fn throttle(&mut self, _viewer: ConnectionId, _cool_down: Duration) {}
+    fn terminate(&mut self, _viewer: ConnectionId, _late: bool) {}
     fn open_join(&mut self, job: JobId, number: u16, _streamer: StreamerId) {
         self.begun.push((job, number));
     }
@@ -28,14 +28,14 @@
     fn play(&mut self, _job: JobId, _number: u16) {}
     fn step(&mut self, _job: JobId, _number: u16, _rung: u8) {}
     fn end_join(&mut self, _job: JobId, _number: u16) {}
-    fn redirect(&mut self, _viewer: Line) {}
-    fn farewell(&mut self, _viewer: Line) {}
-    fn came_to(&mut self, _streamer: StreamerId, _ending: Option<Ending>) {}
+    fn redirect(&mut self, _viewer: ConnectionId) {}
+    fn send_bye(&mut self, _viewer: ConnectionId) {}
+    fn join_result(&mut self, _streamer: StreamerId, _ending: Option<Ending>) {}
     fn remind(&mut self, _from_now: Duration, _token: u64) {}
     fn probe(&mut self, _streamer: StreamerId) {}
-    fn signal(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
-    fn observe(&mut self, _want: bool) {}
-    fn list_all(&mut self) {}
+    fn send_to_peers(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
+    fn watch_list(&mut self, _want: bool) {}
+    fn request_full_list(&mut self) {}
 }
 
 fn told(streamers: u32) -> Value {
@@ -80,7 +80,7 @@
     }
 
     pub fn playing(&self) -> usize {
-        self.exchange.book().playing()
+        self.exchange.subscriptions().playing_count()
     }
 
     fn list(&mut self) {
@@ -111,7 +111,8 @@
         };
         let begun = Instant::now();
         let used = processor_ms(|| {
-            self.exchange.round(now, &mut self.carrier, |floor| floor.viewer_asks(u64::from(n), asked, now));
+            self.exchange
+                .round(now, &mut self.carrier, |floor| floor.viewer_requested(u64::from(n), asked, now));
         });
         let took = begun.elapsed();
         self.joins_succeed();
@@ -121,10 +122,10 @@
     fn joins_succeed(&mut self) {
         for (job, number) in std::mem::take(&mut self.carrier.begun) {
             self.exchange.round(self.now, &mut self.carrier, |floor| {
-                floor.steps().join_opened(job, number);
-                floor.steps().join_set_up(job, number, 200, &[0.5, 0.5]);
-                floor.steps().join_granted(job, number, 200, &[]);
-                floor.steps().join_media(job, number);
+                floor.join_events().join_opened(job, number);
+                floor.join_events().join_set_up(job, number, 200, &[0.5, 0.5]);
+                floor.join_events().join_granted(job, number, 200, &[]);
+                floor.join_events().join_media(job, number);
             });
         }
     }
--- a/crates/controller/src/budgeting.rs
+++ b/crates/controller/src/budgeting.rs
@@ -7,7 +7,7 @@
 use badgerledge_core::interface::JobId;
 use badgerledge_crossing::{plan, Crosser, Lending, Message, Plan, SharedBucket, Step};
 use badgerledge_deployment::Deployment;
-use badgerledge_exchange::book::{Book, Held, Join};
+use badgerledge_exchange::subscription_table::{Join, SubscriptionRecord, SubscriptionTable};
 
 use crate::connections::Connections;
 
@@ -81,7 +81,9 @@
     }
 
     /// Makes plans from the traffic since the last ones, each with the zone that its path starts in.
-    pub fn plan(&mut self, connections: &mut Connections, book: &Book) -> Vec<(Option<u16>, Plan)> {
+    pub fn plan(
+        &mut self, connections: &mut Connections, book: &SubscriptionTable,
+    ) -> Vec<(Option<u16>, Plan)> {
         let now = connections.now;
         self.next_plan_at = now + PLAN_INTERVAL;
         let spent_bytes = std::mem::take(&mut connections.cross_zone_bytes);
@@ -111,19 +113,19 @@
 impl PathBudget {
     /// Returns a plan, and the rate that would be used without a budget.
     fn plan(
-        &mut self, connections: &Connections, book: &Book, spent_bytes: &BTreeMap<u16, u64>,
+        &mut self, connections: &Connections, book: &SubscriptionTable, spent_bytes: &BTreeMap<u16, u64>,
     ) -> (Plan, f64) {
         let is_on_path = |zone: u16| self.from.is_none_or(|from| from == zone);
         let bytes: u64 =
             spent_bytes.iter().filter(|(zone, _)| is_on_path(**zone)).map(|(_, bytes)| *bytes).sum();
         let crossers: Vec<Crosser> = book
-            .flowing()
+            .playing_joins()
             .filter_map(|subscription| crosser(connections, subscription, is_on_path))
             .collect();
         // Joins in progress will play at the rungs that they were sent with, which the plan cannot change
         // yet.
         let joining_rate: f64 = book
-            .out()
+            .outstanding_joins()
             .filter_map(|subscription| crosser(connections, subscription, is_on_path))
             .map(|crossing| rate_of(&crossing))
             .sum();
@@ -150,7 +152,8 @@
 
 /// A subscription as the planner needs it; `None` where it does not cross zones, or not on this plan's path.
 fn crosser(
-    connections: &Connections, (job, record, join): (JobId, &Held, &Join), is_on_path: impl Fn(u16) -> bool,
+    connections: &Connections, (job, record, join): (JobId, &SubscriptionRecord, &Join),
+    is_on_path: impl Fn(u16) -> bool,
 ) -> Option<Crosser> {
     let shared = &connections.deployment.shared;
     let from = *connections.streamer_zones.get(&join.streamer)?;
@@ -158,10 +161,10 @@
     if *source_zone == connections.deployment.place.zone || !is_on_path(from) {
         return None;
     }
-    let (_, parameters) = shared.room_types.get(record.asked.room_type)?;
+    let (_, parameters) = shared.room_types.get(record.request.room_type)?;
     let ladder = &shared.ladder;
     let highest_rung =
-        parameters.top.unwrap_or(u8::MAX).min(record.asked.max_rung).min(ladder.rates_kb.len() as u8 - 1);
+        parameters.top.unwrap_or(u8::MAX).min(record.request.max_rung).min(ladder.rates_kb.len() as u8 - 1);
     let step = |rung: u8| {
         let rung = usize::from(rung);
         Step {
--- a/crates/controller/src/changing.rs
+++ b/crates/controller/src/changing.rs
@@ -8,8 +8,8 @@
 use badgerledge_core::interface::{JobId, StreamerId};
 use badgerledge_core::random::Rng;
 use badgerledge_deployment::Shared;
-use badgerledge_exchange::book::{Book, Held};
-use badgerledge_exchange::Floor;
+use badgerledge_exchange::subscription_table::{SubscriptionRecord, SubscriptionTable};
+use badgerledge_exchange::EventHandler;
 use metrics::{counter, gauge};
 use serde_json::{Map, Value};
 
@@ -64,7 +64,9 @@
     }
 
     /// Decides what the coming round applies, if something changed.
-    pub fn plan_round(&mut self, connections: &Connections, book: &Book) -> Option<RoundChanges> {
+    pub fn plan_round(
+        &mut self, connections: &Connections, book: &SubscriptionTable,
+    ) -> Option<RoundChanges> {
         if !std::mem::take(&mut self.pending) {
             return None;
         }
@@ -74,7 +76,7 @@
         let mut to_move: Vec<(JobId, StreamerId)> = Vec::new();
         for (job, record) in book.all() {
             let subscription_outcome = outcome(
-                &Subscription { asked: record.asked, stage: stage(record, connections) },
+                &Subscription { asked: record.request, stage: stage(record, connections) },
                 configuration,
             );
             match (subscription_outcome.action, &record.join) {
@@ -102,22 +104,23 @@
 
     /// Applies a change, and moves the subscriptions whose time to move has come.
     pub fn apply(
-        &mut self, changes: Option<RoundChanges>, floor: &mut Floor<'_, '_, Connections>, now: Duration,
+        &mut self, changes: Option<RoundChanges>, floor: &mut EventHandler<'_, '_, Connections>,
+        now: Duration,
     ) {
         if let Some(RoundChanges { module_settings, outcomes }) = changes {
-            outcomes.iter().for_each(|(job, outcome)| floor.ends_at(*job, outcome.top));
-            floor.retell(module_settings);
+            outcomes.iter().for_each(|(job, outcome)| floor.limit_rung(*job, outcome.top));
+            floor.change_settings(module_settings);
             for (job, Outcome { placement, action, .. }) in outcomes {
                 floor.relocate(job, placement.0, placement.1);
                 match action {
-                    Action::Withdrawn => floor.withdraw(job),
-                    Action::TurnedAway => floor.turn_away(job),
+                    Action::Withdrawn => floor.withdraw_unsent_join(job),
+                    Action::TurnedAway => floor.reject(job),
                     Action::GoesOn | Action::MovesOn => {}
                 }
             }
         }
         while let Some((job, from)) = self.moves.pop_due(now) {
-            if floor.move_on(job, from) {
+            if floor.redirect_from(job, from) {
                 // A join in progress ends or plays within its viewer's time-out, so it is checked again.
                 self.moves.spread(now + RECHECK_DELAY, Duration::ZERO, &[(job, from)]);
             } else {
@@ -129,11 +132,11 @@
 }
 
 /// The stage of a subscription.
-fn stage(record: &Held, connections: &Connections) -> Stage {
+fn stage(record: &SubscriptionRecord, connections: &Connections) -> Stage {
     let Some(join) = &record.join else { return Stage::Waits };
     let cell = connections.streamer_cells.get(&join.streamer).copied();
-    match record.plays_to {
+    match record.playing_connection {
         Some(_) => Stage::Plays { cell },
-        None => Stage::Joins { cell, sent: join.set_up.is_some() },
+        None => Stage::Joins { cell, sent: join.set_up_rung.is_some() },
     }
 }
--- a/crates/controller/src/configuration_source.rs
+++ b/crates/controller/src/configuration_source.rs
@@ -6,7 +6,7 @@
 use anyhow::Result;
 use badgerledge_catalogue::Catalogue;
 use badgerledge_deployment::Deployment;
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 use crate::changing::Change;
 use crate::distributing::DistributionDriver;
@@ -73,12 +73,12 @@
     }
 
     /// Accepts a connection if it came in on a listener of this source.
-    pub fn accept(&mut self, reactor: &mut Reactor, connection: Line, listener: Line) -> bool {
+    pub fn accept(&mut self, reactor: &mut Reactor, connection: SocketId, listener: SocketId) -> bool {
         self.revisions().is_some_and(|revisions| revisions.accept(reactor, connection, listener))
     }
 
     /// Whether a connection belongs to this source.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         match self {
             Self::Revisions(revisions) => revisions.owns(connection),
             Self::Distribution(distribution) => distribution.owns(connection),
@@ -87,19 +87,19 @@
 
     /// Handles an event on one of its connections.
     pub fn handle_event(
-        &mut self, reactor: &mut Reactor, gossip: Option<&mut GossipDriver>, connection: Line,
-        event: &Happening,
+        &mut self, reactor: &mut Reactor, gossip: Option<&mut GossipDriver>, connection: SocketId,
+        event: &ReactorEvent,
     ) {
         match (self, event) {
-            (Self::Revisions(revisions), Happening::Opened(_)) => revisions.opened(reactor, connection),
-            (Self::Revisions(revisions), Happening::Closed(..)) => revisions.closed(connection),
+            (Self::Revisions(revisions), ReactorEvent::Opened(_)) => revisions.opened(reactor, connection),
+            (Self::Revisions(revisions), ReactorEvent::Closed(..)) => revisions.closed(connection),
             (Self::Revisions(revisions), _) => {
                 gossip.into_iter().for_each(|gossip| revisions.readable(reactor, gossip, connection));
             }
-            (Self::Distribution(distribution), Happening::Opened(_)) => {
+            (Self::Distribution(distribution), ReactorEvent::Opened(_)) => {
                 distribution.opened(reactor, connection)
             }
-            (Self::Distribution(distribution), Happening::Closed(..)) => {
+            (Self::Distribution(distribution), ReactorEvent::Closed(..)) => {
                 distribution.closed(reactor, connection)
             }
             (Self::Distribution(distribution), _) => distribution.readable(reactor, connection),
--- a/crates/controller/src/connections.rs
+++ b/crates/controller/src/connections.rs
@@ -10,8 +10,8 @@
 use badgerledge_catalogue::Catalogue;
 use badgerledge_core::interface::{Ending, JobId, StreamerId};
 use badgerledge_deployment::Deployment;
-use badgerledge_exchange::{Floor, Steps};
-use badgerledge_reactor::{Closing, Line, Reactor};
+use badgerledge_exchange::{EventHandler, JoinEvents};
+use badgerledge_reactor::{CloseReason, Reactor, SocketId};
 use rand_pcg::Pcg64Mcg;
 
 use crate::accounting::Accounting;
@@ -35,10 +35,10 @@
 pub use viewers::OVERFLOW_CONNECTIONS;
 
 /// An event for the next round.
-pub type RoundEvent = Box<dyn FnOnce(&mut Floor<'_, '_, Connections>)>;
+pub type RoundEvent = Box<dyn FnOnce(&mut EventHandler<'_, '_, Connections>)>;
 
 /// An event on a join that needs no decision, and so no round.
-pub type JoinEvent = Box<dyn FnOnce(&mut Steps<'_, '_, Connections>)>;
+pub type JoinEvent = Box<dyn FnOnce(&mut JoinEvents<'_, '_, Connections>)>;
 
 /// Identifies a join: its subscription, and its number among that subscription's joins.
 type JoinId = (JobId, u16);
@@ -56,15 +56,15 @@
     /// Viewers' connections that are served; up to [`OVERFLOW_CONNECTIONS`] more are accepted to be
     /// throttled.
     pub max_viewers: usize,
-    pub viewers: BTreeMap<Line, Viewer>,
+    pub viewers: BTreeMap<SocketId, Viewer>,
     joins: BTreeMap<JoinId, JoinConnection>,
-    join_ids: BTreeMap<Line, JoinId>,
+    join_ids: BTreeMap<SocketId, JoinId>,
     pub probes: Probes,
     /// What the module requested of the list service since the last round: whether to be sent changes, and
     /// whether to be sent the whole list.
     pub list_requests: (Option<bool>, bool),
     /// The socket for datagrams of peers; `None` where gossip carries them.
-    pub peer_socket: Option<Line>,
+    pub peer_socket: Option<SocketId>,
     pub gossiping: Option<GossipDriver>,
     /// Events since the last round, in order.
     pub round_events: Vec<RoundEvent>,
@@ -114,17 +114,17 @@
     }
 
     /// Queues an event for the next round.
-    fn queue_for_round(&mut self, event: impl FnOnce(&mut Floor<'_, '_, Connections>) + 'static) {
+    fn queue_for_round(&mut self, event: impl FnOnce(&mut EventHandler<'_, '_, Connections>) + 'static) {
         self.round_events.push(Box::new(event));
     }
 
     /// Queues an event that needs no decision; it is handled in this iteration of the event loop.
-    fn queue_join_event(&mut self, event: impl FnOnce(&mut Steps<'_, '_, Connections>) + 'static) {
+    fn queue_join_event(&mut self, event: impl FnOnce(&mut JoinEvents<'_, '_, Connections>) + 'static) {
         self.join_events.push(Box::new(event));
     }
 
     /// Handles new input on a connection.
-    pub fn readable(&mut self, connection: Line) {
+    pub fn readable(&mut self, connection: SocketId) {
         if self.viewers.contains_key(&connection) {
             self.read_viewer(connection);
         } else if self.join_ids.contains_key(&connection) {
@@ -135,7 +135,7 @@
     }
 
     /// Handles the completion of an outgoing connection.
-    pub fn opened(&mut self, connection: Line) {
+    pub fn opened(&mut self, connection: SocketId) {
         if let Some((job, number)) = self.join_ids.get(&connection).copied() {
             self.queue_join_event(move |steps| steps.join_opened(job, number));
         } else {
@@ -144,12 +144,12 @@
     }
 
     /// Handles the end of a connection.
-    pub fn closed(&mut self, connection: Line, reason: Closing) {
-        let ending = if reason == Closing::NotMade { Ending::ConnectFailed } else { Ending::Reset };
+    pub fn closed(&mut self, connection: SocketId, reason: CloseReason) {
+        let ending = if reason == CloseReason::NotMade { Ending::ConnectFailed } else { Ending::Reset };
         if self.viewers.contains_key(&connection) {
             self.drop_viewer(connection);
         } else if let Some((job, number)) = self.join_ids.get(&connection).copied() {
-            self.queue_join_event(move |steps| steps.join_ends(job, number, ending, &[]));
+            self.queue_join_event(move |steps| steps.join_ended(job, number, ending, &[]));
         } else {
             self.finish_probe(connection, ending, &[]);
         }
@@ -157,7 +157,7 @@
 }
 
 /// Writes a message to a connection's output, whole or not at all. Returns whether it was written.
-fn send(reactor: &mut Reactor, connection: Line, write: impl FnOnce(&mut Vec<u8>) -> bool) -> bool {
+fn send(reactor: &mut Reactor, connection: SocketId, write: impl FnOnce(&mut Vec<u8>) -> bool) -> bool {
     let mut bytes = Vec::with_capacity(512);
     write(&mut bytes) && reactor.send(connection, &[&bytes])
 }
--- a/crates/controller/src/connections/answers.rs
+++ b/crates/controller/src/connections/answers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::JobId;
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::notes;
 use badgerledge_rtsp::words;
 use badgerledge_rtsp::{frame_header, Response, State};
@@ -19,7 +19,7 @@
 
 impl Connections {
     /// Grants a SETUP: the viewer's subscription plays.
-    pub(super) fn answer_granted(&mut self, viewer: Line, job: JobId) {
+    pub(super) fn answer_granted(&mut self, viewer: SocketId, job: JobId) {
         let session = format!("{:016x}", self.rng.next_u64());
         let timeout = self.deployment.place.session_timeout_s;
         if let Some(join) = self.join_of(job) {
@@ -37,7 +37,7 @@
     }
 
     /// Refuses a SETUP for now and names when to retry.
-    pub(super) fn answer_throttled(&mut self, viewer: Line, retry_delay: Duration) {
+    pub(super) fn answer_throttled(&mut self, viewer: SocketId, retry_delay: Duration) {
         counter!(telemetry::ANSWERS, "kind" => "throttled").increment(1);
         self.answer_pending_setups(viewer, |viewer, cseq| {
             retry_after(viewer.server.answer_to(cseq, StatusCode::ServiceUnavailable), retry_delay)
@@ -48,14 +48,14 @@
     }
 
     /// Refuses a SETUP for good: 504 if the answer comes after the viewer's time-out, else 500.
-    pub(super) fn answer_terminated(&mut self, viewer: Line, after_timeout: bool) {
+    pub(super) fn answer_terminated(&mut self, viewer: SocketId, after_timeout: bool) {
         counter!(telemetry::ANSWERS, "kind" => "terminated").increment(1);
         let status = if after_timeout { StatusCode::GatewayTimeout } else { StatusCode::InternalServerError };
         self.answer_pending_setups(viewer, |viewer, cseq| viewer.server.answer_to(cseq, status));
     }
 
     /// Sends REDIRECT; the viewer must leave within [`REDIRECT_GRACE`].
-    pub(super) fn send_redirect(&mut self, viewer: Line) {
+    pub(super) fn send_redirect(&mut self, viewer: SocketId) {
         counter!(telemetry::MOVES).increment(1);
         let Some(client) = self.viewers.get_mut(&viewer) else { return };
         client.own_cseq += 1;
@@ -71,14 +71,14 @@
     }
 
     /// Sends an RTCP BYE to a viewer that plays, and closes its connection.
-    pub(super) fn send_goodbye(&mut self, viewer: Line) {
+    pub(super) fn send_goodbye(&mut self, viewer: SocketId) {
         let Some(client) = self.viewers.get(&viewer) else { return };
         let goodbye = notes::bye(0);
         let channel = client.channels.1;
         if client.server.state() == State::Playing {
             self.reactor.send(viewer, &[&frame_header(channel, goodbye.len() as u16), &goodbye]);
         }
-        self.reactor.finish(viewer);
+        self.reactor.close_after_flush(viewer);
         self.viewers.remove(&viewer);
     }
 }
--- a/crates/controller/src/connections/carrier.rs
+++ b/crates/controller/src/connections/carrier.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
-use badgerledge_exchange::Carrier;
-use badgerledge_reactor::Line;
+use badgerledge_exchange::Transport;
+use badgerledge_reactor::SocketId;
 
 use super::Connections;
 
-impl Carrier for Connections {
-    fn grant(&mut self, viewer: Line, job: JobId) {
+impl Transport for Connections {
+    fn grant(&mut self, viewer: SocketId, job: JobId) {
         self.answer_granted(viewer, job);
     }
 
-    fn throttle(&mut self, viewer: Line, cool_down: Duration) {
+    fn throttle(&mut self, viewer: SocketId, cool_down: Duration) {
         self.answer_throttled(viewer, cool_down);
     }
 
-    fn terminate(&mut self, viewer: Line, late: bool) {
+    fn terminate(&mut self, viewer: SocketId, late: bool) {
         self.answer_terminated(viewer, late);
     }
 
@@ -42,15 +42,15 @@
         self.tear_down_join(job, number);
     }
 
-    fn redirect(&mut self, viewer: Line) {
+    fn redirect(&mut self, viewer: SocketId) {
         self.send_redirect(viewer);
     }
 
-    fn farewell(&mut self, viewer: Line) {
+    fn send_bye(&mut self, viewer: SocketId) {
         self.send_goodbye(viewer);
     }
 
-    fn came_to(&mut self, streamer: StreamerId, ending: Option<Ending>) {
+    fn join_result(&mut self, streamer: StreamerId, ending: Option<Ending>) {
         self.report_join_result(streamer, ending);
     }
 
@@ -62,15 +62,15 @@
         self.begin_probe(streamer);
     }
 
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
         self.send_signal(peer, bytes);
     }
 
-    fn observe(&mut self, want: bool) {
+    fn watch_list(&mut self, want: bool) {
         self.list_requests.0 = Some(want);
     }
 
-    fn list_all(&mut self) {
+    fn request_full_list(&mut self) {
         self.list_requests.1 = true;
     }
 }
--- a/crates/controller/src/connections/joins.rs
+++ b/crates/controller/src/connections/joins.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_accounts::Key;
 use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
-use badgerledge_reactor::{Bounds, Line};
+use badgerledge_reactor::{Bounds, SocketId};
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{Response, Unit};
 use metrics::counter;
@@ -35,7 +35,7 @@
                     %streamer,
                     "join failed: no connection to the streamer could be begun: {error}"
                 );
-                self.queue_join_event(move |steps| steps.join_ends(job, number, Ending::ConnectFailed, &[]));
+                self.queue_join_event(move |steps| steps.join_ended(job, number, Ending::ConnectFailed, &[]));
             }
         }
     }
@@ -109,15 +109,15 @@
         if let Some(request) = join.client.request(Method::Teardown, uri, &[]).filter(|_| set_up) {
             send(&mut self.reactor, join.connection, |bytes| request.write(bytes).is_ok());
             // Sent at once, before the close and before anything to another streamer.
-            self.reactor.flush_line(join.connection);
+            self.reactor.flush_connection(join.connection);
         }
         self.reactor.close(join.connection);
     }
 
     /// Reads all complete messages and frames of a join's input.
-    pub(super) fn read_join(&mut self, connection: Line) {
+    pub(super) fn read_join(&mut self, connection: SocketId) {
         let Some(id) = self.join_ids.get(&connection).copied() else { return };
-        let mut input = self.reactor.lift(connection);
+        let mut input = self.reactor.take_input(connection);
         while let Some(join) = self.joins.get_mut(&id) {
             let used = match join.framer.next(input.as_slice()) {
                 Ok(Some((Unit::Frame(channel, payload), used))) => {
@@ -137,7 +137,7 @@
                         "invalid input from a streamer, whose join ends: {error}"
                     );
                     counter!(telemetry::INPUT_FAULTS).increment(1);
-                    self.queue_join_event(move |steps| steps.join_ends(id.0, id.1, Ending::Error, &[]));
+                    self.queue_join_event(move |steps| steps.join_ended(id.0, id.1, Ending::Error, &[]));
                     let length = input.len();
                     input.consume(length);
                     break;
@@ -145,7 +145,7 @@
             };
             input.consume(used);
         }
-        self.reactor.lay_back(connection, input);
+        self.reactor.restore_input(connection, input);
     }
 
     /// Handles a streamer's answer to a request.
--- a/crates/controller/src/connections/probing.rs
+++ b/crates/controller/src/connections/probing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, StreamerId};
-use badgerledge_reactor::{Bounds, Line};
+use badgerledge_reactor::{Bounds, SocketId};
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::Unit;
 use rtsp_types::{headers, Method};
@@ -23,12 +23,14 @@
         });
         match connected {
             Some(Ok(connection)) => self.probes.insert(connection, streamer, self.now),
-            _ => self.queue_for_round(move |floor| floor.probed(streamer, Ending::Moot, Duration::ZERO, &[])),
+            _ => self.queue_for_round(move |floor| {
+                floor.probe_finished(streamer, Ending::Moot, Duration::ZERO, &[])
+            }),
         }
     }
 
     /// Sends a probe's request once its connection is up.
-    pub(super) fn probe_opened(&mut self, connection: Line) {
+    pub(super) fn probe_opened(&mut self, connection: SocketId) {
         let Some(probe) = self.probes.get(connection) else { return };
         let options = rtsp_types::Request::builder(Method::Options, rtsp_types::Version::V1_0)
             .request_uri(words::uri(probe.streamer, 0))
@@ -38,8 +40,8 @@
     }
 
     /// Reads a probe's input: the first answer completes the probe.
-    pub(super) fn read_probe(&mut self, connection: Line) {
-        let input = self.reactor.lift(connection);
+    pub(super) fn read_probe(&mut self, connection: SocketId) {
+        let input = self.reactor.take_input(connection);
         let Some(probe) = self.probes.get(connection) else { return };
         let result = match probe.framer.next(input.as_slice()) {
             Ok(Some((Unit::Response(response), _))) => {
@@ -49,17 +51,17 @@
             Ok(Some(_)) | Err(_) => Some((Ending::Error, Vec::new())),
             Ok(None) => None,
         };
-        self.reactor.lay_back(connection, input);
+        self.reactor.restore_input(connection, input);
         if let Some((ending, usage)) = result {
             self.finish_probe(connection, ending, &usage);
         }
     }
 
     /// Ends a probe and reports its result to the module.
-    pub fn finish_probe(&mut self, connection: Line, ending: Ending, usage: &[f64]) {
+    pub fn finish_probe(&mut self, connection: SocketId, ending: Ending, usage: &[f64]) {
         let Some(probe) = self.probes.remove(connection) else { return };
         self.reactor.close(connection);
         let (streamer, latency, usage) = (probe.streamer, self.now - probe.sent_at, usage.to_vec());
-        self.queue_for_round(move |floor| floor.probed(streamer, ending, latency, &usage));
+        self.queue_for_round(move |floor| floor.probe_finished(streamer, ending, latency, &usage));
     }
 }
--- a/crates/controller/src/connections/relay.rs
+++ b/crates/controller/src/connections/relay.rs
@@ -1,7 +1,7 @@
 //! Relays media and control packets from a streamer to its viewer.
 
 use badgerledge_core::interface::{Ending, StreamerId};
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::notes::{self, Note};
 use badgerledge_rtsp::{frame_header, State};
 
@@ -66,16 +66,19 @@
                 if let Some(gossiping) = &mut self.gossiping {
                     gossiping.observe_progress_report(self.now, streamer, kind, value);
                 }
-                self.queue_for_round(move |floor| floor.join_note(id.0, id.1, kind, value));
+                self.queue_for_round(move |floor| floor.progress_report(id.0, id.1, kind, value));
+            }
+            Note::Bye => {
+                self.queue_join_event(move |steps| steps.join_ended(id.0, id.1, Ending::Served, &[]))
             }
-            Note::Bye => self.queue_join_event(move |steps| steps.join_ends(id.0, id.1, Ending::Served, &[])),
         }
     }
 
     /// Sends a packet to the viewer if it plays, or buffers it until it does.
     fn relay(&mut self, id: JoinId, is_rtcp: bool, packet: &[u8]) {
         let Some(join) = self.joins.get_mut(&id) else { return };
-        let state_of = |connection: &Line| self.viewers.get(connection).map(|viewer| viewer.server.state());
+        let state_of =
+            |connection: &SocketId| self.viewers.get(connection).map(|viewer| viewer.server.state());
         match join.viewer.as_ref().and_then(state_of) {
             Some(State::Playing) => {
                 if let Some(connection) = join.viewer {
@@ -91,12 +94,12 @@
     }
 
     /// Sends a packet to a viewer, whole or not at all.
-    pub(super) fn send_packet(&mut self, connection: Line, is_rtcp: bool, packet: &[u8]) {
+    pub(super) fn send_packet(&mut self, connection: SocketId, is_rtcp: bool, packet: &[u8]) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         let channel = if is_rtcp { viewer.channels.1 } else { viewer.channels.0 };
         let Ok(length) = u16::try_from(packet.len()) else { return };
         let parts: [&[u8]; 2] = [&frame_header(channel, length), packet];
-        if self.reactor.send_leaving(connection, RESERVED_FOR_ANSWERS, &parts) {
+        if self.reactor.send_reserving(connection, RESERVED_FOR_ANSWERS, &parts) {
             viewer.output_full_since = None;
             self.relay_counts.packets += 1;
             self.relay_counts.bytes += u64::from(length);
--- a/crates/controller/src/connections/requests.rs
+++ b/crates/controller/src/connections/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::words;
 use badgerledge_rtsp::{describe, interleaved, Request, State};
 use metrics::counter;
@@ -18,7 +18,7 @@
 
 impl Connections {
     /// Handles a request, or defers it behind a SETUP that waits for its answer.
-    pub(super) fn handle_request(&mut self, connection: Line, request: Request) {
+    pub(super) fn handle_request(&mut self, connection: SocketId, request: Request) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         if viewer.over_limit && *request.method() != Method::Setup {
             let answer = viewer.server.answer(&request, StatusCode::ServiceUnavailable);
@@ -51,7 +51,7 @@
     }
 
     /// Handles a request that the session's state permits.
-    fn handle_permitted(&mut self, connection: Line, request: &Request) {
+    fn handle_permitted(&mut self, connection: SocketId, request: &Request) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         match request.method() {
             Method::Options => {
@@ -86,7 +86,7 @@
     }
 
     /// Answers DESCRIBE with the description of a title.
-    fn describe(&mut self, connection: Line, request: &Request) {
+    fn describe(&mut self, connection: SocketId, request: &Request) {
         let Some(viewer) = self.viewers.get(&connection) else { return };
         let title = request.request_uri().and_then(words::title);
         let Some(title) = title.filter(|title| self.catalogue.title(*title).is_some()) else {
@@ -103,7 +103,7 @@
     }
 
     /// Handles SETUP: requests a subscription, which a later round answers.
-    fn handle_setup(&mut self, connection: Line, request: &Request) {
+    fn handle_setup(&mut self, connection: SocketId, request: &Request) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         let title = request.request_uri().and_then(words::title);
         if viewer.server.state() == State::Ready {
@@ -144,11 +144,11 @@
         viewer.pending_setups.push(viewer::cseq(request));
         counter!(telemetry::SUBSCRIPTIONS_REQUESTED).increment(1);
         let requested_at = self.now;
-        self.queue_for_round(move |floor| floor.viewer_asks(connection, subscription, requested_at));
+        self.queue_for_round(move |floor| floor.viewer_requested(connection, subscription, requested_at));
     }
 
     /// Handles PLAY: packets that were buffered until then go first.
-    fn handle_play(&mut self, connection: Line, request: &Request) {
+    fn handle_play(&mut self, connection: SocketId, request: &Request) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         let was_ready = viewer.server.state() == State::Ready;
         let is_first_play = viewer.server.session().is_some() && was_ready;
--- a/crates/controller/src/connections/viewers.rs
+++ b/crates/controller/src/connections/viewers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerledge_reactor::{Bounds, Line};
+use badgerledge_reactor::{Bounds, SocketId};
 use badgerledge_rtsp::{Response, State, Unit};
 use metrics::counter;
 use rtsp_types::StatusCode;
@@ -33,7 +33,7 @@
     }
 
     /// Accepts a viewer's connection.
-    pub fn accept_viewer(&mut self, connection: Line) {
+    pub fn accept_viewer(&mut self, connection: SocketId) {
         let over_limit = self.viewers.len() >= self.max_viewers;
         if self.viewers.len() >= self.max_viewers + OVERFLOW_CONNECTIONS {
             return self.reactor.close(connection);
@@ -42,8 +42,8 @@
     }
 
     /// Reads all complete messages and frames of a viewer's input.
-    pub(super) fn read_viewer(&mut self, connection: Line) {
-        let mut input = self.reactor.lift(connection);
+    pub(super) fn read_viewer(&mut self, connection: SocketId) {
+        let mut input = self.reactor.take_input(connection);
         while let Some(viewer) = self.viewers.get_mut(&connection) {
             let used = match viewer.framer.next(input.as_slice()) {
                 Ok(Some((unit, used))) => {
@@ -73,11 +73,11 @@
             };
             input.consume(used);
         }
-        self.reactor.lay_back(connection, input);
+        self.reactor.restore_input(connection, input);
     }
 
     /// Handles a complete message or frame of a viewer.
-    fn handle_viewer_input(&mut self, connection: Line, unit: Unit<'_>) {
+    fn handle_viewer_input(&mut self, connection: SocketId, unit: Unit<'_>) {
         match unit {
             Unit::Request(request) => self.handle_request(connection, request),
             Unit::Frame(channel, _) => self.handle_frame(connection, channel),
@@ -87,7 +87,7 @@
     }
 
     /// Receiver reports keep a viewer alive; all other frames from a viewer are counted and dropped.
-    fn handle_frame(&mut self, connection: Line, channel: u8) {
+    fn handle_frame(&mut self, connection: SocketId, channel: u8) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         if viewer.server.state() != State::Init && channel == viewer.channels.1 {
             return;
@@ -107,7 +107,7 @@
     }
 
     /// Sends an answer to a viewer; if its output is full, the connection is closed.
-    pub(super) fn answer(&mut self, connection: Line, answer: &Response) {
+    pub(super) fn answer(&mut self, connection: SocketId, answer: &Response) {
         if !send(&mut self.reactor, connection, |bytes| answer.write(bytes).is_ok()) {
             tracing::info!(
                 target: "badgerledge_controller::ends::viewers",
@@ -121,7 +121,7 @@
 
     /// Answers all pending SETUPs of a connection, then handles the requests deferred behind them.
     pub(super) fn answer_pending_setups(
-        &mut self, connection: Line, mut build_answer: impl FnMut(&Viewer, Option<&str>) -> Response,
+        &mut self, connection: SocketId, mut build_answer: impl FnMut(&Viewer, Option<&str>) -> Response,
     ) {
         let Some(viewer) = self.viewers.get_mut(&connection) else { return };
         let pending_setups = std::mem::take(&mut viewer.pending_setups);
@@ -181,13 +181,13 @@
     }
 
     /// Closes a viewer's connection once its output is written.
-    pub(super) fn finish_viewer(&mut self, connection: Line) {
-        self.reactor.finish(connection);
+    pub(super) fn finish_viewer(&mut self, connection: SocketId) {
+        self.reactor.close_after_flush(connection);
         self.drop_viewer(connection);
     }
 
     /// Forgets a viewer's connection at once, and reports its end to the next round.
-    pub(super) fn drop_viewer(&mut self, connection: Line) {
+    pub(super) fn drop_viewer(&mut self, connection: SocketId) {
         self.viewers.remove(&connection);
         self.queue_for_round(move |floor| floor.viewer_left(connection, false));
     }
--- a/crates/controller/src/distributing.rs
+++ b/crates/controller/src/distributing.rs
@@ -26,7 +26,7 @@
     relay_order, Check, HoldReason, Watcher, WatcherConfig, WatcherOutput, WatcherStatus,
 };
 use badgerledge_keys::Verifier;
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 use metrics::{counter, gauge};
 
 use crate::changing::Change;
@@ -204,12 +204,12 @@
     }
 
     /// Whether a connection belongs to this subsystem.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.relay_connections.index_of(connection).is_some()
     }
 
     /// Handles the completion of a connection to a relay.
-    pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
+    pub fn opened(&mut self, reactor: &mut Reactor, connection: SocketId) {
         let Some(relay_index) = self.relay_connections.index_of(connection) else { return };
         let mut out = Vec::new();
         self.watcher.on_connected(self.now, relay_index, &mut out);
@@ -217,7 +217,7 @@
     }
 
     /// Handles the end of a connection, after the messages that arrived before it.
-    pub fn closed(&mut self, reactor: &mut Reactor, connection: Line) {
+    pub fn closed(&mut self, reactor: &mut Reactor, connection: SocketId) {
         if let Some(relay_index) = self.relay_connections.index_of(connection) {
             self.handle_messages(reactor, relay_index);
         }
@@ -230,7 +230,7 @@
     }
 
     /// Handles new input from a relay.
-    pub fn readable(&mut self, reactor: &mut Reactor, connection: Line) {
+    pub fn readable(&mut self, reactor: &mut Reactor, connection: SocketId) {
         if let Some(relay_index) = self.relay_connections.index_of(connection) {
             self.handle_messages(reactor, relay_index);
         }
--- a/crates/controller/src/distributing/relay_connections.rs
+++ b/crates/controller/src/distributing/relay_connections.rs
@@ -8,7 +8,7 @@
 use badgerledge_distribution::message::{
     decode, encode, FrameFault, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES, MAX_WATCHER_BODY_BYTES,
 };
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use metrics::counter;
 
 use crate::telemetry;
@@ -28,7 +28,7 @@
     relays: Vec<RelayPlace>,
     /// The local address that connections go out from; the system chooses where none is set.
     from: Option<IpAddr>,
-    connections: BTreeMap<usize, Line>,
+    connections: BTreeMap<usize, SocketId>,
 }
 
 impl RelayConnections {
@@ -43,12 +43,12 @@
     }
 
     /// The index of the relay that a connection leads to.
-    pub fn index_of(&self, connection: Line) -> Option<usize> {
+    pub fn index_of(&self, connection: SocketId) -> Option<usize> {
         self.connections.iter().find(|(_, known)| **known == connection).map(|(index, _)| *index)
     }
 
     /// The connection to a relay.
-    pub fn connection(&self, index: usize) -> Option<Line> {
+    pub fn connection(&self, index: usize) -> Option<SocketId> {
         self.connections.get(&index).copied()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Forgets a connection that has ended; returns the index of its relay.
-    pub fn remove_closed(&mut self, connection: Line) -> Option<usize> {
+    pub fn remove_closed(&mut self, connection: SocketId) -> Option<usize> {
         let index = self.index_of(connection)?;
         self.connections.remove(&index);
         Some(index)
--- a/crates/controller/src/fetching.rs
+++ b/crates/controller/src/fetching.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use badgerledge_revisions::requests::{self, Request, Response, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::{Digest, Signed};
 
@@ -22,7 +22,7 @@
 /// A fetch in progress.
 struct Fetch {
     signed: Signed,
-    connection: Line,
+    connection: SocketId,
     piece_deadline: Duration,
     /// Bytes of the present piece that have not arrived yet.
     piece_bytes_left: usize,
@@ -38,7 +38,7 @@
 
 impl TextFetcher {
     /// Whether a connection is the one of the present fetch.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.current.as_ref().is_some_and(|fetch| fetch.connection == connection)
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Requests the first piece once connected.
-    pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
+    pub fn opened(&mut self, reactor: &mut Reactor, connection: SocketId) {
         if self.owns(connection) {
             self.request_piece(reactor);
         }
@@ -78,7 +78,7 @@
     }
 
     /// Ends the fetch whose connection was lost.
-    pub fn closed(&mut self, connection: Line) {
+    pub fn closed(&mut self, connection: SocketId) {
         self.current.take_if(|fetch| fetch.connection == connection);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Reads the input. Returns a text once it has its full length; the caller verifies it.
-    pub fn readable(&mut self, reactor: &mut Reactor, connection: Line) -> Option<(Signed, Arc<[u8]>)> {
+    pub fn readable(&mut self, reactor: &mut Reactor, connection: SocketId) -> Option<(Signed, Arc<[u8]>)> {
         let fetch = self.current.as_mut()?;
         let (digest, length) = (fetch.signed.head.text, fetch.signed.head.length as usize);
         if fetch.piece_bytes_left == 0 {
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -12,7 +12,7 @@
 use badgerledge_gossip::statement::Statement;
 use badgerledge_gossip::{Event, Gossip, Member, MemberState, Transport, MAX_DATAGRAM_BYTES};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 use metrics::{counter, gauge};
 
 use crate::{files, telemetry};
@@ -45,7 +45,7 @@
 pub struct GossipDriver {
     gossip: Gossip<Keys>,
     failure_reports: FailureReports,
-    connection: Line,
+    connection: SocketId,
     settings: GossipPlace,
     state: Option<PathBuf>,
     ring_modified: Option<SystemTime>,
@@ -70,7 +70,7 @@
 }
 
 /// A transport that sends datagrams through the reactor.
-fn transport(reactor: &Reactor, connection: Line) -> impl Transport + '_ {
+fn transport(reactor: &Reactor, connection: SocketId) -> impl Transport + '_ {
     move |to: SocketAddrV4, bytes: &[u8]| {
         debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         reactor.send_to(connection, SocketAddr::V4(to), bytes);
@@ -87,8 +87,9 @@
     ) -> Result<Self> {
         let keys = read_keys(settings, place.number)?;
         let ring_modified = modified_at(&settings.ring);
-        let (connection, bound) =
-            reactor.datagrams(settings.listen).with_context(|| format!("gossip at {}", settings.listen))?;
+        let (connection, bound) = reactor
+            .bind_datagrams(settings.listen)
+            .with_context(|| format!("gossip at {}", settings.listen))?;
         let SocketAddr::V4(advertised) = settings.advertise.unwrap_or(bound) else {
             bail!("[gossip] listen or advertise: the address must be IPv4");
         };
@@ -151,7 +152,7 @@
     }
 
     /// Whether a connection is this subsystem's socket.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.connection == connection
     }
 
--- a/crates/controller/src/join_connection.rs
+++ b/crates/controller/src/join_connection.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_accounts::{Amount, Key};
 use badgerledge_core::interface::StreamerId;
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::{Bounds, Client, Framer};
 
 /// Bytes of media that are buffered until the viewer's PLAY: some tenths of a second at the middle rates, the
@@ -14,12 +14,12 @@
 
 /// The connection of one join.
 pub struct JoinConnection {
-    pub connection: Line,
+    pub connection: SocketId,
     pub streamer: StreamerId,
     pub framer: Framer,
     pub client: Client,
     /// The viewer that receives its media.
-    pub viewer: Option<Line>,
+    pub viewer: Option<SocketId>,
     /// Whether its first packet of media was reported to the exchange.
     pub media_reported: bool,
     /// Media that arrived before the viewer's PLAY: whole packets, each with whether it is RTCP (else RTP).
@@ -38,7 +38,7 @@
 
 impl JoinConnection {
     /// A join whose connection was begun.
-    pub fn new(connection: Line, streamer: StreamerId) -> Self {
+    pub fn new(connection: SocketId, streamer: StreamerId) -> Self {
         Self {
             connection,
             streamer,
--- a/crates/controller/src/list.rs
+++ b/crates/controller/src/list.rs
@@ -7,8 +7,8 @@
 use badgerledge_core::interface::{Health, Listing, Start, StreamerId};
 use badgerledge_deployment::ControllerPlace;
 use badgerledge_discovery::{Backoff, Sink, StreamerList, MAX_LINE_BYTES};
-use badgerledge_exchange::{Carrier, Floor};
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_exchange::{EventHandler, Transport};
+use badgerledge_reactor::{Reactor, SocketId};
 
 use crate::files::{self, wall};
 
@@ -26,7 +26,7 @@
 pub struct ListConnection {
     address: Option<SocketAddr>,
     controller: u32,
-    connection: Option<Line>,
+    connection: Option<SocketId>,
     is_open: bool,
     retry_at: Option<Duration>,
     backoff: Backoff,
@@ -75,7 +75,7 @@
     }
 
     /// Whether a connection is the one to the list service.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.connection == Some(connection)
     }
 
@@ -212,11 +212,11 @@
 
 /// Reports the list to the round.
 pub struct ListSink<'f, 'a, 'd, C> {
-    pub floor: &'f mut Floor<'a, 'd, C>,
+    pub floor: &'f mut EventHandler<'a, 'd, C>,
     pub known: Vec<StreamerId>,
 }
 
-impl<C: Carrier> Sink for ListSink<'_, '_, '_, C> {
+impl<C: Transport> Sink for ListSink<'_, '_, '_, C> {
     fn list_begins(&mut self, how: Listing) {
         self.floor.list_begins(how, self.known.drain(..));
     }
@@ -253,8 +253,8 @@
 
     /// Applies one line of the service to the list, and reports it to the round. Returns whether the whole
     /// list must be requested because the line was invalid.
-    pub fn handle_line<C: Carrier>(
-        &mut self, line: &[u8], now: Duration, floor: &mut Floor<'_, '_, C>,
+    pub fn handle_line<C: Transport>(
+        &mut self, line: &[u8], now: Duration, floor: &mut EventHandler<'_, '_, C>,
     ) -> bool {
         let known = self.streamer_list.streamers();
         let ready_before = self.removed_streamers.as_ref().map(|_| self.ready());
--- a/crates/controller/src/probes.rs
+++ b/crates/controller/src/probes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::StreamerId;
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::{Bounds, Framer};
 
 /// Probes in progress at a time; a further one is reported as not sent. At 40 ms a probe this is over a
@@ -23,7 +23,7 @@
 /// All probes in progress, by connection.
 #[derive(Default)]
 pub struct Probes {
-    in_progress: BTreeMap<Line, Probe>,
+    in_progress: BTreeMap<SocketId, Probe>,
 }
 
 impl Probes {
@@ -33,23 +33,23 @@
     }
 
     /// Records a probe whose connection was begun.
-    pub fn insert(&mut self, connection: Line, streamer: StreamerId, sent_at: Duration) {
+    pub fn insert(&mut self, connection: SocketId, streamer: StreamerId, sent_at: Duration) {
         self.in_progress
             .insert(connection, Probe { streamer, sent_at, framer: Framer::new(Bounds::default()) });
     }
 
     /// The probe on a connection.
-    pub fn get(&mut self, connection: Line) -> Option<&mut Probe> {
+    pub fn get(&mut self, connection: SocketId) -> Option<&mut Probe> {
         self.in_progress.get_mut(&connection)
     }
 
     /// Removes a probe that is over.
-    pub fn remove(&mut self, connection: Line) -> Option<Probe> {
+    pub fn remove(&mut self, connection: SocketId) -> Option<Probe> {
         self.in_progress.remove(&connection)
     }
 
     /// The connections of probes that have timed out.
-    pub fn expired(&self, now: Duration) -> Vec<Line> {
+    pub fn expired(&self, now: Duration) -> Vec<SocketId> {
         self.in_progress
             .iter()
             .filter(|(_, probe)| probe.sent_at + PROBE_TIMEOUT <= now)
--- a/crates/controller/src/request_streams.rs
+++ b/crates/controller/src/request_streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use badgerledge_revisions::requests::{self, Request, MAX_CHUNK_BYTES, MAX_LINE_BYTES};
 use badgerledge_revisions::Signed;
 
@@ -40,29 +40,31 @@
 
 /// All open streams.
 pub struct RequestStreams {
-    listener: Line,
-    streams: BTreeMap<Line, Stream>,
+    listener: SocketId,
+    streams: BTreeMap<SocketId, Stream>,
 }
 
 impl RequestStreams {
     /// Listens for streams at an address.
-    pub fn listen(reactor: &mut Reactor, address: SocketAddr) -> Result<Line> {
+    pub fn listen(reactor: &mut Reactor, address: SocketAddr) -> Result<SocketId> {
         let listening = reactor.listen(address, BUFFERS);
         Ok(listening.with_context(|| format!("requests about revisions at {address}"))?.0)
     }
 
     /// Starts without any stream.
-    pub fn new(listener: Line) -> Self {
+    pub fn new(listener: SocketId) -> Self {
         Self { listener, streams: BTreeMap::new() }
     }
 
     /// Whether a connection is one of the streams.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.streams.contains_key(&connection)
     }
 
     /// Accepts a connection if it came in on this listener. One over the limit is closed.
-    pub fn accept(&mut self, reactor: &mut Reactor, connection: Line, listener: Line, now: Duration) -> bool {
+    pub fn accept(
+        &mut self, reactor: &mut Reactor, connection: SocketId, listener: SocketId, now: Duration,
+    ) -> bool {
         if listener != self.listener {
             return false;
         }
@@ -75,7 +77,7 @@
     }
 
     /// Forgets a stream that has ended.
-    pub fn closed(&mut self, connection: Line) {
+    pub fn closed(&mut self, connection: SocketId) {
         self.streams.remove(&connection);
     }
 
@@ -86,7 +88,7 @@
 
     /// Closes streams that have timed out.
     pub fn poll(&mut self, reactor: &mut Reactor, now: Duration) {
-        let timed_out = |(connection, stream): (&Line, &Stream)| {
+        let timed_out = |(connection, stream): (&SocketId, &Stream)| {
             (now >= stream.last_input_at + IDLE_TIMEOUT).then_some(*connection)
         };
         for connection in self.streams.iter().filter_map(timed_out).collect::<Vec<_>>() {
@@ -98,7 +100,7 @@
     /// The next complete request on a stream. A text is received only behind a head that `accepts_text`
     /// accepts: whoever can reach the port must not be able to fill this process's memory.
     pub fn readable(
-        &mut self, reactor: &mut Reactor, connection: Line, now: Duration,
+        &mut self, reactor: &mut Reactor, connection: SocketId, now: Duration,
         accepts_text: &dyn Fn(&Signed) -> Result<(), String>,
     ) -> Option<ReceivedRequest> {
         let pushes = self.streams.values().filter(|stream| stream.push.is_some()).count();
--- a/crates/controller/src/revising.rs
+++ b/crates/controller/src/revising.rs
@@ -15,7 +15,7 @@
 use badgerledge_core::random::Rng;
 use badgerledge_deployment::{ActedOn, Deployment, Text};
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 use badgerledge_revisions::lists::{ListPosition, ListPositions, RemovedStreamer};
 use badgerledge_revisions::message::Message;
 use badgerledge_revisions::requests::{self, Report, Request, Response};
@@ -241,7 +241,7 @@
     }
 
     /// Whether a connection belongs to this subsystem.
-    pub fn owns(&self, connection: Line) -> bool {
+    pub fn owns(&self, connection: SocketId) -> bool {
         self.request_streams.owns(connection) || self.fetcher.owns(connection)
     }
 
@@ -251,23 +251,23 @@
     }
 
     /// Accepts a connection if it came in on this subsystem's listener.
-    pub fn accept(&mut self, reactor: &mut Reactor, connection: Line, listener: Line) -> bool {
+    pub fn accept(&mut self, reactor: &mut Reactor, connection: SocketId, listener: SocketId) -> bool {
         self.request_streams.accept(reactor, connection, listener, self.now)
     }
 
     /// Handles the completion of an outgoing connection.
-    pub fn opened(&mut self, reactor: &mut Reactor, connection: Line) {
+    pub fn opened(&mut self, reactor: &mut Reactor, connection: SocketId) {
         self.fetcher.opened(reactor, connection);
     }
 
     /// Handles the end of a connection.
-    pub fn closed(&mut self, connection: Line) {
+    pub fn closed(&mut self, connection: SocketId) {
         self.request_streams.closed(connection);
         self.fetcher.closed(connection);
     }
 
     /// Handles new input on a connection.
-    pub fn readable(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, connection: Line) {
+    pub fn readable(&mut self, reactor: &mut Reactor, gossiping: &mut GossipDriver, connection: SocketId) {
         if self.fetcher.owns(connection) {
             if let Some((signed, text)) = self.fetcher.readable(reactor, connection) {
                 let mut out = Vec::new();
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -11,7 +11,7 @@
 use badgerledge_deployment::Deployment;
 use badgerledge_discovery::Entry;
 use badgerledge_exchange::Exchange;
-use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{raise_descriptors, Bounds, Reactor, ReactorEvent, SocketId};
 use metrics::{counter, gauge, histogram};
 use metrics_exporter_prometheus::PrometheusHandle;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -50,8 +50,8 @@
     configuration: Option<ConfigurationSource>,
     changes: ConfigurationChanges,
     exchange: Exchange,
-    listener: Line,
-    metrics_connections: Vec<Line>,
+    listener: SocketId,
+    metrics_connections: Vec<SocketId>,
     metrics_handle: PrometheusHandle,
     /// When the accounts were last exported as metrics, and the bytes of each key then, for the rates.
     accounts_exported_at: Option<Duration>,
@@ -73,7 +73,7 @@
         let place = deployment.place.clone();
         let mut reactor = Reactor::new(CLOCK_ORIGIN).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
-            reactor.signal(signal).context("signals")?;
+            reactor.watch_signal(signal).context("signals")?;
         }
         let seed = place.seed.unwrap_or_else(seed_from_clock);
         let descriptors = raise_descriptors();
@@ -105,7 +105,7 @@
         let gossip_place = deployment.gossip.clone();
         let own_address = own_address.filter(|_| gossip_place.is_none());
         let peer_socket =
-            own_address.map(|at| reactor.datagrams(*at).with_context(|| format!("peers at {at}")));
+            own_address.map(|at| reactor.bind_datagrams(*at).with_context(|| format!("peers at {at}")));
         let peer_socket = peer_socket.transpose()?.map(|(connection, _)| connection);
         let automatic = deployment.shared.fleet.discovery == "automatic";
         let list = ListConnection::new(&place, automatic, CLOCK_ORIGIN, seed ^ 1);
@@ -158,7 +158,7 @@
     /// Serves until a signal stops the process.
     pub fn run(mut self) -> Result<()> {
         let mut events = Vec::new();
-        self.connections.reactor.due(CLOCK_ORIGIN + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
+        self.connections.reactor.set_timer(CLOCK_ORIGIN + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
         while !self.stopping {
             let until = self.next_wake();
             self.connections.reactor.wait(until, &mut events).context("event loop")?;
@@ -187,7 +187,7 @@
             gossiping.leave(&connections.reactor, connections.now);
         }
         self.connections.account_traffic(true);
-        tracing::info!(held = self.exchange.book().len(), "badgerledge-controller stops");
+        tracing::info!(held = self.exchange.subscriptions().len(), "badgerledge-controller stops");
         Ok(())
     }
 
@@ -195,7 +195,7 @@
     fn handle_join_events(&mut self) {
         while !self.connections.join_events.is_empty() {
             let join_events = std::mem::take(&mut self.connections.join_events);
-            self.exchange.between(self.connections.now, &mut self.connections, |steps| {
+            self.exchange.handle_join_events(self.connections.now, &mut self.connections, |steps| {
                 join_events.into_iter().for_each(|event| event(steps))
             });
         }
@@ -232,47 +232,47 @@
     }
 
     /// Passes an event of the reactor to the part that it belongs to.
-    fn dispatch(&mut self, event: Happening) {
+    fn dispatch(&mut self, event: ReactorEvent) {
         match event {
-            Happening::Accepted { line: connection, listener, .. } if listener == self.listener => {
+            ReactorEvent::Accepted { connection, listener, .. } if listener == self.listener => {
                 self.connections.accept_viewer(connection)
             }
-            Happening::Accepted { line: connection, listener, .. }
+            ReactorEvent::Accepted { connection, listener, .. }
                 if self.accept_for_configuration(connection, listener) => {}
-            Happening::Accepted { line: connection, .. }
+            ReactorEvent::Accepted { connection, .. }
                 if self.metrics_connections.len() < MAX_METRICS_CONNECTIONS =>
             {
                 self.metrics_connections.push(connection)
             }
-            Happening::Accepted { line: connection, .. } => self.connections.reactor.close(connection),
-            Happening::Readable(connection) if self.metrics_connections.contains(&connection) => {
+            ReactorEvent::Accepted { connection, .. } => self.connections.reactor.close(connection),
+            ReactorEvent::Readable(connection) if self.metrics_connections.contains(&connection) => {
                 self.answer_metrics_request(connection)
             }
-            Happening::Closed(connection, _) if self.metrics_connections.contains(&connection) => {
+            ReactorEvent::Closed(connection, _) if self.metrics_connections.contains(&connection) => {
                 self.metrics_connections.retain(|metrics_connection| *metrics_connection != connection);
             }
-            Happening::Readable(connection)
-            | Happening::Opened(connection)
-            | Happening::Closed(connection, _)
+            ReactorEvent::Readable(connection)
+            | ReactorEvent::Opened(connection)
+            | ReactorEvent::Closed(connection, _)
                 if self.configuration.as_ref().is_some_and(|source| source.owns(connection)) =>
             {
                 self.handle_configuration_event(connection, &event);
             }
-            Happening::Readable(connection) if self.list.owns(connection) => {
+            ReactorEvent::Readable(connection) if self.list.owns(connection) => {
                 self.list.read(&mut self.connections.reactor, self.connections.now)
             }
-            Happening::Opened(connection) if self.list.owns(connection) => {
+            ReactorEvent::Opened(connection) if self.list.owns(connection) => {
                 self.list.opened(&mut self.connections.reactor)
             }
-            Happening::Closed(connection, _) if self.list.owns(connection) => {
+            ReactorEvent::Closed(connection, _) if self.list.owns(connection) => {
                 self.list.closed(self.connections.now)
             }
-            Happening::Readable(connection) => self.connections.readable(connection),
-            Happening::Opened(connection) => self.connections.opened(connection),
-            Happening::Closed(connection, reason) => self.connections.closed(connection, reason),
+            ReactorEvent::Readable(connection) => self.connections.readable(connection),
+            ReactorEvent::Opened(connection) => self.connections.opened(connection),
+            ReactorEvent::Closed(connection, reason) => self.connections.closed(connection, reason),
             // Media that did not fit was dropped; nothing is left to resume.
-            Happening::Drained(_) => {}
-            Happening::Datagram { line: connection, from, bytes }
+            ReactorEvent::Drained(_) => {}
+            ReactorEvent::Datagram { socket: connection, from, bytes }
                 if self
                     .connections
                     .gossiping
@@ -287,24 +287,26 @@
                     .map(|gossiping| gossiping.handle_datagram(&connections.reactor, now, from, &bytes));
                 self.handle_gossip_output(output);
             }
-            Happening::Datagram { from, bytes, .. } => {
+            ReactorEvent::Datagram { from, bytes, .. } => {
                 let Some(peer) = peer_at(&self.connections.deployment, from) else { return };
                 let is_lending_message = self
                     .budgets
                     .as_mut()
                     .is_some_and(|budgets| budgets.handle(&mut self.connections, peer, &bytes));
                 if !is_lending_message {
-                    self.connections.round_events.push(Box::new(move |floor| floor.peer(peer, &bytes)));
+                    self.connections
+                        .round_events
+                        .push(Box::new(move |floor| floor.peer_message(peer, &bytes)));
                 }
             }
-            Happening::Due(PERIODIC_WORK) => self.run_periodic_work(),
-            Happening::Due(token) => {
+            ReactorEvent::Timer(PERIODIC_WORK) => self.run_periodic_work(),
+            ReactorEvent::Timer(token) => {
                 self.connections
                     .round_events
-                    .push(Box::new(move |floor| floor.fired(token - FIRST_MODULE_TIMER)));
+                    .push(Box::new(move |floor| floor.reminder_due(token - FIRST_MODULE_TIMER)));
             }
-            Happening::Signal(SIGHUP) => self.reload_catalogue(),
-            Happening::Signal(signal) => {
+            ReactorEvent::Signal(SIGHUP) => self.reload_catalogue(),
+            ReactorEvent::Signal(signal) => {
                 tracing::info!(signal, "signal received; stopping");
                 self.stopping = true;
             }
@@ -332,7 +334,7 @@
                             counter!(telemetry::STREAMERS_REPORTED_OFF_LIST).increment(1);
                             self.connections
                                 .round_events
-                                .push(Box::new(move |floor| floor.reported_in_trouble(id)));
+                                .push(Box::new(move |floor| floor.failures_reported(id)));
                         }
                     }
                     continue;
@@ -344,18 +346,18 @@
         }
         for streamer in output.streamers_in_trouble {
             counter!(telemetry::PEER_REPORTS_BELIEVED).increment(1);
-            self.connections.round_events.push(Box::new(move |floor| floor.reported_in_trouble(streamer)));
+            self.connections.round_events.push(Box::new(move |floor| floor.failures_reported(streamer)));
         }
     }
 
     /// Whether a connection was accepted for the configuration source.
-    fn accept_for_configuration(&mut self, connection: Line, listener: Line) -> bool {
+    fn accept_for_configuration(&mut self, connection: SocketId, listener: SocketId) -> bool {
         let reactor = &mut self.connections.reactor;
         self.configuration.as_mut().is_some_and(|source| source.accept(reactor, connection, listener))
     }
 
     /// Passes an event on a connection of the configuration source to it.
-    fn handle_configuration_event(&mut self, connection: Line, event: &Happening) {
+    fn handle_configuration_event(&mut self, connection: SocketId, event: &ReactorEvent) {
         let Some(source) = &mut self.configuration else { return };
         let connections = &mut self.connections;
         source.handle_event(&mut connections.reactor, connections.gossiping.as_mut(), connection, event);
@@ -385,7 +387,7 @@
         }
         // Uses the clock rather than this iteration's time: the lease of a process that was suspended during
         // this iteration has expired.
-        self.exchange.hold(source.hold_new_joins(self.connections.reactor.clock()));
+        self.exchange.hold_joins(source.hold_new_joins(self.connections.reactor.clock()));
         if let Some(revising) = source.revisions() {
             let should_query = revising.should_query_list();
             self.list.request(&mut self.connections.reactor, (None, should_query));
@@ -403,10 +405,10 @@
         let cached_list_reported = std::mem::replace(&mut self.cached_list_reported, true);
         let mut caps_and_plans = None;
         if let Some(budgets) = self.budgets.as_mut().filter(|budgets| budgets.next_due() <= now) {
-            let plans = budgets.plan(&mut self.connections, self.exchange.book());
+            let plans = budgets.plan(&mut self.connections, self.exchange.subscriptions());
             caps_and_plans = Some((budgets.caps(&plans), plans));
         }
-        let pending_changes = self.changes.plan_round(&self.connections, self.exchange.book());
+        let pending_changes = self.changes.plan_round(&self.connections, self.exchange.subscriptions());
         let (list, changes) = (&mut self.list, &mut self.changes);
         let mut whole_list_wanted = false;
         self.exchange.round(now, &mut self.connections, |floor| {
@@ -419,9 +421,9 @@
                 whole_list_wanted |= list.handle_line(line, now, floor);
             }
             if !cached_list_reported || !list_lines.is_empty() {
-                floor.carrier().streamer_zones =
+                floor.transport().streamer_zones =
                     list.streamer_list.entries().map(|(id, entry)| (id, entry.zone)).collect();
-                floor.carrier().streamer_cells =
+                floor.transport().streamer_cells =
                     list.streamer_list.entries().map(|(id, entry)| (id, entry.cell)).collect();
             }
             if list_disconnected {
@@ -430,10 +432,10 @@
             }
             if let Some((caps, plans)) = caps_and_plans {
                 for (from, plan) in &plans {
-                    floor.crossing(*from, plan.room);
-                    plan.home.iter().for_each(|job| floor.send_home(*job));
+                    floor.set_crossing_budget(*from, plan.room);
+                    plan.home.iter().for_each(|job| floor.redirect_home(*job));
                 }
-                caps.into_iter().for_each(|(job, cap)| floor.cap(job, cap));
+                caps.into_iter().for_each(|(job, cap)| floor.cap_rung(job, cap));
             }
             round_events.into_iter().for_each(|event| event(floor));
         });
@@ -452,7 +454,9 @@
         }
         for (at, token) in std::mem::take(&mut self.connections.module_timers) {
             // In the next round at the earliest: a timer never fires in the round that set it.
-            self.connections.reactor.due(at.max(now + Duration::from_micros(1)), token + FIRST_MODULE_TIMER);
+            self.connections
+                .reactor
+                .set_timer(at.max(now + Duration::from_micros(1)), token + FIRST_MODULE_TIMER);
         }
         histogram!(telemetry::ROUND_TIME).record(started.elapsed().as_secs_f64());
     }
@@ -488,15 +492,15 @@
     /// Checks time-outs, stores what is due and sets gauges.
     fn run_periodic_work(&mut self) {
         let now = self.connections.now;
-        self.connections.reactor.due(now + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
+        self.connections.reactor.set_timer(now + PERIODIC_WORK_INTERVAL, PERIODIC_WORK);
         self.connections.close_expired_viewers();
         self.list.store(now);
         if self.connections.accounting.is_due(now) {
             self.connections.account_traffic(false);
             self.export_accounts();
         }
-        gauge!(telemetry::SUBSCRIPTIONS_HELD).set(self.exchange.book().len() as f64);
-        gauge!(telemetry::SUBSCRIPTIONS_PLAYING).set(self.exchange.book().playing() as f64);
+        gauge!(telemetry::SUBSCRIPTIONS_HELD).set(self.exchange.subscriptions().len() as f64);
+        gauge!(telemetry::SUBSCRIPTIONS_PLAYING).set(self.exchange.subscriptions().playing_count() as f64);
         gauge!(telemetry::CONNECTIONS).set(self.connections.reactor.connections() as f64);
         gauge!(telemetry::STREAMERS_LISTED).set(self.list.streamer_list.entries().count() as f64);
         let relay_counts = std::mem::take(&mut self.connections.relay_counts);
@@ -528,7 +532,7 @@
 
     /// Answers any request once its head is complete: with the accounts if it requests them, else with the
     /// metrics.
-    fn answer_metrics_request(&mut self, connection: Line) {
+    fn answer_metrics_request(&mut self, connection: SocketId) {
         let input = self.connections.reactor.input(connection);
         if input.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             let answer = match input.starts_with(b"GET /accounts ") {
@@ -538,7 +542,7 @@
                 false => telemetry::metrics_response(&self.metrics_handle),
             };
             self.connections.reactor.send(connection, &[&answer]);
-            self.connections.reactor.finish(connection);
+            self.connections.reactor.close_after_flush(connection);
         }
     }
 }
--- a/crates/controller/tests/it/harness.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -14,7 +14,7 @@
 use badgerledge_reactor::Reactor;
 use badgerledge_settings::Sheet;
 use badgerledge_standins::{free_port, ListService, Streamers, Told};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 use tempfile::TempDir;
 
 /// Time limit of every wait; nothing on loopback takes this long.
@@ -89,7 +89,7 @@
 fn serve(cells: u32, updates: &Receiver<Option<StreamerUpdate>>, ready: &Sender<SocketAddr>) {
     let shared = Shared::of(&Sheet::parse("shared.ini", SHARED).unwrap()).unwrap();
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
-    let mut rule_checker = Witness::new(shared.clone());
+    let mut rule_checker = RuleChecker::new(shared.clone());
     let mut list = ListService::new(&mut reactor, (Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let mut streamers = Streamers::new(shared, 1);
     let now = reactor.now();
--- a/crates/exchange/src/decision_executor.rs
+++ b/crates/exchange/src/decision_executor.rs
@@ -4,18 +4,18 @@
 
 use badgerledge_core::interface::{DecisionSink, Ending, JobId, StreamerId, SubscriptionRequest};
 
-use crate::book::{Book, Join};
-use crate::{Admission, Line};
+use crate::subscription_table::{Join, SubscriptionTable};
+use crate::{Admission, ConnectionId};
 
 /// The actions of the exchange on connections. All of them are done at once or queued; no results are
 /// returned through here.
-pub trait Carrier {
+pub trait Transport {
     /// Answers all SETUPs that wait on a connection: the subscription plays.
-    fn grant(&mut self, viewer: Line, job: JobId);
+    fn grant(&mut self, viewer: ConnectionId, job: JobId);
     /// Answers all SETUPs that wait on a connection with 503, and with a cool-down unless it is zero.
-    fn throttle(&mut self, viewer: Line, cool_down: Duration);
+    fn throttle(&mut self, viewer: ConnectionId, cool_down: Duration);
     /// Answers all SETUPs that wait on a connection: 504 if no answer came in time, 500 otherwise.
-    fn terminate(&mut self, viewer: Line, late: bool);
+    fn terminate(&mut self, viewer: ConnectionId, late: bool);
     /// Starts a join: connects, and reports [`crate::JoinEvents::join_opened`] once established.
     fn open_join(&mut self, job: JobId, number: u16, streamer: StreamerId);
     /// Sends SETUP on an established join.
@@ -28,29 +28,29 @@
     /// is sent.
     fn end_join(&mut self, job: JobId, number: u16);
     /// Sends REDIRECT, which sends a viewer back to this controller.
-    fn redirect(&mut self, viewer: Line);
+    fn redirect(&mut self, viewer: ConnectionId);
     /// Tells a viewer that its stream has ended: sends BYE and closes the connection.
-    fn farewell(&mut self, viewer: Line);
+    fn send_bye(&mut self, viewer: ConnectionId);
     /// Reports the result of a join, which shows whether its streamer fails: `None` if it plays, otherwise
     /// how it ended.
-    fn came_to(&mut self, streamer: StreamerId, ending: Option<Ending>);
+    fn join_result(&mut self, streamer: StreamerId, ending: Option<Ending>);
     /// Sets a reminder for the decision module.
     fn remind(&mut self, from_now: Duration, token: u64);
     /// Probes a streamer.
     fn probe(&mut self, streamer: StreamerId);
     /// Sends a message to one other controller, or to all.
-    fn signal(&mut self, peer: Option<u16>, bytes: &[u8]);
+    fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]);
     /// Subscribes to changes of the streamer list, or unsubscribes.
-    fn observe(&mut self, want: bool);
+    fn watch_list(&mut self, want: bool);
     /// Requests the complete streamer list.
-    fn list_all(&mut self);
+    fn request_full_list(&mut self);
 }
 
 /// Implements the decision module's [`DecisionSink`] on the subscription table and the transport.
 pub(crate) struct DecisionExecutor<'a, C> {
-    pub book: &'a mut Book,
+    pub subscriptions: &'a mut SubscriptionTable,
     pub admission: &'a mut Admission,
-    pub carrier: &'a mut C,
+    pub transport: &'a mut C,
     pub now: Duration,
     /// Outcomes that the decision module has not received yet, in order.
     pub pending_outcomes: &'a mut Vec<PendingOutcome>,
@@ -70,13 +70,13 @@
     Ended(JobId, u16, StreamerId, Ending, bool, Duration, Vec<f64>),
 }
 
-impl<C: Carrier> DecisionExecutor<'_, C> {
+impl<C: Transport> DecisionExecutor<'_, C> {
     /// Ends a subscription: removes its record, ends its join and frees its place.
-    pub fn close(&mut self, job: JobId) -> Option<crate::book::Held> {
-        let subscription = self.book.close(job)?;
+    pub fn close(&mut self, job: JobId) -> Option<crate::subscription_table::SubscriptionRecord> {
+        let subscription = self.subscriptions.remove(job)?;
         self.admission.leave(self.now);
         if let Some(join) = &subscription.join {
-            self.carrier.end_join(job, join.number);
+            self.transport.end_join(job, join.number);
         }
         Some(subscription)
     }
@@ -87,12 +87,12 @@
     /// within this time is rejected.
     pub fn remember_if_unsafe(&mut self, request: &SubscriptionRequest) {
         if self.unsafe_room_types.contains(&request.room_type) {
-            self.book.remember_unsafe(request, self.now + request.client_timeout);
+            self.subscriptions.remember_terminated(request, self.now + request.client_timeout);
         }
     }
 
     fn push_cancelled(&mut self, job: JobId, join: &Join) {
-        let latency = self.now - join.sent;
+        let latency = self.now - join.sent_at;
         let Join { number, streamer, .. } = *join;
         self.pending_outcomes.push(PendingOutcome::Ended(
             job,
@@ -105,22 +105,22 @@
         ));
     }
 
-    fn answer(&mut self, job: JobId, mut answer: impl FnMut(&mut C, Line)) {
+    fn answer(&mut self, job: JobId, mut answer: impl FnMut(&mut C, ConnectionId)) {
         // A subscription that ends after its stream has started was answered before.
-        if self.book.get(job).is_none_or(|subscription| subscription.plays_to.is_some()) {
+        if self.subscriptions.get(job).is_none_or(|subscription| subscription.playing_connection.is_some()) {
             return;
         }
         let Some(subscription) = self.close(job) else { return };
         if let Some(join) = &subscription.join {
             self.push_cancelled(job, join);
         }
-        subscription.waiting.iter().for_each(|connection| answer(self.carrier, *connection));
+        subscription.waiting_connections.iter().for_each(|connection| answer(self.transport, *connection));
     }
 }
 
-impl<C: Carrier> DecisionSink for DecisionExecutor<'_, C> {
+impl<C: Transport> DecisionSink for DecisionExecutor<'_, C> {
     fn send_join(&mut self, job: JobId, streamer: StreamerId, try_until: Duration) {
-        let Some(number) = self.book.join(job, streamer, self.now, try_until) else {
+        let Some(number) = self.subscriptions.start_join(job, streamer, self.now, try_until) else {
             // The subscription has an outstanding join, plays or is over: reported as moot, as the simulator
             // does.
             let moot = PendingOutcome::Ended(
@@ -136,9 +136,9 @@
         };
         if let Some(cool_down) = self.hold_cool_down {
             // New joins are held back, so this one is not sent and its viewer is throttled at once.
-            return self.answer(job, |carrier, connection| carrier.throttle(connection, cool_down));
+            return self.answer(job, |transport, connection| transport.throttle(connection, cool_down));
         }
-        if let Some(subscription) = self.book.get(job) {
+        if let Some(subscription) = self.subscriptions.get(job) {
             subscription.span.in_scope(|| {
                 tracing::debug!(
                     target: "badgerledge_exchange::desk",
@@ -149,11 +149,11 @@
                 )
             });
         }
-        self.carrier.open_join(job, number, streamer);
+        self.transport.open_join(job, number, streamer);
     }
 
     fn throttle(&mut self, job: JobId, cool_down: Duration) {
-        if let Some(subscription) = self.book.get(job) {
+        if let Some(subscription) = self.subscriptions.get(job) {
             subscription.span.in_scope(|| {
                 tracing::info!(
                     target: "badgerledge_exchange::desk",
@@ -162,27 +162,27 @@
                 )
             });
         }
-        self.answer(job, |carrier, connection| carrier.throttle(connection, cool_down));
+        self.answer(job, |transport, connection| transport.throttle(connection, cool_down));
     }
 
     fn respond_error(&mut self, job: JobId) {
-        let Some(subscription) = self.book.get(job) else { return };
-        let late = self.now >= subscription.taken + subscription.asked.client_timeout;
+        let Some(subscription) = self.subscriptions.get(job) else { return };
+        let late = self.now >= subscription.admitted_at + subscription.request.client_timeout;
         subscription
             .span
             .in_scope(|| tracing::info!(target: "badgerledge_exchange::desk", late, "terminated"));
-        let request = subscription.asked;
+        let request = subscription.request;
         self.remember_if_unsafe(&request);
-        self.answer(job, |carrier, connection| carrier.terminate(connection, late));
+        self.answer(job, |transport, connection| transport.terminate(connection, late));
     }
 
     fn set_rung(&mut self, job: JobId, rung: u8) {
-        let Some(subscription) = self.book.set_rung(job, rung) else { return };
-        if let Some(join) = subscription.join.as_ref().filter(|join| join.flows()) {
+        let Some(subscription) = self.subscriptions.set_rung(job, rung) else { return };
+        if let Some(join) = subscription.join.as_ref().filter(|join| join.plays()) {
             subscription
                 .span
                 .in_scope(|| tracing::debug!(target: "badgerledge_exchange::desk", rung, "step"));
-            self.carrier.step(job, join.number, rung);
+            self.transport.step(job, join.number, rung);
         }
     }
 
@@ -193,18 +193,18 @@
             self.push_cancelled(job, join);
         }
         subscription
-            .waiting
+            .waiting_connections
             .iter()
-            .chain(&subscription.plays_to)
-            .for_each(|connection| self.carrier.redirect(*connection));
+            .chain(&subscription.playing_connection)
+            .for_each(|connection| self.transport.redirect(*connection));
     }
 
     fn cancel(&mut self, job: JobId, join: u16) {
         // A join whose stream has started is not withdrawn.
-        let playing = self.book.current(job, join).is_none_or(|join| join.flows());
-        if let Some(ended) = (!playing).then(|| self.book.end_join(job, join)).flatten() {
-            self.carrier.end_join(job, join);
-            let latency = self.now - ended.sent;
+        let playing = self.subscriptions.current_join(job, join).is_none_or(|join| join.plays());
+        if let Some(ended) = (!playing).then(|| self.subscriptions.end_join(job, join)).flatten() {
+            self.transport.end_join(job, join);
+            let latency = self.now - ended.sent_at;
             let ending = Ending::Cancelled;
             self.pending_outcomes.push(PendingOutcome::Ended(
                 job,
@@ -219,26 +219,26 @@
     }
 
     fn set_timer(&mut self, from_now: Duration, token: u64) {
-        self.carrier.remind(from_now, token);
+        self.transport.remind(from_now, token);
     }
 
     fn send_probe(&mut self, streamer: StreamerId) {
-        self.carrier.probe(streamer);
+        self.transport.probe(streamer);
     }
 
     // Each join has its own connection, which is closed with it: none is idle.
     fn close_connection(&mut self, _streamer: StreamerId) {}
 
     fn send_to_peers(&mut self, peer: Option<u16>, bytes: &[u8]) {
-        self.carrier.signal(peer, bytes);
+        self.transport.send_to_peers(peer, bytes);
     }
 
     fn watch_list(&mut self, want: bool) {
-        self.carrier.observe(want);
+        self.transport.watch_list(want);
     }
 
     fn request_full_list(&mut self) {
-        self.carrier.list_all();
+        self.transport.request_full_list();
     }
 
     fn log_info(&mut self, text: &str) {
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -5,14 +5,14 @@
 use badgerledge_core::decide::Controller;
 use serde_json::{Map, Value};
 
-use crate::book::Book;
-use crate::decision_executor::{Carrier, DecisionExecutor, PendingOutcome};
-use crate::{Admission, Floor, Steps};
+use crate::decision_executor::{DecisionExecutor, PendingOutcome, Transport};
+use crate::subscription_table::SubscriptionTable;
+use crate::{Admission, EventHandler, JoinEvents};
 
 /// The decision module and the subscriptions of one controller.
 pub struct Exchange {
     module: Controller,
-    book: Book,
+    subscriptions: SubscriptionTable,
     admission: Admission,
     pending_outcomes: Vec<PendingOutcome>,
     unsafe_room_types: Vec<usize>,
@@ -27,7 +27,7 @@
         let unsafe_room_types = unsafe_room_types(&settings);
         Self {
             module: Controller::new(now, seed, settings),
-            book: Book::default(),
+            subscriptions: SubscriptionTable::default(),
             admission: Admission::new(max_subscriptions, seed.rotate_left(32)),
             pending_outcomes: Vec::new(),
             unsafe_room_types,
@@ -37,35 +37,35 @@
 
     /// Holds new joins back, or resumes them; `cool_down` is when throttled viewers may retry. Must be called
     /// before anything that may send a join. Playing subscriptions continue.
-    pub fn hold(&mut self, cool_down: Option<Duration>) {
+    pub fn hold_joins(&mut self, cool_down: Option<Duration>) {
         self.hold_cool_down = cool_down;
     }
 
     /// The records of all subscriptions.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn subscriptions(&self) -> &SubscriptionTable {
+        &self.subscriptions
     }
 
     /// When the next round is due without any events.
     pub fn next_due(&self) -> Option<Duration> {
         if self.pending_outcomes.is_empty() {
-            self.book.next_due()
+            self.subscriptions.next_due()
         } else {
             Some(Duration::ZERO)
         }
     }
 
     /// Handles events of joins between rounds.
-    pub fn between<C: Carrier>(
-        &mut self, now: Duration, carrier: &mut C, feed: impl FnOnce(&mut Steps<'_, '_, C>),
+    pub fn handle_join_events<C: Transport>(
+        &mut self, now: Duration, transport: &mut C, feed: impl FnOnce(&mut JoinEvents<'_, '_, C>),
     ) {
-        let Self { book, admission, pending_outcomes, unsafe_room_types, hold_cool_down, .. } = self;
+        let Self { subscriptions, admission, pending_outcomes, unsafe_room_types, hold_cool_down, .. } = self;
         let hold_cool_down = *hold_cool_down;
-        feed(&mut Steps {
+        feed(&mut JoinEvents {
             executor: &mut DecisionExecutor {
-                book,
+                subscriptions,
                 admission,
-                carrier,
+                transport,
                 now,
                 pending_outcomes,
                 unsafe_room_types,
@@ -76,22 +76,23 @@
 
     /// Runs one round at `now`: the events that `feed` reports, then what is overdue, then the due work of
     /// the decision module.
-    pub fn round<C: Carrier>(
-        &mut self, now: Duration, carrier: &mut C, feed: impl FnOnce(&mut Floor<'_, '_, C>),
+    pub fn round<C: Transport>(
+        &mut self, now: Duration, transport: &mut C, feed: impl FnOnce(&mut EventHandler<'_, '_, C>),
     ) {
-        let Self { module, book, admission, pending_outcomes, unsafe_room_types, hold_cool_down } = self;
+        let Self { module, subscriptions, admission, pending_outcomes, unsafe_room_types, hold_cool_down } =
+            self;
         let hold_cool_down = *hold_cool_down;
         let mut executor = DecisionExecutor {
-            book,
+            subscriptions,
             admission,
-            carrier,
+            transport,
             now,
             pending_outcomes,
             unsafe_room_types,
             hold_cool_down,
         };
         let events = |module: &mut Controller, executor: &mut DecisionExecutor<'_, C>| {
-            let mut handler = Floor { module, executor };
+            let mut handler = EventHandler { module, executor };
             handler.deliver_outcomes();
             feed(&mut handler);
             handler.deliver_outcomes();
--- a/crates/exchange/src/limits.rs
+++ b/crates/exchange/src/limits.rs
@@ -16,7 +16,7 @@
 pub const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The client timeout for the decision module, given the one that the viewer stated.
-pub fn client_timeout(stated: Duration) -> Duration {
+pub fn module_client_timeout(stated: Duration) -> Duration {
     let stated = stated.min(MAX_CLIENT_TIMEOUT);
     stated - ANSWER_MARGIN.min(stated / 10)
 }
--- a/crates/exchange/src/tests.rs
+++ b/crates/exchange/src/tests.rs
@@ -9,7 +9,7 @@
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{json, Value};
 
-use crate::{Admission, Carrier, Exchange, Floor, Line};
+use crate::{Admission, ConnectionId, EventHandler, Exchange, Transport};
 
 mod settings_changes;
 
@@ -73,21 +73,21 @@
 #[derive(Default)]
 struct CheckingTransport {
     now: Duration,
-    connections: BTreeMap<Line, ViewerConnection>,
+    connections: BTreeMap<ConnectionId, ViewerConnection>,
     joins: BTreeMap<(JobId, u16), StreamerJoin>,
     viewers: BTreeMap<JobId, (u64, usize)>,
     unavailable: BTreeSet<StreamerId>,
     requests: Vec<Duration>,
     further_joins: Vec<Duration>,
-    redirected: Vec<Line>,
+    redirected: Vec<ConnectionId>,
     steps: Vec<(JobId, u8)>,
     reminders: BTreeSet<(Duration, u64)>,
-    granted: BTreeMap<Line, JobId>,
-    throttled: Vec<Line>,
+    granted: BTreeMap<ConnectionId, JobId>,
+    throttled: Vec<ConnectionId>,
 }
 
 impl CheckingTransport {
-    fn answer(&mut self, connection: Line) {
+    fn answer(&mut self, connection: ConnectionId) {
         let connection_state =
             self.connections.get_mut(&connection).expect("only connections with a request are answered");
         connection_state.answers += 1;
@@ -113,18 +113,18 @@
     }
 }
 
-impl Carrier for CheckingTransport {
-    fn grant(&mut self, viewer: Line, job: JobId) {
+impl Transport for CheckingTransport {
+    fn grant(&mut self, viewer: ConnectionId, job: JobId) {
         self.answer(viewer);
         self.granted.insert(viewer, job);
     }
 
-    fn throttle(&mut self, viewer: Line, _cool_down: Duration) {
+    fn throttle(&mut self, viewer: ConnectionId, _cool_down: Duration) {
         self.throttled.push(viewer);
         self.answer(viewer);
     }
 
-    fn terminate(&mut self, viewer: Line, _late: bool) {
+    fn terminate(&mut self, viewer: ConnectionId, _late: bool) {
         self.answer(viewer);
     }
 
@@ -178,25 +178,25 @@
         self.joins.get_mut(&(job, number)).unwrap().outstanding = false;
     }
 
-    fn redirect(&mut self, viewer: Line) {
+    fn redirect(&mut self, viewer: ConnectionId) {
         self.redirected.push(viewer);
     }
 
-    fn farewell(&mut self, viewer: Line) {
+    fn send_bye(&mut self, viewer: ConnectionId) {
         if let Some(connection_state) = self.connections.get_mut(&viewer) {
             connection_state.left = true;
         }
     }
 
-    fn came_to(&mut self, _streamer: StreamerId, _ending: Option<Ending>) {}
+    fn join_result(&mut self, _streamer: StreamerId, _ending: Option<Ending>) {}
     fn remind(&mut self, from_now: Duration, token: u64) {
         self.reminders.insert((self.now + from_now.max(ms(1)), token));
     }
 
     fn probe(&mut self, _streamer: StreamerId) {}
-    fn signal(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
-    fn observe(&mut self, _want: bool) {}
-    fn list_all(&mut self) {}
+    fn send_to_peers(&mut self, _peer: Option<u16>, _bytes: &[u8]) {}
+    fn watch_list(&mut self, _want: bool) {}
+    fn request_full_list(&mut self) {}
 }
 
 /// Events of viewers, streamers and the list. Numbers select among what exists, so that every sequence is
@@ -257,7 +257,7 @@
 struct Harness {
     exchange: Exchange,
     transport: CheckingTransport,
-    next_connection: Line,
+    next_connection: ConnectionId,
 }
 
 impl Harness {
@@ -276,16 +276,16 @@
         harness
     }
 
-    fn round(&mut self, feed: impl FnOnce(&mut Floor<'_, '_, CheckingTransport>)) {
+    fn round(&mut self, feed: impl FnOnce(&mut EventHandler<'_, '_, CheckingTransport>)) {
         let now = self.transport.now;
         let due: Vec<u64> =
             self.transport.reminders.iter().take_while(|due| due.0 <= now).map(|due| due.1).collect();
         self.transport.reminders.retain(|due| due.0 > now);
         self.exchange.round(now, &mut self.transport, |handler| {
-            due.into_iter().for_each(|token| handler.fired(token));
+            due.into_iter().for_each(|token| handler.reminder_due(token));
             feed(handler);
         });
-        for (connection, job) in self.exchange.book().lines() {
+        for (connection, job) in self.exchange.subscriptions().connections() {
             let (viewer, room_type) = self.transport.viewers[&job];
             assert!(room_type < 2, "connection {connection} belongs to viewer {viewer}");
         }
@@ -300,7 +300,7 @@
         }
     }
 
-    fn request(&mut self, viewer: u64, connection: Line) {
+    fn request(&mut self, viewer: u64, connection: ConnectionId) {
         let asked = request(viewer, (viewer % 2) as usize);
         let now = self.transport.now;
         let connection_state =
@@ -309,12 +309,12 @@
         self.transport.requests.push(now);
         // The exchange numbers subscriptions in sequence, so the next id is known before the decision module
         // decides.
-        let next = self.exchange.book().next_job();
+        let next = self.exchange.subscriptions().next_job();
         self.transport.viewers.insert(next, (viewer, asked.room_type));
-        self.round(|handler| handler.viewer_asks(connection, asked, now));
+        self.round(|handler| handler.viewer_requested(connection, asked, now));
     }
 
-    fn new_connection(&mut self) -> Line {
+    fn new_connection(&mut self) -> ConnectionId {
         self.next_connection += 1;
         self.next_connection
     }
@@ -331,16 +331,16 @@
         match event {
             Event::Request { viewer, again } => {
                 let viewer = u64::from(*viewer) + 1;
-                let job = self.exchange.book().of_viewer(&request(viewer, 0));
-                let subscription = job.and_then(|job| self.exchange.book().get(job));
+                let job = self.exchange.subscriptions().job_of_viewer(&request(viewer, 0));
+                let subscription = job.and_then(|job| self.exchange.subscriptions().get(job));
                 let previous = subscription
-                    .and_then(|subscription| subscription.waiting.last().copied())
+                    .and_then(|subscription| subscription.waiting_connections.last().copied())
                     .filter(|_| *again);
                 let connection = previous.unwrap_or_else(|| self.new_connection());
                 self.request(viewer, connection);
             }
             Event::Leave { connection, orderly } => {
-                let open: Vec<Line> = self
+                let open: Vec<ConnectionId> = self
                     .transport
                     .connections
                     .iter()
@@ -357,7 +357,7 @@
             }
             Event::Opened(number) => self.join(*number, |transport, id| {
                 (!transport.joins[&id].set_up)
-                    .then_some(Box::new(move |handler| handler.steps().join_opened(id.0, id.1)))
+                    .then_some(Box::new(move |handler| handler.join_events().join_opened(id.0, id.1)))
             }),
             Event::SetUp(number, status) => {
                 let status = *status;
@@ -365,7 +365,7 @@
                     let join = transport.joins.get_mut(&id)?;
                     join.proven_unrun |= matches!(status, 453 | 503) && join.set_up && join.outstanding;
                     join.set_up.then_some(Box::new(move |handler| {
-                        handler.steps().join_set_up(id.0, id.1, status, &[0.5])
+                        handler.join_events().join_set_up(id.0, id.1, status, &[0.5])
                     }))
                 });
             }
@@ -373,14 +373,14 @@
                 let status = *status;
                 self.join(*number, move |transport, id| {
                     transport.joins[&id].set_up.then_some(Box::new(move |handler| {
-                        handler.steps().join_granted(id.0, id.1, status, &[])
+                        handler.join_events().join_granted(id.0, id.1, status, &[])
                     }))
                 });
             }
             Event::Media(number) => self.join(*number, |transport, id| {
                 transport.joins[&id]
                     .set_up
-                    .then_some(Box::new(move |handler| handler.steps().join_media(id.0, id.1)))
+                    .then_some(Box::new(move |handler| handler.join_events().join_media(id.0, id.1)))
             }),
             Event::Play(number) => {
                 for event in [
@@ -398,13 +398,13 @@
                     let join = transport.joins.get_mut(&id)?;
                     let ending = if join.set_up { Ending::Reset } else { Ending::ConnectFailed };
                     let ending = if join.set_up && mode % 3 == 0 { Ending::Served } else { ending };
-                    Some(Box::new(move |handler| handler.steps().join_ends(id.0, id.1, ending, &[])))
+                    Some(Box::new(move |handler| handler.join_events().join_ended(id.0, id.1, ending, &[])))
                 });
             }
             Event::ProgressReport(number, value) => {
                 let (kind, value) = (value % 5, f64::from(*value) / 128.0);
                 self.join(*number, move |_, id| {
-                    Some(Box::new(move |handler| handler.join_note(id.0, id.1, kind, value)))
+                    Some(Box::new(move |handler| handler.progress_report(id.0, id.1, kind, value)))
                 });
             }
             Event::List { cell, health, complete } => self.list(u32::from(*cell), *health, *complete),
@@ -422,7 +422,7 @@
         act: impl FnOnce(
             &mut CheckingTransport,
             (JobId, u16),
-        ) -> Option<Box<dyn FnOnce(&mut Floor<'_, '_, CheckingTransport>)>>,
+        ) -> Option<Box<dyn FnOnce(&mut EventHandler<'_, '_, CheckingTransport>)>>,
     ) {
         let Some(id) = self.pick(number) else { return };
         if let Some(feed) = act(&mut self.transport, id) {
@@ -462,7 +462,7 @@
                 "rule 1: connection {connection} has no answer: {connection_state:?}"
             );
         }
-        assert!(self.exchange.book().len() <= 20, "the maximum of subscriptions is kept");
+        assert!(self.exchange.subscriptions().len() <= 20, "the maximum of subscriptions is kept");
     }
 }
 
@@ -484,10 +484,10 @@
 /// Leads a join to the point where it plays.
 fn play(harness: &mut Harness, id: (JobId, u16)) {
     harness.round(|handler| {
-        handler.steps().join_opened(id.0, id.1);
-        handler.steps().join_set_up(id.0, id.1, 200, &[]);
-        handler.steps().join_granted(id.0, id.1, 200, &[]);
-        handler.steps().join_media(id.0, id.1);
+        handler.join_events().join_opened(id.0, id.1);
+        handler.join_events().join_set_up(id.0, id.1, 200, &[]);
+        handler.join_events().join_granted(id.0, id.1, 200, &[]);
+        handler.join_events().join_media(id.0, id.1);
     });
 }
 
@@ -503,9 +503,9 @@
     harness.request(2, 1);
     let first = only_outstanding(&harness);
     harness.round(|handler| {
-        handler.steps().join_opened(first.0, first.1);
-        handler.steps().join_set_up(first.0, first.1, 200, &[]);
-        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+        handler.join_events().join_opened(first.0, first.1);
+        handler.join_events().join_set_up(first.0, first.1, 200, &[]);
+        handler.join_events().join_ended(first.0, first.1, Ending::Reset, &[]);
     });
     let second = only_outstanding(&harness);
     assert_ne!(harness.transport.joins[&first].streamer, harness.transport.joins[&second].streamer);
@@ -522,8 +522,8 @@
     harness.request(1, 1);
     let first = only_outstanding(&harness);
     harness.round(|handler| {
-        handler.steps().join_opened(first.0, first.1);
-        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+        handler.join_events().join_opened(first.0, first.1);
+        handler.join_events().join_ended(first.0, first.1, Ending::Reset, &[]);
     });
     assert!(harness.transport.outstanding().is_empty());
     assert_eq!(harness.transport.connections[&1].answers, 1);
@@ -583,7 +583,7 @@
     let mut harness = Harness::new();
     harness.request(1, 1);
     let first = only_outstanding(&harness);
-    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    harness.round(|handler| handler.join_events().join_opened(first.0, first.1));
     harness.advance(ms(400));
     assert_eq!(harness.transport.connections[&1].answers, 1, "terminated: it may have run");
     harness.request(1, 2);
@@ -605,7 +605,7 @@
     let mut harness = Harness::new();
     harness.request(2, 1);
     let first = only_outstanding(&harness);
-    let until = harness.exchange.book().get(first.0).unwrap().join.as_ref().unwrap().until;
+    let until = harness.exchange.subscriptions().get(first.0).unwrap().join.as_ref().unwrap().times_out_at;
     harness.transport.now = until + ms(1);
     play(&mut harness, first);
     assert_eq!(harness.transport.granted.get(&1), Some(&first.0));
@@ -617,14 +617,14 @@
     let mut harness = Harness::new();
     harness.request(2, 1);
     let first = only_outstanding(&harness);
-    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    harness.round(|handler| handler.join_events().join_opened(first.0, first.1));
     harness.advance(ms(400));
     let second = only_outstanding(&harness);
     assert_eq!(second, (first.0, 1));
     harness.round(|handler| {
-        handler.steps().join_set_up(first.0, first.1, 200, &[]);
-        handler.steps().join_granted(first.0, first.1, 200, &[]);
-        handler.steps().join_media(first.0, first.1);
+        handler.join_events().join_set_up(first.0, first.1, 200, &[]);
+        handler.join_events().join_granted(first.0, first.1, 200, &[]);
+        handler.join_events().join_media(first.0, first.1);
     });
     assert!(harness.transport.granted.is_empty());
     play(&mut harness, second);
@@ -638,7 +638,7 @@
     let first = only_outstanding(&harness);
     let cell = u32::from(harness.transport.joins[&first].streamer.port()) - 100;
     harness.list(cell, 0, false);
-    harness.round(|handler| handler.steps().join_opened(first.0, first.1));
+    harness.round(|handler| handler.join_events().join_opened(first.0, first.1));
     let second = only_outstanding(&harness);
     assert!(!harness.transport.joins[&first].set_up);
     assert_ne!(harness.transport.joins[&second].streamer, harness.transport.joins[&first].streamer);
@@ -663,8 +663,8 @@
             Start::default(),
         );
         handler.list_ends(Listing::Changes);
-        handler.steps().join_opened(first.0, first.1);
-        handler.steps().join_ends(first.0, first.1, Ending::Reset, &[]);
+        handler.join_events().join_opened(first.0, first.1);
+        handler.join_events().join_ended(first.0, first.1, Ending::Reset, &[]);
     });
     let second = only_outstanding(&harness);
     assert_ne!(harness.transport.joins[&second].streamer, joined_at);
--- a/crates/exchange/src/tests/settings_changes.rs
+++ b/crates/exchange/src/tests/settings_changes.rs
@@ -8,22 +8,22 @@
 impl Harness {
     /// Applies one of the effects of a change to a subscription picked by a number.
     pub(super) fn apply_change(&mut self, number: u8, effect: u8) {
-        let all: Vec<JobId> = self.exchange.book().all().map(|(job, _)| job).collect();
+        let all: Vec<JobId> = self.exchange.subscriptions().all().map(|(job, _)| job).collect();
         let Some(job) = all.get(usize::from(number) % all.len().max(1)).copied() else { return };
-        let subscription = self.exchange.book().get(job);
+        let subscription = self.exchange.subscriptions().get(job);
         let from = subscription.and_then(|subscription| subscription.join.as_ref()).map(|join| join.streamer);
         let sent = subscription
             .and_then(|subscription| subscription.join.as_ref())
-            .is_some_and(|join| join.set_up.is_some());
+            .is_some_and(|join| join.set_up_rung.is_some());
         self.round(|handler| match (effect % 5, from) {
-            (0, _) if !sent => handler.turn_away(job),
-            (1, Some(from)) => drop(handler.move_on(job, from)),
-            (2, _) => handler.withdraw(job),
+            (0, _) if !sent => handler.reject(job),
+            (1, Some(from)) => drop(handler.redirect_from(job, from)),
+            (2, _) => handler.withdraw_unsent_join(job),
             (3, _) => handler.relocate(job, u32::from(effect) / 5 % 6, 3),
             _ => {
-                handler.ends_at(job, 1 + effect / 5 % 2);
+                handler.limit_rung(job, 1 + effect / 5 % 2);
                 let Value::Object(settings) = settings() else { return };
-                handler.retell(settings);
+                handler.change_settings(settings);
             }
         });
     }
@@ -35,13 +35,13 @@
     harness.request(2, 1);
     harness.request(4, 2);
     harness.request(6, 3);
-    let waiting = harness.exchange.book().of_line(3).unwrap();
-    assert!(harness.exchange.book().get(waiting).unwrap().join.is_none(), "two seats for the title");
-    harness.round(|handler| handler.turn_away(waiting));
+    let waiting = harness.exchange.subscriptions().job_of_connection(3).unwrap();
+    assert!(harness.exchange.subscriptions().get(waiting).unwrap().join.is_none(), "two seats for the title");
+    harness.round(|handler| handler.reject(waiting));
     assert_eq!((harness.transport.connections[&3].answers, harness.transport.throttled.len()), (1, 0));
     // A subscription whose join was not sent yet: nothing is sent to the streamer any more.
     let (job, number) = harness.transport.outstanding()[0];
-    harness.round(|handler| handler.turn_away(job));
+    harness.round(|handler| handler.reject(job));
     assert!(
         !harness.transport.joins[&(job, number)].outstanding
             && !harness.transport.joins[&(job, number)].set_up
@@ -58,7 +58,7 @@
     let first = only_outstanding(&harness);
     harness.round(|handler| {
         handler.relocate(first.0, 4, 1);
-        handler.withdraw(first.0);
+        handler.withdraw_unsent_join(first.0);
     });
     harness.advance(ms(60));
     let second = only_outstanding(&harness);
@@ -76,14 +76,14 @@
     let mut harness = Harness::new();
     harness.request(2, 1);
     let id = only_outstanding(&harness);
-    harness.round(|handler| handler.steps().join_opened(id.0, id.1));
-    assert!(harness.exchange.book().get(id.0).unwrap().rung.is_some_and(|rung| rung > 1));
-    harness.round(|handler| handler.ends_at(id.0, 1));
+    harness.round(|handler| handler.join_events().join_opened(id.0, id.1));
+    assert!(harness.exchange.subscriptions().get(id.0).unwrap().rung.is_some_and(|rung| rung > 1));
+    harness.round(|handler| handler.limit_rung(id.0, 1));
     assert!(harness.transport.steps.is_empty());
     harness.round(|handler| {
-        handler.steps().join_set_up(id.0, id.1, 200, &[]);
-        handler.steps().join_granted(id.0, id.1, 200, &[]);
-        handler.steps().join_media(id.0, id.1);
+        handler.join_events().join_set_up(id.0, id.1, 200, &[]);
+        handler.join_events().join_granted(id.0, id.1, 200, &[]);
+        handler.join_events().join_media(id.0, id.1);
     });
     assert_eq!(harness.transport.steps, [(id.0, 1)]);
 }
@@ -95,13 +95,13 @@
     let id = only_outstanding(&harness);
     let joined_at = harness.transport.joins[&id].streamer;
     let mut still_joining = false;
-    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
+    harness.round(|handler| still_joining = handler.redirect_from(id.0, joined_at));
     assert!(still_joining && harness.transport.redirected.is_empty());
     play(&mut harness, id);
-    harness.round(|handler| still_joining = handler.move_on(id.0, streamer(99)));
+    harness.round(|handler| still_joining = handler.redirect_from(id.0, streamer(99)));
     assert!(!still_joining && harness.transport.redirected.is_empty(), "it has left that streamer");
-    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
+    harness.round(|handler| still_joining = handler.redirect_from(id.0, joined_at));
     assert_eq!((still_joining, &harness.transport.redirected[..]), (false, &[1][..]));
-    harness.round(|handler| still_joining = handler.move_on(id.0, joined_at));
+    harness.round(|handler| still_joining = handler.redirect_from(id.0, joined_at));
     assert_eq!(harness.transport.redirected, [1]);
 }
--- a/crates/names/src/answer.rs
+++ b/crates/names/src/answer.rs
@@ -7,7 +7,7 @@
 use simple_dns::rdata::{RData, SRV, TXT};
 use simple_dns::{Name, Packet, PacketFlag, ResourceRecord, RCODE};
 
-use crate::{id_of, srv_type, Fault, List, StreamerRecord, FLEET_NAME};
+use crate::{parse_streamer_id, srv_type, Fault, List, StreamerRecord, FLEET_NAME};
 
 /// SRV weight for each unit of a streamer's weight.
 const WEIGHT_UNIT: f64 = 10.0;
@@ -50,7 +50,7 @@
         let RData::SRV(record) = &record.rdata else { return None };
         let id = label(&record.target, 0).ok()?;
         parse_streamer(record, *addresses.get(&id)?, texts.get(&id)?)
-            .map(|streamer| Some((id_of(&id)?, streamer)))
+            .map(|streamer| Some((parse_streamer_id(&id)?, streamer)))
     };
     let records = packet.answers.iter().filter(|record| matches!(record.rdata, RData::SRV(_)));
     let mut list = List::new();
--- a/crates/names/src/configured_events.rs
+++ b/crates/names/src/configured_events.rs
@@ -3,7 +3,7 @@
 use badgerledge_core::interface::Health;
 use serde_json::Value;
 
-use crate::{id_of, Fault, List, StreamerRecord};
+use crate::{parse_streamer_id, Fault, List, StreamerRecord};
 
 /// Returns the list, the number of its last event, and whether it is complete.
 pub fn parse(events: &Value) -> Result<(List, u64, bool), Fault> {
@@ -45,5 +45,5 @@
         weight: member.get("size").and_then(Value::as_f64).unwrap_or(1.0),
         started_unix_ms: member.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0),
     };
-    Ok((id_of(text("id")?).ok_or(Fault::Field("id"))?, streamer))
+    Ok((parse_streamer_id(text("id")?).ok_or(Fault::Field("id"))?, streamer))
 }
--- a/crates/names/src/lib.rs
+++ b/crates/names/src/lib.rs
@@ -39,7 +39,7 @@
 }
 
 /// Receives the entries of the streamer list.
-pub trait Tells {
+pub trait StreamerSink {
     /// `started` is the Unix time in milliseconds of the streamer's latest start, or 0 if it is long past.
     #[allow(clippy::too_many_arguments)]
     fn entry(
@@ -62,7 +62,7 @@
 
 impl StreamerRecord {
     /// Reports this streamer with the given health.
-    fn report(&self, id: u32, health: Health, sink: &mut impl Tells) {
+    fn report(&self, id: u32, health: Health, sink: &mut impl StreamerSink) {
         sink.entry(
             id,
             self.address,
@@ -80,7 +80,7 @@
 
 /// The list, and the outstanding queries.
 #[derive(Default)]
-pub struct Names {
+pub struct StreamerList {
     list: List,
     /// The number of the last event contained in the list.
     last_event: u64,
@@ -92,30 +92,30 @@
     last_answered: u64,
 }
 
-impl Names {
+impl StreamerList {
     /// Loads the events of the configuration. Returns whether they contain the whole list.
     ///
     /// # Errors
     ///
     /// If an event is invalid; the list is left unchanged.
-    pub fn known(&mut self, events: &serde_json::Value) -> Result<bool, Fault> {
+    pub fn load_events(&mut self, events: &serde_json::Value) -> Result<bool, Fault> {
         let (list, last_event, complete) = configured_events::parse(events)?;
         (self.list, self.last_event) = (list, last_event);
         Ok(complete)
     }
 
     /// The number of the last event contained in the list.
-    pub fn last(&self) -> u64 {
+    pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
     /// Reports all entries.
-    pub fn tell_all(&self, sink: &mut impl Tells) {
+    pub fn report_all(&self, sink: &mut impl StreamerSink) {
         self.list.iter().for_each(|(id, streamer)| streamer.report(*id, streamer.health, sink));
     }
 
     /// Creates the next query, with this DNS id.
-    pub fn query(&mut self, id: u16) -> Vec<u8> {
+    pub fn next_query(&mut self, id: u16) -> Vec<u8> {
         self.queries_sent += 1;
         self.outstanding.push_back((id, self.queries_sent));
         while self.outstanding.len() > MAX_OUTSTANDING_QUERIES {
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// If the answer is not accepted; the list is left unchanged.
-    pub fn answer(&mut self, bytes: &[u8], sink: &mut impl Tells) -> Result<bool, Fault> {
+    pub fn apply_answer(&mut self, bytes: &[u8], sink: &mut impl StreamerSink) -> Result<bool, Fault> {
         let (list, last_event, sequence) = answer::parse(bytes, &self.outstanding)?;
         if last_event < self.last_event {
             return Err(Fault::Outdated);
@@ -157,12 +157,12 @@
     }
 
     /// The number of queries sent so far.
-    pub fn asked(&self) -> u64 {
+    pub fn queries_sent(&self) -> u64 {
         self.queries_sent
     }
 
     /// The sequence number, from one, of the latest answered query; zero if none was answered.
-    pub fn answered(&self) -> u64 {
+    pub fn last_answered_query(&self) -> u64 {
         self.last_answered
     }
 
@@ -177,7 +177,7 @@
 }
 
 /// Parses a streamer id such as `s-00c41f7a` to its 32 bits.
-pub fn id_of(text: &str) -> Option<u32> {
+pub fn parse_streamer_id(text: &str) -> Option<u32> {
     let digits = text.strip_prefix("s-")?;
     let valid = digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit());
     valid.then(|| u32::from_str_radix(digits, 16).ok()).flatten()
--- a/crates/platform/src/connection_pool_tests.rs
+++ b/crates/platform/src/connection_pool_tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, StreamerId};
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 use crate::session_table::streamer_id;
 use crate::streamer_pool::{PoolEvent, StreamerPool};
@@ -41,7 +41,7 @@
         self.join(job);
         let (remote, _) = self.listener.accept().unwrap();
         self.until(|harness, it| match it {
-            Happening::Opened(connection) => {
+            ReactorEvent::Opened(connection) => {
                 harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
                 Some(())
             }
@@ -57,7 +57,7 @@
         self.pool.join(job, job.into(), streamer(), offer, self.now, &mut self.reactor);
     }
 
-    fn until<T>(&mut self, mut found: impl FnMut(&mut Self, &Happening) -> Option<T>) -> T {
+    fn until<T>(&mut self, mut found: impl FnMut(&mut Self, &ReactorEvent) -> Option<T>) -> T {
         let end = self.reactor.clock() + TIMEOUT;
         let mut events = Vec::new();
         while self.reactor.clock() < end {
@@ -75,7 +75,7 @@
     /// Waits until a connection closes and reports it to the pool.
     fn close_connection(&mut self, has_sessions: bool) {
         let connection = self.until(|_, it| match it {
-            Happening::Closed(connection, _) => Some(*connection),
+            ReactorEvent::Closed(connection, _) => Some(*connection),
             _ => None,
         });
         self.pool.connection_closed(connection, self.now, has_sessions, &mut self.reactor);
@@ -113,7 +113,7 @@
     assert_eq!(read_line(&remote), "", "the connection is shut down towards the streamer");
     remote.write_all(b"a release\n").unwrap();
     let read = harness.until(|harness, it| match it {
-        Happening::Readable(readable) if *readable == connection => {
+        ReactorEvent::Readable(readable) if *readable == connection => {
             Some(harness.reactor.input(connection).to_vec())
         }
         _ => None,
@@ -161,7 +161,7 @@
     harness.listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     drop(again);
     harness.until(|harness, it| match it {
-        Happening::Opened(connection) => {
+        ReactorEvent::Opened(connection) => {
             harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
             Some(())
         }
@@ -211,13 +211,13 @@
 }
 
 impl Harness {
-    fn pool_connection(&self) -> Line {
+    fn pool_connection(&self) -> SocketId {
         (0..100).find(|connection| self.pool.contains(*connection)).expect("a connection")
     }
 }
 
 /// An event loop with this many viewers' connections, in order, and the viewers' ends of them.
-fn viewers(count: usize) -> (Reactor, Vec<Line>, Vec<TcpStream>) {
+fn viewers(count: usize) -> (Reactor, Vec<SocketId>, Vec<TcpStream>) {
     let mut reactor = Reactor::new(secs(1000)).unwrap();
     let (_, at) = reactor.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), BOUNDS).unwrap();
     let (mut connections, mut events, mut remote) = (Vec::new(), Vec::new(), Vec::new());
@@ -225,7 +225,7 @@
         remote.push(TcpStream::connect(at).unwrap());
         reactor.wait(Some(reactor.clock() + TIMEOUT), &mut events).unwrap();
         connections.extend(events.drain(..).filter_map(|it| match it {
-            Happening::Accepted { line: connection, .. } => Some(connection),
+            ReactorEvent::Accepted { connection, .. } => Some(connection),
             _ => None,
         }));
     }
@@ -355,9 +355,9 @@
     let remote = harness.join_established(1);
     let connection = harness.pool_connection();
     let long = vec![b' '; 16 * 1024];
-    while harness.reactor.unwritten(connection) == 0 {
+    while harness.reactor.unwritten_bytes(connection) == 0 {
         harness.reactor.send(connection, &[&long]);
-        harness.reactor.flush_line(connection);
+        harness.reactor.flush_connection(connection);
     }
     harness.join(2);
     assert_eq!(harness.take_events(), [PoolEvent::JoinEnded(2, Ending::ConnectFailed)]);
@@ -395,7 +395,7 @@
     assert_eq!(harness.pool.connection_count(), 1, "a connection is started for the queued message");
     let (remote, _) = harness.listener.accept().unwrap();
     harness.until(|harness, it| match it {
-        Happening::Opened(connection) => {
+        ReactorEvent::Opened(connection) => {
             harness.pool.connection_established(*connection, true, harness.now, &mut harness.reactor);
             Some(())
         }
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{JobId, StreamerId};
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 use badgerledge_signalling::viewers;
 
 use crate::configuration::Configuration;
@@ -23,21 +23,21 @@
     pub streamer_pool: StreamerPool,
     pub configuration: Configuration,
     /// The datagram socket to the other controllers.
-    pub peer_socket: Option<Line>,
+    pub peer_socket: Option<SocketId>,
 }
 
 impl Transport for Connections {
-    fn answer(&mut self, connection: Line, message: &[u8]) -> bool {
+    fn answer(&mut self, connection: SocketId, message: &[u8]) -> bool {
         let accepted = self.viewer_pool.answer(connection, message, &mut self.reactor);
         self.viewer_pool.record_answer(connection, viewers::session(message), self.now);
         accepted
     }
 
-    fn release(&mut self, connection: Line, wire_id: u64, message: Vec<u8>) {
+    fn release(&mut self, connection: SocketId, wire_id: u64, message: Vec<u8>) {
         self.viewer_pool.release(connection, wire_id, message, self.now, &mut self.reactor);
     }
 
-    fn mark_serving(&mut self, connection: Line) {
+    fn mark_serving(&mut self, connection: SocketId) {
         self.viewer_pool.mark_serving(connection, self.now, &mut self.reactor);
     }
 
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, Health, Start, StreamerId};
-use badgerledge_names::Tells;
-use badgerledge_reactor::Line;
+use badgerledge_names::StreamerSink;
+use badgerledge_reactor::SocketId;
 use badgerledge_signalling::viewers::Parameters;
 use badgerledge_signalling::{streamers, viewers, Fault};
 
@@ -26,7 +26,7 @@
     pub entries: Vec<ListEntry>,
 }
 
-impl Tells for ListEntries {
+impl StreamerSink for ListEntries {
     fn entry(
         &mut self, id: u32, address: SocketAddrV4, zone: &str, kind: &str, cell: u32, health: Health,
         weight: f64, started_unix_ms: u64,
@@ -56,7 +56,7 @@
 /// Handles the frames of a viewer's connection.
 pub struct ViewerHandler<'a> {
     pub service: (&'a mut SessionTable, &'a mut Connections),
-    pub connection: Line,
+    pub connection: SocketId,
     pub now: Duration,
     /// The answer to health checks.
     pub ready: bool,
@@ -94,7 +94,7 @@
 /// Handles the lines of a streamer's connection.
 pub struct StreamerHandler<'a> {
     pub service: (&'a mut SessionTable, &'a mut Connections),
-    pub connection: Line,
+    pub connection: SocketId,
     pub streamer: StreamerId,
     pub now: Duration,
     /// Set if a line was malformed; the connection must then be closed.
--- a/crates/platform/src/serve.rs
+++ b/crates/platform/src/serve.rs
@@ -12,8 +12,8 @@
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{Ending, Listing, StreamerId};
 use badgerledge_core::random::Rng;
-use badgerledge_names::Names;
-use badgerledge_reactor::{raise_descriptors, Happening, Line, Reactor};
+use badgerledge_names::StreamerList;
+use badgerledge_reactor::{raise_descriptors, Reactor, ReactorEvent, SocketId};
 use badgerledge_signalling::{streamers, viewers};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
@@ -51,12 +51,12 @@
 pub struct Service {
     connections: Connections,
     sessions: SessionTable,
-    streamers: Names,
+    streamers: StreamerList,
     rng: Rng,
     /// The socket that viewers connect to.
-    listener: Line,
+    listener: SocketId,
     /// The datagram socket to the name service, and when the next query is sent.
-    name_service_socket: Line,
+    name_service_socket: SocketId,
     next_query_at: Duration,
     next_sweep_at: Duration,
     next_round_at: Duration,
@@ -84,9 +84,9 @@
     fn new(configuration_path: PathBuf, configuration: configuration::Configuration) -> Result<Self> {
         let mut reactor = Reactor::new(CLOCK_START).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
-            reactor.signal(signal).context("signals")?;
+            reactor.watch_signal(signal).context("signals")?;
         }
-        reactor.accept_at_once(MAX_ACCEPTS_PER_WAIT);
+        reactor.set_max_accepts_per_wait(MAX_ACCEPTS_PER_WAIT);
         let settings = PlatformSettings::new(&configuration.settings);
         let descriptors = raise_descriptors().min(configuration.max_sockets);
         // Half for viewers: they use a third at most, but arrive in crowds. The rest for streamers.
@@ -103,21 +103,23 @@
         let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix_at_zero = unix_now.saturating_sub(reactor.clock());
         let local = |port| SocketAddr::V4(SocketAddrV4::new(*configuration.listen.ip(), port));
-        let (name_service_socket, _) = reactor.datagrams(local(0)).context("socket to the name service")?;
-        let peer_socket = configuration.peer_listen.map(|address| reactor.datagrams(SocketAddr::V4(address)));
+        let (name_service_socket, _) =
+            reactor.bind_datagrams(local(0)).context("socket to the name service")?;
+        let peer_socket =
+            configuration.peer_listen.map(|address| reactor.bind_datagrams(SocketAddr::V4(address)));
         let peer_socket =
             peer_socket.transpose().context("socket to the other controllers")?.map(|(socket, _)| socket);
         let module = Controller::new(CLOCK_START, configuration.seed, configuration.settings.clone());
-        let mut streamers = Names::default();
+        let mut streamers = StreamerList::default();
         // The list that the file should contain arrives with the first answer of the name service.
-        if let Err(fault) = streamers.known(&configuration.known_events) {
+        if let Err(fault) = streamers.load_events(&configuration.known_events) {
             tracing::warn!(%fault, "known: invalid; waiting for the list of the name service");
         }
         let sessions = SessionTable::new(module, settings, configuration.memory_mb);
         let listen = SocketAddr::V4(configuration.listen);
         let name = configuration.name.clone();
         let (sockets, memory_mb, last) =
-            (configuration.max_sockets, configuration.memory_mb, streamers.last());
+            (configuration.max_sockets, configuration.memory_mb, streamers.last_event());
         let connections =
             Connections { reactor, now: CLOCK_START, viewer_pool, streamer_pool, configuration, peer_socket };
         let rng = Rng(connections.configuration.seed.rotate_left(31));
@@ -210,19 +212,20 @@
         let Connections { reactor, viewer_pool, streamer_pool, .. } = &mut self.connections;
         reactor.close(self.listener);
         let until = reactor.clock() + CLOSE_TIMEOUT;
-        let mut open: BTreeSet<Line> = viewer_pool.connections().chain(streamer_pool.established()).collect();
+        let mut open: BTreeSet<SocketId> =
+            viewer_pool.connections().chain(streamer_pool.established()).collect();
         let (mut shut, mut events) = (BTreeSet::new(), Vec::new());
         while !open.is_empty() && reactor.clock() < until {
             for connection in &open {
-                if reactor.unwritten(*connection) == 0 && shut.insert(*connection) {
-                    reactor.shut(*connection);
+                if reactor.unwritten_bytes(*connection) == 0 && shut.insert(*connection) {
+                    reactor.shut_down_write(*connection);
                 }
             }
             reactor.wait(Some(until), &mut events).context("event loop")?;
             for event in events.drain(..) {
                 match event {
-                    Happening::Closed(connection, _) => drop(open.remove(&connection)),
-                    Happening::Readable(connection) => {
+                    ReactorEvent::Closed(connection, _) => drop(open.remove(&connection)),
+                    ReactorEvent::Readable(connection) => {
                         reactor.consume(connection, reactor.input(connection).len())
                     }
                     _ => {}
@@ -232,17 +235,17 @@
         Ok(())
     }
 
-    fn handle_event(&mut self, event: Happening) {
+    fn handle_event(&mut self, event: ReactorEvent) {
         let now = self.connections.now;
         match event {
-            Happening::Accepted { line: connection, .. } => self.accept_viewer(connection),
-            Happening::Readable(connection) if self.connections.viewer_pool.contains(connection) => {
+            ReactorEvent::Accepted { connection, .. } => self.accept_viewer(connection),
+            ReactorEvent::Readable(connection) if self.connections.viewer_pool.contains(connection) => {
                 self.read_viewer(connection)
             }
-            Happening::Readable(connection) if self.connections.streamer_pool.contains(connection) => {
+            ReactorEvent::Readable(connection) if self.connections.streamer_pool.contains(connection) => {
                 self.read_streamer(connection)
             }
-            Happening::Opened(connection) => {
+            ReactorEvent::Opened(connection) => {
                 let streamer = self.connections.streamer_pool.streamer(connection);
                 let accepts_joins = streamer.is_some_and(|streamer| self.sessions.accepts_joins(streamer));
                 self.connections.streamer_pool.connection_established(
@@ -252,11 +255,11 @@
                     &mut self.connections.reactor,
                 );
             }
-            Happening::Closed(connection, reason) if self.connections.viewer_pool.contains(connection) => {
+            ReactorEvent::Closed(connection, reason) if self.connections.viewer_pool.contains(connection) => {
                 tracing::trace!(line = connection, why = ?reason, "viewer connection closed");
                 self.drop_viewer(connection, reason.into());
             }
-            Happening::Closed(connection, _) => {
+            ReactorEvent::Closed(connection, _) => {
                 // The last input may have arrived together with the end.
                 self.read_streamer(connection);
                 let streamer = self.connections.streamer_pool.streamer(connection);
@@ -268,31 +271,31 @@
                     &mut self.connections.reactor,
                 );
             }
-            Happening::Datagram { line: socket, from, bytes } if socket == self.name_service_socket => {
+            ReactorEvent::Datagram { socket, from, bytes } if socket == self.name_service_socket => {
                 if from == SocketAddr::V4(self.connections.configuration.name_service) {
                     self.handle_name_service_answer(&bytes);
                 }
             }
-            Happening::Datagram { from, bytes, .. } => {
+            ReactorEvent::Datagram { from, bytes, .. } => {
                 let peers = &self.connections.configuration.peers;
                 if let Some(peer) = peers.iter().position(|peer| SocketAddr::V4(*peer) == from) {
                     self.sessions.peer_message(peer as u32, bytes);
                 }
             }
-            Happening::Signal(SIGHUP) => {
+            ReactorEvent::Signal(SIGHUP) => {
                 self.reload(now);
             }
-            Happening::Signal(signal) => {
+            ReactorEvent::Signal(signal) => {
                 tracing::info!(signal, held = self.sessions.len(), "shutting down");
                 self.terminating_since.get_or_insert(now);
             }
-            Happening::Readable(_) | Happening::Drained(_) | Happening::Due(_) => {}
+            ReactorEvent::Readable(_) | ReactorEvent::Drained(_) | ReactorEvent::Timer(_) => {}
         }
     }
 
-    fn read_viewer(&mut self, connection: Line) {
+    fn read_viewer(&mut self, connection: SocketId) {
         let now = self.connections.now;
-        let mut input = self.connections.reactor.lift(connection);
+        let mut input = self.connections.reactor.take_input(connection);
         let ready = (self.list_is_fresh || now >= CLOCK_START + READY_WITHOUT_LIST_AFTER)
             && self.terminating_since.is_none();
         let fault = loop {
@@ -309,7 +312,7 @@
             }
         };
         let incomplete = !input.is_empty();
-        self.connections.reactor.lay_back(connection, input);
+        self.connections.reactor.restore_input(connection, input);
         self.connections.viewer_pool.record_input(connection, now, incomplete);
         if let Some(fault) = fault {
             tracing::debug!(%fault, "closing a viewer connection with malformed input");
@@ -319,7 +322,7 @@
 
     /// Accepts a viewer's connection. At the limit, the least valuable connection without a pending set-up is
     /// evicted; if there is none, the new connection is closed.
-    fn accept_viewer(&mut self, connection: Line) {
+    fn accept_viewer(&mut self, connection: SocketId) {
         let now = self.connections.now;
         while self.connections.viewer_pool.is_full() {
             let candidate = self
@@ -339,19 +342,19 @@
 
     /// Reads what has arrived on a connection that is about to be closed: it may contain a set-up, which
     /// would be left without an answer.
-    fn read_remaining(&mut self, connection: Line) {
-        if self.connections.reactor.read_now(connection) {
+    fn read_remaining(&mut self, connection: SocketId) {
+        if self.connections.reactor.read_available(connection) {
             self.read_viewer(connection);
         }
     }
 
-    fn drop_viewer(&mut self, connection: Line, closed_by: ClosedBy) {
+    fn drop_viewer(&mut self, connection: SocketId, closed_by: ClosedBy) {
         let now = self.connections.now;
         self.sessions.viewer_disconnected(now, connection, closed_by, &mut self.connections);
-        self.connections.reactor.flush_line(connection);
+        self.connections.reactor.flush_connection(connection);
         let last_answer = self.connections.viewer_pool.last_answer(connection);
         if let Some((wire_id, answered_at)) =
-            last_answer.filter(|_| self.connections.reactor.unwritten(connection) > 0)
+            last_answer.filter(|_| self.connections.reactor.unwritten_bytes(connection) > 0)
         {
             let age = now.saturating_sub(answered_at);
             let set_up = UnansweredSetUp { wire_id, closed_by, step: Step::NotWritten, streamer: None, age };
@@ -361,10 +364,10 @@
         self.connections.reactor.close(connection);
     }
 
-    fn read_streamer(&mut self, connection: Line) {
+    fn read_streamer(&mut self, connection: SocketId) {
         let now = self.connections.now;
         let Some(streamer) = self.connections.streamer_pool.streamer(connection) else { return };
-        let mut input = self.connections.reactor.lift(connection);
+        let mut input = self.connections.reactor.take_input(connection);
         if !input.is_empty() {
             self.connections.streamer_pool.record_received(connection, now);
         }
@@ -382,7 +385,7 @@
                 Err(fault) => break Some(fault),
             }
         };
-        self.connections.reactor.lay_back(connection, input);
+        self.connections.reactor.restore_input(connection, input);
         if let Some(fault) = fault {
             tracing::debug!(%fault, %streamer, "closing a streamer connection with malformed input");
             self.connections.streamer_pool.close(
--- a/crates/platform/src/serve/discovery.rs
+++ b/crates/platform/src/serve/discovery.rs
@@ -30,9 +30,9 @@
         }
         // The random part keeps controllers that started together from querying at the same moment.
         self.next_query_at = now + QUERY_INTERVAL.mul_f64(0.9 + 0.2 * self.rng.unit_interval());
-        let query = self.streamers.query((self.rng.unit_interval() * 65536.0) as u16);
+        let query = self.streamers.next_query((self.rng.unit_interval() * 65536.0) as u16);
         if now >= CLOCK_START + MAX_LIST_DELAY {
-            self.first_fresh_query.get_or_insert(self.streamers.asked());
+            self.first_fresh_query.get_or_insert(self.streamers.queries_sent());
         }
         let name_service = SocketAddr::V4(self.connections.configuration.name_service);
         self.connections.reactor.send_to(self.name_service_socket, name_service, &query);
@@ -66,11 +66,11 @@
     /// Handles an answer of the name service, and publishes the changes that it contains.
     pub(super) fn handle_name_service_answer(&mut self, bytes: &[u8]) {
         let mut collected = self.new_entries();
-        match self.streamers.answer(bytes, &mut collected) {
+        match self.streamers.apply_answer(bytes, &mut collected) {
             Ok(changed) => {
                 let entries = collected.entries;
                 self.list_is_fresh |=
-                    self.first_fresh_query.is_some_and(|query| self.streamers.answered() >= query);
+                    self.first_fresh_query.is_some_and(|query| self.streamers.last_answered_query() >= query);
                 if changed {
                     self.publish(Listing::Changes, entries);
                 }
@@ -82,7 +82,7 @@
     /// Publishes the whole list as it is known.
     pub(super) fn publish_list(&mut self, listing: Listing) {
         let mut collected = self.new_entries();
-        self.streamers.tell_all(&mut collected);
+        self.streamers.report_all(&mut collected);
         let entries = collected.entries;
         self.publish(listing, entries);
     }
@@ -101,7 +101,7 @@
                 self.sessions.streamer_lost(now, entry.id, entry.started.at, connections);
             }
         }
-        tracing::debug!(last = self.streamers.last(), changed = entries.len(), "list");
+        tracing::debug!(last = self.streamers.last_event(), changed = entries.len(), "list");
         self.sessions.apply_list(listing, entries);
     }
 
--- a/crates/platform/src/session_store.rs
+++ b/crates/platform/src/session_store.rs
@@ -6,7 +6,7 @@
 
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{Ending, JobId, StreamerId};
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_signalling::streamers;
 
 use crate::phase::Phase;
@@ -27,7 +27,7 @@
     /// The id used by viewers and streamers.
     pub wire_id: u64,
     /// The viewer's connection that the set-up arrived on.
-    pub connection: Line,
+    pub connection: SocketId,
     /// When the set-up was received.
     pub received_at: Duration,
     /// When the viewer gives up, less the time that an answer takes to reach it.
@@ -63,7 +63,7 @@
     pub sessions: BTreeMap<JobId, Session>,
     pub by_wire_id: BTreeMap<u64, JobId>,
     /// Sessions without an answer, by the viewer's connection.
-    pub pending_by_connection: BTreeMap<Line, BTreeSet<JobId>>,
+    pub pending_by_connection: BTreeMap<SocketId, BTreeSet<JobId>>,
     /// Sessions that play or are being moved away, by streamer.
     pub by_streamer: BTreeMap<StreamerId, BTreeSet<JobId>>,
     pub timers: BTreeSet<(Duration, Timer)>,
--- a/crates/platform/src/session_table.rs
+++ b/crates/platform/src/session_table.rs
@@ -10,7 +10,7 @@
 
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{Ending, Health, JobId, Listing, Start, StreamerId};
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_signalling::viewers::{self, Parameters};
 use badgerledge_signalling::{streamers, Fault};
 
@@ -93,7 +93,7 @@
     }
 
     /// The number of pending set-ups of a viewer's connection.
-    pub fn pending_on(&self, connection: Line) -> usize {
+    pub fn pending_on(&self, connection: SocketId) -> usize {
         self.store.pending_by_connection.get(&connection).map_or(0, BTreeSet::len)
     }
 
@@ -124,7 +124,7 @@
 
     /// Handles a viewer's set-up.
     pub fn set_up(
-        &mut self, now: Duration, connection: Line, wire_id: u64, parameters: Parameters<'_>,
+        &mut self, now: Duration, connection: SocketId, wire_id: u64, parameters: Parameters<'_>,
         transport: &mut impl Transport,
     ) {
         let request = match request::parse(wire_id, parameters, &self.store.settings) {
@@ -135,7 +135,7 @@
             }
         };
         if let Some(name) = &request.playing_at {
-            let streamer = badgerledge_names::id_of(name).map(streamer_id);
+            let streamer = badgerledge_names::parse_streamer_id(name).map(streamer_id);
             return self.accept_handover(now, connection, wire_id, &request, streamer, transport);
         }
         if self.store.by_wire_id.contains_key(&wire_id) {
@@ -177,7 +177,7 @@
     /// Accepts a session that already plays. It gets no answer; one at a streamer that is not listed is
     /// released.
     fn accept_handover(
-        &mut self, now: Duration, connection: Line, wire_id: u64, request: &request::Request,
+        &mut self, now: Duration, connection: SocketId, wire_id: u64, request: &request::Request,
         streamer: Option<StreamerId>, transport: &mut impl Transport,
     ) {
         if self.store.by_wire_id.contains_key(&wire_id) {
@@ -208,7 +208,9 @@
 
     /// Rejects an invalid set-up with a final answer. If its id is that of a pending set-up on the same
     /// connection, one answer ends both, since the viewer could not distinguish two.
-    pub fn reject(&mut self, now: Duration, connection: Line, wire_id: u64, transport: &mut impl Transport) {
+    pub fn reject(
+        &mut self, now: Duration, connection: SocketId, wire_id: u64, transport: &mut impl Transport,
+    ) {
         let existing = self.store.by_wire_id.get(&wire_id).copied();
         let pending_here = existing.filter(|job| {
             let on_connection = self.store.get(*job).filter(|session| session.connection == connection);
@@ -224,7 +226,7 @@
     /// connection than its own gets a final answer on its own, so that a viewer is not left without one if a
     /// stranger sent the end.
     pub fn ended_by_viewer(
-        &mut self, now: Duration, connection: Line, wire_id: u64, transport: &mut impl Transport,
+        &mut self, now: Duration, connection: SocketId, wire_id: u64, transport: &mut impl Transport,
     ) {
         let Some(job) = self.store.by_wire_id.get(&wire_id).copied() else { return };
         let Some(session) = self.store.get(job) else { return };
@@ -244,7 +246,7 @@
 
     /// Handles a closed viewers' connection: drops the set-ups that are pending on it.
     pub fn viewer_disconnected(
-        &mut self, now: Duration, connection: Line, closed_by: ClosedBy, transport: &mut impl Transport,
+        &mut self, now: Duration, connection: SocketId, closed_by: ClosedBy, transport: &mut impl Transport,
     ) {
         for job in self.store.pending_by_connection.get(&connection).cloned().unwrap_or_default() {
             self.store.count_unanswered(now, job, closed_by, None);
--- a/crates/platform/src/streamer_pool.rs
+++ b/crates/platform/src/streamer_pool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, JobId, StreamerId};
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use badgerledge_signalling::{streamers, MAX_MESSAGE_BYTES};
 
 /// Room for the longest message, and for the messages of one round.
@@ -44,7 +44,7 @@
     /// None of the sessions at this streamer can be playing any more.
     StreamerLost(StreamerId),
     /// Input was read on a connection outside of the event loop's wait.
-    Readable(Line),
+    Readable(SocketId),
 }
 
 /// Why no connection attempt could be started.
@@ -80,7 +80,7 @@
 struct StreamerState {
     address: SocketAddrV4,
     listed: bool,
-    connection_ids: Vec<Line>,
+    connection_ids: Vec<SocketId>,
     last_received_at: Duration,
     /// Failed connection attempts in a row.
     failed_attempts: u32,
@@ -91,7 +91,7 @@
 /// The connections to all streamers.
 pub struct StreamerPool {
     streamers: BTreeMap<StreamerId, StreamerState>,
-    connections: BTreeMap<Line, StreamerConnection>,
+    connections: BTreeMap<SocketId, StreamerConnection>,
     /// Events for the session table, to be taken by the caller.
     pub events: Vec<PoolEvent>,
     max_connections: usize,
@@ -193,7 +193,7 @@
     }
 
     /// The established connections.
-    pub fn established(&self) -> impl Iterator<Item = Line> + '_ {
+    pub fn established(&self) -> impl Iterator<Item = SocketId> + '_ {
         self.connections
             .iter()
             .filter(|(_, connection)| connection.established)
@@ -206,23 +206,23 @@
             state.queued_messages.iter().any(|(queued_at, _)| now < *queued_at + QUEUED_MESSAGE_LIFETIME)
         };
         self.streamers.values().any(has_queued)
-            || self.connections.keys().any(|connection_id| reactor.unwritten(*connection_id) > 0)
+            || self.connections.keys().any(|connection_id| reactor.unwritten_bytes(*connection_id) > 0)
     }
 
     /// Whether a connection belongs to this pool.
-    pub fn contains(&self, connection_id: Line) -> bool {
+    pub fn contains(&self, connection_id: SocketId) -> bool {
         self.connections.contains_key(&connection_id)
     }
 
     /// The streamer that a connection leads to.
-    pub fn streamer(&self, connection_id: Line) -> Option<StreamerId> {
+    pub fn streamer(&self, connection_id: SocketId) -> Option<StreamerId> {
         self.connections.get(&connection_id).map(|connection| connection.streamer)
     }
 
     /// Starts a connection to a streamer.
     fn connect(
         &mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor,
-    ) -> Result<Line, ConnectError> {
+    ) -> Result<SocketId, ConnectError> {
         if self.connections.len() >= self.max_connections && !self.close_longest_idle(reactor) {
             return Err(ConnectError::NoRoom);
         }
@@ -265,8 +265,8 @@
     }
 
     /// Closes an idle connection, unless input has just arrived on it that is not handled yet.
-    fn close_unless_readable(&mut self, connection_id: Line, reactor: &mut Reactor) -> bool {
-        if reactor.read_now(connection_id) {
+    fn close_unless_readable(&mut self, connection_id: SocketId, reactor: &mut Reactor) -> bool {
+        if reactor.read_available(connection_id) {
             self.events.push(PoolEvent::Readable(connection_id));
             return false;
         }
@@ -276,7 +276,7 @@
     }
 
     /// Removes a connection from the pool, without closing it.
-    fn remove(&mut self, connection_id: Line) -> Option<StreamerConnection> {
+    fn remove(&mut self, connection_id: SocketId) -> Option<StreamerConnection> {
         let connection = self.connections.remove(&connection_id)?;
         if let Some(state) = self.streamers.get_mut(&connection.streamer) {
             state.connection_ids.retain(|id| *id != connection_id);
@@ -286,14 +286,16 @@
 
     /// The connection for a join or a probe: an idle one, a new one, or at the limit the one with the fewest
     /// joins.
-    fn connection_for(&mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor) -> Option<Line> {
+    fn connection_for(
+        &mut self, streamer: StreamerId, now: Duration, reactor: &mut Reactor,
+    ) -> Option<SocketId> {
         let ids = self.streamers.get(&streamer)?.connection_ids.clone();
         let usable = |connection: &&StreamerConnection| {
             connection.established
                 && connection.is_idle()
                 && now < connection.last_sent_at + self.idle_timeout
         };
-        let with_state = |connection_id: &Line| {
+        let with_state = |connection_id: &SocketId| {
             self.connections.get(connection_id).map(|connection| (*connection_id, connection))
         };
         let idle = ids.iter().filter_map(with_state).filter(|(_, connection)| usable(connection));
@@ -355,19 +357,19 @@
                 connection.outstanding_joins.retain(|(join_job, _)| *join_job != job);
                 (connection.abandoned_at, connection.last_sent_at) = (Some(now), now);
                 reactor.send(*connection_id, &[&streamers::end(wire_id, 16)]);
-                reactor.flush_line(*connection_id);
+                reactor.flush_connection(*connection_id);
             }
         }
     }
 
     /// The outstanding join of that session on a connection.
-    pub fn outstanding_join(&self, connection_id: Line, wire_id: u64) -> Option<JobId> {
+    pub fn outstanding_join(&self, connection_id: SocketId, wire_id: u64) -> Option<JobId> {
         let joins = &self.connections.get(&connection_id)?.outstanding_joins;
         joins.iter().find(|(_, join_wire_id)| *join_wire_id == wire_id).map(|(job, _)| *job)
     }
 
     /// Removes the finished join of that session from this connection.
-    pub fn finish_join(&mut self, connection_id: Line, wire_id: u64) {
+    pub fn finish_join(&mut self, connection_id: SocketId, wire_id: u64) {
         if let Some(connection) = self.connections.get_mut(&connection_id) {
             connection.outstanding_joins.retain(|(_, join_wire_id)| *join_wire_id != wire_id);
         }
@@ -390,10 +392,10 @@
         if state.queued_messages.is_empty() {
             return;
         }
-        let open = |connection_id: &Line| {
+        let open = |connection_id: &SocketId| {
             self.connections.get(connection_id).filter(|connection| connection.shut_down_at.is_none())
         };
-        let ranked = |connection_id: &Line| {
+        let ranked = |connection_id: &SocketId| {
             open(connection_id)
                 .map(|connection| (connection.established, connection.last_received_at, *connection_id))
         };
@@ -438,7 +440,7 @@
     }
 
     /// Removes an answered probe, and returns when it was sent.
-    pub fn take_probe(&mut self, connection_id: Line, probe_id: u64) -> Option<Duration> {
+    pub fn take_probe(&mut self, connection_id: SocketId, probe_id: u64) -> Option<Duration> {
         let probes = &mut self.connections.get_mut(&connection_id)?.outstanding_probes;
         let index = probes.iter().position(|(id, _)| *id == probe_id)?;
         Some(probes.remove(index).1)
@@ -462,7 +464,7 @@
     /// Handles an established connection: sends what waited for it. A join to a streamer that accepts none
     /// any more is not sent.
     pub fn connection_established(
-        &mut self, connection_id: Line, accepts_joins: bool, now: Duration, reactor: &mut Reactor,
+        &mut self, connection_id: SocketId, accepts_joins: bool, now: Duration, reactor: &mut Reactor,
     ) {
         self.record_received(connection_id, now);
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
@@ -483,7 +485,7 @@
     }
 
     /// Records that input was received on a connection.
-    pub fn record_received(&mut self, connection_id: Line, now: Duration) {
+    pub fn record_received(&mut self, connection_id: SocketId, now: Duration) {
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         connection.last_received_at = now;
         if let Some(state) = self.streamers.get_mut(&connection.streamer) {
@@ -493,7 +495,7 @@
 
     /// Handles a connection that closed by itself.
     pub fn connection_closed(
-        &mut self, connection_id: Line, now: Duration, has_sessions: bool, reactor: &mut Reactor,
+        &mut self, connection_id: SocketId, now: Duration, has_sessions: bool, reactor: &mut Reactor,
     ) {
         let Some(connection) = self.connections.get(&connection_id) else { return };
         let (streamer, established, timed_out) = (
@@ -548,7 +550,7 @@
     }
 
     /// Closes a connection; its outstanding joins and probes end with this ending.
-    pub fn close(&mut self, connection_id: Line, ending: Ending, now: Duration, reactor: &mut Reactor) {
+    pub fn close(&mut self, connection_id: SocketId, ending: Ending, now: Duration, reactor: &mut Reactor) {
         let Some(mut connection) = self.remove(connection_id) else { return };
         reactor.close(connection_id);
         // Recent messages may not have been read, unless both sides have closed the connection in order.
@@ -580,9 +582,9 @@
 }
 
 /// Whether all output of a connection could be written.
-fn flush_completely(connection_id: Line, reactor: &mut Reactor) -> bool {
-    reactor.flush_line(connection_id);
-    reactor.unwritten(connection_id) == 0
+fn flush_completely(connection_id: SocketId, reactor: &mut Reactor) -> bool {
+    reactor.flush_connection(connection_id);
+    reactor.unwritten_bytes(connection_id) == 0
 }
 
 impl StreamerConnection {
--- a/crates/platform/src/streamer_pool/sweep.rs
+++ b/crates/platform/src/streamer_pool/sweep.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::{Ending, StreamerId};
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 
 use super::{ConnectError, PoolEvent, StreamerConnection, StreamerPool, StreamerState};
 
@@ -82,7 +82,7 @@
                     "retired"
                 );
                 *open = open.saturating_sub(1);
-                reactor.shut(*connection_id);
+                reactor.shut_down_write(*connection_id);
             }
         }
         open_counts
@@ -93,7 +93,7 @@
         let timed_out = |connection: &StreamerConnection| {
             connection.shut_down_at.is_some_and(|at| at + CLOSE_TIMEOUT <= now)
         };
-        let expired: Vec<Line> = self
+        let expired: Vec<SocketId> = self
             .connections
             .iter()
             .filter(|(_, connection)| timed_out(connection))
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -7,7 +7,7 @@
 
 use badgerledge_core::decide::Controller;
 use badgerledge_core::interface::{DecisionSink, Ending, Health, JobId, Listing, Start, StreamerId};
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 use badgerledge_signalling::viewers::{self, Parameters};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{json, Value};
@@ -47,27 +47,27 @@
 #[derive(Default)]
 struct RecordingTransport {
     /// Frames sent on each viewers' connection.
-    viewer_frames: Vec<(Line, Vec<u8>)>,
+    viewer_frames: Vec<(SocketId, Vec<u8>)>,
     /// Outstanding joins at streamers.
     outstanding: BTreeMap<u64, (JobId, StreamerId)>,
     /// Messages to streamers on their playing sessions.
     streamer_messages: Vec<(StreamerId, String)>,
-    full_connections: BTreeSet<Line>,
+    full_connections: BTreeSet<SocketId>,
     probes: Vec<StreamerId>,
 }
 
 impl Transport for RecordingTransport {
-    fn answer(&mut self, connection: Line, message: &[u8]) -> bool {
+    fn answer(&mut self, connection: SocketId, message: &[u8]) -> bool {
         let accepts = !self.full_connections.contains(&connection);
         if accepts {
             self.viewer_frames.push((connection, message.to_vec()));
         }
         accepts
     }
-    fn release(&mut self, connection: Line, _wire_id: u64, message: Vec<u8>) {
+    fn release(&mut self, connection: SocketId, _wire_id: u64, message: Vec<u8>) {
         self.viewer_frames.push((connection, message));
     }
-    fn mark_serving(&mut self, _connection: Line) {}
+    fn mark_serving(&mut self, _connection: SocketId) {}
     fn join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>) {
         let offer: Value = serde_json::from_slice(&offer).expect("a whole line");
         assert_eq!(offer["call"], json!(format!("{wire_id:016x}")));
@@ -93,7 +93,7 @@
 impl RecordingTransport {
     /// Types and causes of the frames sent for a session.
     fn frames_of(&self, wire_id: u64) -> Vec<(u8, u8)> {
-        let type_and_cause = |(_, frame): &(Line, Vec<u8>)| {
+        let type_and_cause = |(_, frame): &(SocketId, Vec<u8>)| {
             let own = frame[3..11] == wire_id.to_be_bytes();
             own.then(|| (frame[2], if frame[2] == 12 { frame[14] } else { 0 }))
         };
@@ -133,7 +133,7 @@
         }
     }
 
-    fn set_up(&mut self, connection: Line, wire_id: u64, change: &[(&str, &str)]) {
+    fn set_up(&mut self, connection: SocketId, wire_id: u64, change: &[(&str, &str)]) {
         let mut fields = BTreeMap::from([
             ("class", "tour"),
             ("left", "2000"),
@@ -173,7 +173,7 @@
 
 struct Handler<'a> {
     harness: &'a mut Harness,
-    connection: Line,
+    connection: SocketId,
 }
 
 impl viewers::MessageHandler for Handler<'_> {
@@ -204,10 +204,10 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    SetUp(Line),
+    SetUp(SocketId),
     ViewerEnds(u64, bool),
-    ViewerDisconnects(Line),
-    ConnectionFull(Line),
+    ViewerDisconnects(SocketId),
+    ConnectionFull(SocketId),
     Answer(u64),
     JoinEnds(u64, u8),
     Release(u64, u8),
@@ -218,7 +218,7 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (wire_id, connection) = (u64::arbitrary(g) % 24, Line::arbitrary(g) % 3);
+        let (wire_id, connection) = (u64::arbitrary(g) % 24, SocketId::arbitrary(g) % 3);
         let number = u32::arbitrary(g) % STREAMERS;
         match u8::arbitrary(g) % 16 {
             0..=3 => Step::SetUp(connection),
@@ -238,7 +238,7 @@
 /// What the model knows of a session.
 #[derive(Default)]
 struct ModelViewer {
-    connection: Line,
+    connection: SocketId,
     plays_at: Option<StreamerId>,
     was_answered: bool,
     left: bool,
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,17 +1,17 @@
 //! The operations on sockets that the session table and the dispatcher need.
 
 use badgerledge_core::interface::{JobId, StreamerId};
-use badgerledge_reactor::Line;
+use badgerledge_reactor::SocketId;
 
 /// The sockets, as the session table sees them.
 pub trait Transport {
     /// Sends a message on a viewer's connection. Returns false if the connection accepts no more output.
-    fn answer(&mut self, connection: Line, message: &[u8]) -> bool;
+    fn answer(&mut self, connection: SocketId, message: &[u8]) -> bool;
     /// Sends the release of a session on its viewer's connection. Uses another connection that has served
     /// viewers if that one is closed, and queues the release while there is none.
-    fn release(&mut self, connection: Line, wire_id: u64, message: Vec<u8>);
+    fn release(&mut self, connection: SocketId, wire_id: u64, message: Vec<u8>);
     /// Marks a connection as one that serves viewers, as opposed to one of a health checker.
-    fn mark_serving(&mut self, connection: Line);
+    fn mark_serving(&mut self, connection: SocketId);
     /// Starts a join, on a connection of its own where one is available.
     fn join(&mut self, job: JobId, wire_id: u64, streamer: StreamerId, offer: Vec<u8>);
     /// Withdraws an outstanding join.
--- a/crates/platform/src/unanswered.rs
+++ b/crates/platform/src/unanswered.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use badgerledge_core::interface::StreamerId;
-use badgerledge_reactor::Closing;
+use badgerledge_reactor::CloseReason;
 
 use crate::phase::Phase;
 
@@ -30,12 +30,12 @@
     Us,
 }
 
-impl From<Closing> for ClosedBy {
-    fn from(reason: Closing) -> Self {
+impl From<CloseReason> for ClosedBy {
+    fn from(reason: CloseReason) -> Self {
         match reason {
-            Closing::ByPeer => Self::Viewer,
-            Closing::Broken => Self::Network,
-            Closing::NotMade | Closing::Finished => Self::Us,
+            CloseReason::ByPeer => Self::Viewer,
+            CloseReason::Broken => Self::Network,
+            CloseReason::NotMade | CloseReason::Finished => Self::Us,
         }
     }
 }
--- a/crates/platform/src/viewer_pool.rs
+++ b/crates/platform/src/viewer_pool.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use badgerledge_signalling::MAX_MESSAGE_BYTES;
 
 /// Room for a whole frame, and for the answers to a burst of them.
@@ -68,14 +68,14 @@
 /// A release, when it was queued or sent, and the connection that it belongs to or was sent on.
 struct Release {
     since: Duration,
-    connection: Line,
+    connection: SocketId,
     wire_id: u64,
     message: Vec<u8>,
 }
 
 /// The viewers' connections, and the releases that are queued or unacknowledged.
 pub struct ViewerPool {
-    connections: BTreeMap<Line, ViewerConnection>,
+    connections: BTreeMap<SocketId, ViewerConnection>,
     /// Sent but not acknowledged by their viewers; oldest first.
     unacknowledged: VecDeque<Release>,
     /// Waiting for a connection.
@@ -110,7 +110,7 @@
     }
 
     /// All connections.
-    pub fn connections(&self) -> impl Iterator<Item = Line> + '_ {
+    pub fn connections(&self) -> impl Iterator<Item = SocketId> + '_ {
         self.connections.keys().copied()
     }
 
@@ -119,11 +119,13 @@
         let queued = self.queued.iter().any(|release| now < release.since + QUEUED_RELEASE_LIFETIME);
         let unacknowledged =
             self.unacknowledged.iter().any(|release| now < release.since + ACKNOWLEDGE_TIMEOUT);
-        queued || unacknowledged || self.connections().any(|connection| reactor.unwritten(connection) > 0)
+        queued
+            || unacknowledged
+            || self.connections().any(|connection| reactor.unwritten_bytes(connection) > 0)
     }
 
     /// Whether a connection belongs to this pool.
-    pub fn contains(&self, connection: Line) -> bool {
+    pub fn contains(&self, connection: SocketId) -> bool {
         self.connections.contains_key(&connection)
     }
 
@@ -134,7 +136,9 @@
 
     /// The connection without a pending set-up to evict first: the lowest rank, and within it the one unused
     /// for longest.
-    pub fn eviction_candidate(&self, now: Duration, has_pending: impl Fn(Line) -> bool) -> Option<Line> {
+    pub fn eviction_candidate(
+        &self, now: Duration, has_pending: impl Fn(SocketId) -> bool,
+    ) -> Option<SocketId> {
         let reserved = self.reserved();
         let idle = self.connections.iter().filter(|(connection, _)| !has_pending(**connection));
         let ranked = idle.map(|(connection, viewer)| {
@@ -145,7 +149,7 @@
     }
 
     /// The most recently used connections that served viewers.
-    fn reserved(&self) -> BTreeSet<Line> {
+    fn reserved(&self) -> BTreeSet<SocketId> {
         let served = self.connections.iter().filter(|(_, viewer)| viewer.serves_viewers);
         let mut by_use: Vec<_> =
             served.map(|(connection, viewer)| (viewer.last_received_at, *connection)).collect();
@@ -155,7 +159,7 @@
     }
 
     /// Adds an accepted connection.
-    pub fn insert(&mut self, connection: Line, now: Duration) {
+    pub fn insert(&mut self, connection: SocketId, now: Duration) {
         let viewer = ViewerConnection {
             last_set_up_at: now,
             accepted_at: now,
@@ -170,7 +174,7 @@
 
     /// Removes a closed connection. Recent releases on it that were not acknowledged are sent again on
     /// another.
-    pub fn remove(&mut self, connection: Line, now: Duration, reactor: &mut Reactor) {
+    pub fn remove(&mut self, connection: SocketId, now: Duration, reactor: &mut Reactor) {
         self.connections.remove(&connection);
         let (lost, others) =
             self.unacknowledged.drain(..).partition(|release| release.connection == connection);
@@ -181,7 +185,7 @@
     }
 
     /// Records that bytes arrived; `incomplete` if part of a frame is left of them.
-    pub fn record_input(&mut self, connection: Line, now: Duration, incomplete: bool) {
+    pub fn record_input(&mut self, connection: SocketId, now: Duration, incomplete: bool) {
         let Some(viewer) = self.connections.get_mut(&connection) else { return };
         viewer.last_received_at = now;
         viewer.incomplete_since = incomplete.then(|| viewer.incomplete_since.unwrap_or(now));
@@ -189,29 +193,29 @@
 
     /// Records a set-up: its viewer may abandon it, and then no answer would reset the idle time of the
     /// connection.
-    pub fn record_set_up(&mut self, connection: Line, now: Duration) {
+    pub fn record_set_up(&mut self, connection: SocketId, now: Duration) {
         self.connections.entry(connection).and_modify(|viewer| viewer.last_set_up_at = now);
     }
 
     /// The last set-up that was answered on a connection, and when.
-    pub fn last_answer(&self, connection: Line) -> Option<(u64, Duration)> {
+    pub fn last_answer(&self, connection: SocketId) -> Option<(u64, Duration)> {
         self.connections.get(&connection)?.last_answer
     }
 
     /// Records the set-up that was just answered on a connection.
-    pub fn record_answer(&mut self, connection: Line, wire_id: u64, now: Duration) {
+    pub fn record_answer(&mut self, connection: SocketId, wire_id: u64, now: Duration) {
         self.connections.entry(connection).and_modify(|viewer| viewer.last_answer = Some((wire_id, now)));
     }
 
     /// Sends a message on a connection. Returns false if it is closed or accepts no more output.
-    pub fn answer(&mut self, connection: Line, message: &[u8], reactor: &mut Reactor) -> bool {
+    pub fn answer(&mut self, connection: SocketId, message: &[u8], reactor: &mut Reactor) -> bool {
         let Some(viewer) = self.connections.get_mut(&connection) else { return false };
         viewer.was_sent_output = true;
         reactor.send(connection, &[message])
     }
 
     /// Marks a connection as serving viewers, and sends the queued releases.
-    pub fn mark_serving(&mut self, connection: Line, now: Duration, reactor: &mut Reactor) {
+    pub fn mark_serving(&mut self, connection: SocketId, now: Duration, reactor: &mut Reactor) {
         let Some(viewer) = self.connections.get_mut(&connection) else { return };
         viewer.serves_viewers = true;
         for release in std::mem::take(&mut self.queued) {
@@ -224,7 +228,7 @@
     /// Sends a release on its own connection or on another that served viewers, or queues it until there is
     /// one.
     pub fn release(
-        &mut self, connection: Line, wire_id: u64, message: Vec<u8>, now: Duration, reactor: &mut Reactor,
+        &mut self, connection: SocketId, wire_id: u64, message: Vec<u8>, now: Duration, reactor: &mut Reactor,
     ) {
         self.send_or_queue(Release { since: now, connection, wire_id, message }, now, reactor);
     }
@@ -269,7 +273,7 @@
     }
 
     /// The connections that have timed out.
-    pub fn expired(&self, now: Duration, has_pending: impl Fn(Line) -> bool) -> Vec<Line> {
+    pub fn expired(&self, now: Duration, has_pending: impl Fn(SocketId) -> bool) -> Vec<SocketId> {
         self.connections
             .keys()
             .copied()
@@ -279,7 +283,9 @@
 
     /// Whether a connection has timed out. One with handed-over sessions is exempt: nothing is sent on it
     /// until they end.
-    pub fn is_expired(&self, connection: Line, now: Duration, has_pending: impl Fn(Line) -> bool) -> bool {
+    pub fn is_expired(
+        &self, connection: SocketId, now: Duration, has_pending: impl Fn(SocketId) -> bool,
+    ) -> bool {
         self.connections.get(&connection).is_some_and(|viewer| {
             let idle = !viewer.was_sent_output
                 && !viewer.serves_viewers
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -13,4 +13,4 @@
 
 pub use buffer::Buffer;
 pub use descriptors::raise_descriptors;
-pub use reactor::{Bounds, Closing, Costs, Happening, Line, Reactor};
+pub use reactor::{Bounds, CloseReason, Costs, Reactor, ReactorEvent, SocketId};
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -16,7 +16,7 @@
 mod timers;
 mod transfer;
 
-pub use events::{Closing, Happening, Line};
+pub use events::{CloseReason, ReactorEvent, SocketId};
 pub use sockets::Bounds;
 
 use sockets::Source;
@@ -34,15 +34,15 @@
     start: Instant,
     offset: Duration,
     now: Duration,
-    next_id: Line,
-    sources: BTreeMap<Line, Source>,
+    next_id: SocketId,
+    sources: BTreeMap<SocketId, Source>,
     connections: usize,
     timers: BTreeSet<(Duration, Timer)>,
-    unflushed: Vec<Line>,
+    unflushed: Vec<SocketId>,
     /// Connections that ended outside a wait, to be reported in the next one.
-    newly_ended: Vec<Line>,
+    newly_ended: Vec<SocketId>,
     /// Connections reported as ended, removed at the next wait.
-    reported_ended: Vec<Line>,
+    reported_ended: Vec<SocketId>,
     scratch: Vec<u8>,
     max_accepts_per_wait: usize,
     costs: Costs,
--- a/crates/reactor/src/reactor/connections.rs
+++ b/crates/reactor/src/reactor/connections.rs
@@ -7,7 +7,7 @@
 use polling::{Event, PollMode};
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 
-use super::events::{Closing, Happening, Line};
+use super::events::{CloseReason, ReactorEvent, SocketId};
 use super::sockets::{fd, Bounds, Connection, Source};
 use super::timers::Timer;
 use super::Reactor;
@@ -24,14 +24,14 @@
     /// # Errors
     ///
     /// If no socket could be created or the connection was refused at once; there is no connection then.
-    pub fn connect(&mut self, to: SocketAddr, timeout: Duration, bounds: Bounds) -> io::Result<Line> {
+    pub fn connect(&mut self, to: SocketAddr, timeout: Duration, bounds: Bounds) -> io::Result<SocketId> {
         self.connect_from(None, to, timeout, bounds)
     }
 
     /// Like [`connect`](Self::connect), from a given local address, so that the peer can identify the caller.
     pub fn connect_from(
         &mut self, from: Option<IpAddr>, to: SocketAddr, timeout: Duration, bounds: Bounds,
-    ) -> io::Result<Line> {
+    ) -> io::Result<SocketId> {
         // Socket, its two options, and connect.
         self.costs.system_calls += 4;
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
@@ -57,7 +57,7 @@
     }
 
     /// The state of a connection.
-    pub(super) fn connection(&self, id: Line) -> Option<&Connection> {
+    pub(super) fn connection(&self, id: SocketId) -> Option<&Connection> {
         match self.sources.get(&id) {
             Some(Source::Stream { connection, .. }) => Some(connection),
             _ => None,
@@ -65,7 +65,7 @@
     }
 
     /// The state of a connection, for changes.
-    pub(super) fn connection_mut(&mut self, id: Line) -> Option<&mut Connection> {
+    pub(super) fn connection_mut(&mut self, id: SocketId) -> Option<&mut Connection> {
         match self.sources.get_mut(&id) {
             Some(Source::Stream { connection, .. }) => Some(connection),
             _ => None,
@@ -73,13 +73,13 @@
     }
 
     /// Closes a socket at once.
-    pub fn close(&mut self, id: Line) {
+    pub fn close(&mut self, id: SocketId) {
         self.deregister(id);
     }
 
     /// Shuts a connection down for writing, but still reads input: it ends once the peer closes it too or has
     /// gone. Output that is not written by then is lost.
-    pub fn shut(&mut self, id: Line) {
+    pub fn shut_down_write(&mut self, id: SocketId) {
         self.write_output(id);
         let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
         if !connection.connecting && connection.ended.is_none() {
@@ -90,14 +90,14 @@
     }
 
     /// Closes a connection once its output is written, or after [`LINGER`].
-    pub fn finish(&mut self, id: Line) {
+    pub fn close_after_flush(&mut self, id: SocketId) {
         let close_at = self.clock() + LINGER;
         let Some(connection) = self.connection_mut(id).filter(|connection| connection.ended.is_none()) else {
             return;
         };
         connection.closing_after_flush = true;
         if connection.output.is_empty() && !connection.connecting {
-            self.mark_ended(id, Closing::Finished);
+            self.mark_ended(id, CloseReason::Finished);
         } else {
             self.timers.insert((close_at, Timer::Connection(id)));
             self.update_interest(id);
@@ -105,7 +105,7 @@
     }
 
     /// Marks a connection as ended, to be reported by the next wait.
-    pub(super) fn mark_ended(&mut self, id: Line, reason: Closing) {
+    pub(super) fn mark_ended(&mut self, id: SocketId, reason: CloseReason) {
         let Some(connection) = self.connection_mut(id).filter(|connection| connection.ended.is_none()) else {
             return;
         };
@@ -118,7 +118,7 @@
     }
 
     /// Updates a connection's interest with the poller if it has changed.
-    pub(super) fn update_interest(&mut self, id: Line) {
+    pub(super) fn update_interest(&mut self, id: SocketId) {
         let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
         let wanted = connection.wanted_interest();
         if connection.ended.is_none() && connection.interest != wanted {
@@ -130,15 +130,15 @@
     }
 
     /// Checks whether a connection attempt has succeeded.
-    pub(super) fn check_connected(&mut self, id: Line, events: &mut Vec<Happening>) {
+    pub(super) fn check_connected(&mut self, id: SocketId, events: &mut Vec<ReactorEvent>) {
         let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
         self.costs.system_calls += 2;
         let connected = matches!(socket.take_error(), Ok(None)) && socket.peer_addr().is_ok();
         if !connected {
-            return self.mark_ended(id, Closing::NotMade);
+            return self.mark_ended(id, CloseReason::NotMade);
         }
         connection.connecting = false;
-        events.push(Happening::Opened(id));
+        events.push(ReactorEvent::Opened(id));
         self.write_output(id);
         self.update_interest(id);
     }
--- a/crates/reactor/src/reactor/listeners.rs
+++ b/crates/reactor/src/reactor/listeners.rs
@@ -7,7 +7,7 @@
 use polling::{Event, PollMode};
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 
-use super::events::{Happening, Line};
+use super::events::{ReactorEvent, SocketId};
 use super::sockets::{Bounds, Connection, Source};
 use super::timers::Timer;
 use super::{Reactor, MAX_PER_WAIT};
@@ -19,7 +19,7 @@
 
 impl Reactor {
     /// Listens at an address; accepted connections get these buffer bounds. Returns the id and the address.
-    pub fn listen(&mut self, address: SocketAddr, bounds: Bounds) -> io::Result<(Line, SocketAddr)> {
+    pub fn listen(&mut self, address: SocketAddr, bounds: Bounds) -> io::Result<(SocketId, SocketAddr)> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         // A restarted program can bind its address again while old connections are in TIME_WAIT.
         socket.set_reuse_address(true)?;
@@ -33,12 +33,12 @@
 
     /// Limits the connections accepted from a listener per wait, since each uses a descriptor before the
     /// program has decided whether it may stay.
-    pub fn accept_at_once(&mut self, count: usize) {
+    pub fn set_max_accepts_per_wait(&mut self, count: usize) {
         self.max_accepts_per_wait = count.clamp(1, MAX_PER_WAIT);
     }
 
     /// Accepts connections from a listener.
-    pub(super) fn accept(&mut self, listener: Line, events: &mut Vec<Happening>) {
+    pub(super) fn accept(&mut self, listener: SocketId, events: &mut Vec<ReactorEvent>) {
         for _ in 0..self.max_accepts_per_wait {
             let Some(Source::Listener { socket, bounds, .. }) = self.sources.get(&listener) else { return };
             let bounds = *bounds;
@@ -53,7 +53,7 @@
                     }
                     if let Ok(id) = self.register(Source::Stream { socket, connection }) {
                         self.connections += 1;
-                        events.push(Happening::Accepted { line: id, listener, from });
+                        events.push(ReactorEvent::Accepted { connection: id, listener, from });
                     }
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
@@ -66,7 +66,7 @@
     }
 
     /// Pauses a listener for [`ACCEPT_PAUSE`], or resumes it.
-    pub(super) fn set_paused(&mut self, listener: Line, pause: bool) {
+    pub(super) fn set_paused(&mut self, listener: SocketId, pause: bool) {
         let resume_at = self.clock() + ACCEPT_PAUSE;
         let Some(Source::Listener { socket, paused, .. }) = self.sources.get_mut(&listener) else { return };
         *paused = pause;
--- a/crates/reactor/src/reactor/poll.rs
+++ b/crates/reactor/src/reactor/poll.rs
@@ -5,13 +5,13 @@
 
 use polling::Event;
 
-use super::events::{Happening, Line};
+use super::events::{ReactorEvent, SocketId};
 use super::sockets::Source;
 use super::{signals, Reactor};
 
 impl Reactor {
     /// Waits until there are events, or until the given time, and appends the events.
-    pub fn wait(&mut self, until: Option<Duration>, events: &mut Vec<Happening>) -> io::Result<()> {
+    pub fn wait(&mut self, until: Option<Duration>, events: &mut Vec<ReactorEvent>) -> io::Result<()> {
         for id in std::mem::take(&mut self.reported_ended) {
             self.deregister(id);
         }
@@ -38,7 +38,7 @@
         }
         for id in std::mem::take(&mut self.newly_ended) {
             if let Some(reason) = self.connection(id).and_then(|connection| connection.ended) {
-                events.push(Happening::Closed(id, reason));
+                events.push(ReactorEvent::Closed(id, reason));
                 self.reported_ended.push(id);
             }
         }
@@ -46,8 +46,8 @@
     }
 
     /// Handles one event of the poller.
-    fn handle_poller_event(&mut self, event: Event, events: &mut Vec<Happening>) {
-        let id = event.key as Line;
+    fn handle_poller_event(&mut self, event: Event, events: &mut Vec<ReactorEvent>) {
+        let id = event.key as SocketId;
         match self.sources.get_mut(&id) {
             Some(Source::Listener { .. }) => self.accept(id, events),
             Some(Source::Datagrams(_)) => self.receive(id, events),
--- a/crates/reactor/src/reactor/sockets.rs
+++ b/crates/reactor/src/reactor/sockets.rs
@@ -7,7 +7,7 @@
 
 use polling::{Event, PollMode};
 
-use super::events::{Closing, Line};
+use super::events::{CloseReason, SocketId};
 use super::Reactor;
 use crate::buffer::Buffer;
 
@@ -29,14 +29,14 @@
     pub(super) connecting: bool,
     /// Closes once its output is written.
     pub(super) closing_after_flush: bool,
-    /// Output was refused since the last [`Happening::Drained`](super::events::Happening::Drained).
+    /// Output was refused since the last [`ReactorEvent::Drained`](super::events::ReactorEvent::Drained).
     pub(super) output_was_full: bool,
     /// Interest registered with the poller: readable, writable.
     pub(super) interest: (bool, bool),
     /// Whether it is in the list of connections to flush.
     pub(super) dirty: bool,
     /// Why it has ended.
-    pub(super) ended: Option<Closing>,
+    pub(super) ended: Option<CloseReason>,
 }
 
 impl Connection {
@@ -82,7 +82,7 @@
 
 impl Reactor {
     /// Registers a socket with the poller under a new id.
-    pub(super) fn register(&mut self, source: Source) -> io::Result<Line> {
+    pub(super) fn register(&mut self, source: Source) -> io::Result<SocketId> {
         let id = self.next_id;
         let interest = match &source {
             Source::Stream { connection, .. } => {
@@ -99,7 +99,7 @@
     }
 
     /// Removes a socket from the poller and closes it.
-    pub(super) fn deregister(&mut self, id: Line) {
+    pub(super) fn deregister(&mut self, id: SocketId) {
         let Some(source) = self.sources.remove(&id) else { return };
         // Removal from the poller, and close.
         self.costs.system_calls += 2;
--- a/crates/reactor/src/reactor/transfer.rs
+++ b/crates/reactor/src/reactor/transfer.rs
@@ -3,7 +3,7 @@
 
 use std::io::{ErrorKind, Read, Write};
 
-use super::events::{Closing, Happening, Line};
+use super::events::{CloseReason, ReactorEvent, SocketId};
 use super::sockets::Source;
 use super::Reactor;
 use crate::buffer::Buffer;
@@ -13,12 +13,12 @@
 
 impl Reactor {
     /// Bytes received and not yet consumed; empty for an unknown connection.
-    pub fn input(&self, id: Line) -> &[u8] {
+    pub fn input(&self, id: SocketId) -> &[u8] {
         self.connection(id).map_or(&[], |connection| connection.input.as_slice())
     }
 
     /// Removes bytes from the front of a connection's input.
-    pub fn consume(&mut self, id: Line, count: usize) {
+    pub fn consume(&mut self, id: SocketId, count: usize) {
         let Some(connection) = self.connection_mut(id) else { return };
         connection.input.consume(count);
         self.update_interest(id);
@@ -26,13 +26,13 @@
 
     /// Takes a connection's input out, so that it can be parsed while other connections are written to. Must
     /// be followed by [`restore_input`](Self::restore_input).
-    pub fn lift(&mut self, id: Line) -> Buffer {
+    pub fn take_input(&mut self, id: SocketId) -> Buffer {
         self.connection_mut(id)
             .map_or_else(Buffer::default, |connection| std::mem::take(&mut connection.input))
     }
 
     /// Puts the rest of the input back.
-    pub fn lay_back(&mut self, id: Line, input: Buffer) {
+    pub fn restore_input(&mut self, id: SocketId, input: Buffer) {
         if let Some(connection) = self.connection_mut(id) {
             connection.input = input;
             self.update_interest(id);
@@ -41,18 +41,18 @@
 
     /// Bytes queued on a connection and not yet written, also after it has ended; zero for an unknown
     /// connection.
-    pub fn unwritten(&self, id: Line) -> usize {
+    pub fn unwritten_bytes(&self, id: SocketId) -> usize {
         self.connection(id).map_or(0, |connection| connection.output.len())
     }
 
     /// Queues bytes on a connection, to be written at the next flush. Accepts all of them or, if they do not
     /// fit, none, and returns whether it did.
-    pub fn send(&mut self, id: Line, parts: &[&[u8]]) -> bool {
-        self.send_leaving(id, 0, parts)
+    pub fn send(&mut self, id: SocketId, parts: &[&[u8]]) -> bool {
+        self.send_reserving(id, 0, parts)
     }
 
     /// Like [`send`](Self::send), but the bytes must leave at least `free` bytes of room behind them.
-    pub fn send_leaving(&mut self, id: Line, free: usize, parts: &[&[u8]]) -> bool {
+    pub fn send_reserving(&mut self, id: SocketId, free: usize, parts: &[&[u8]]) -> bool {
         let Some(connection) = self.connection_mut(id) else { return false };
         let size: usize = parts.iter().map(|part| part.len()).sum();
         let open = connection.ended.is_none() && !connection.closing_after_flush;
@@ -69,7 +69,7 @@
     }
 
     /// Writes the output of one connection now.
-    pub fn flush_line(&mut self, id: Line) {
+    pub fn flush_connection(&mut self, id: SocketId) {
         self.write_output(id);
     }
 
@@ -81,13 +81,13 @@
     }
 
     /// Reads the available input of a connection without waiting, and returns whether its input is not empty.
-    pub fn read_now(&mut self, id: Line) -> bool {
+    pub fn read_available(&mut self, id: SocketId) -> bool {
         self.read_input(id, &mut Vec::new());
         !self.input(id).is_empty()
     }
 
     /// Writes a connection's output as far as the kernel accepts it.
-    pub(super) fn write_output(&mut self, id: Line) {
+    pub(super) fn write_output(&mut self, id: SocketId) {
         let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
         connection.dirty = false;
         if connection.connecting || connection.ended.is_some() {
@@ -115,14 +115,14 @@
             }
         }
         if broken || finished {
-            return self.mark_ended(id, if broken { Closing::Broken } else { Closing::Finished });
+            return self.mark_ended(id, if broken { CloseReason::Broken } else { CloseReason::Finished });
         }
         self.update_interest(id);
     }
 
     /// Reads all available input up to the limit, and continues until the kernel has no more, so that a close
     /// right behind a request is reported in the same wait and not in the next.
-    pub(super) fn read_input(&mut self, id: Line, events: &mut Vec<Happening>) {
+    pub(super) fn read_input(&mut self, id: SocketId, events: &mut Vec<ReactorEvent>) {
         let mut total = 0;
         while total < MAX_READ_PER_WAIT {
             let Some(Source::Stream { socket, connection }) = self.sources.get_mut(&id) else { return };
@@ -133,7 +133,7 @@
             }
             self.costs.system_calls += 1;
             match socket.read(&mut self.scratch[..limit]) {
-                Ok(0) => self.mark_ended(id, Closing::ByPeer),
+                Ok(0) => self.mark_ended(id, CloseReason::ByPeer),
                 Ok(count) => {
                     connection.input.push(&self.scratch[..count]);
                     self.costs.copied_bytes += count as u64;
@@ -141,23 +141,23 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => self.mark_ended(id, Closing::Broken),
+                Err(_) => self.mark_ended(id, CloseReason::Broken),
             }
         }
         if total > 0 {
-            events.push(Happening::Readable(id));
+            events.push(ReactorEvent::Readable(id));
         }
         self.update_interest(id);
     }
 
     /// Reports that a connection's output has room again, once half of it is free.
-    pub(super) fn report_drained(&mut self, id: Line, events: &mut Vec<Happening>) {
+    pub(super) fn report_drained(&mut self, id: SocketId, events: &mut Vec<ReactorEvent>) {
         let Some(connection) = self.connection_mut(id).filter(|connection| connection.ended.is_none()) else {
             return;
         };
         if connection.output_was_full && connection.output.len() <= connection.bounds.output / 2 {
             connection.output_was_full = false;
-            events.push(Happening::Drained(id));
+            events.push(ReactorEvent::Drained(id));
         }
     }
 }
