--- a/crates/reactor/src/tests.rs
+++ b/crates/reactor/src/tests.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::time::Duration;
 
-use crate::{Bounds, Closing, Happening, Line, Reactor};
+use crate::{Bounds, CloseReason, Reactor, ReactorEvent, SocketId};
 
 const SMALL: Bounds = Bounds { input: 1000, output: 1000 };
 
@@ -13,7 +13,7 @@
 }
 
 /// Waits, at most five seconds, until `found` accepts one of the events.
-fn until<T>(reactor: &mut Reactor, mut found: impl FnMut(&mut Reactor, &Happening) -> Option<T>) -> T {
+fn until<T>(reactor: &mut Reactor, mut found: impl FnMut(&mut Reactor, &ReactorEvent) -> Option<T>) -> T {
     let end = reactor.clock() + Duration::from_secs(5);
     let mut events = Vec::new();
     while reactor.clock() < end {
@@ -28,11 +28,11 @@
     panic!("no matching event within five seconds");
 }
 
-fn pair(reactor: &mut Reactor) -> (Line, TcpStream) {
+fn pair(reactor: &mut Reactor) -> (SocketId, TcpStream) {
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
     let remote = TcpStream::connect(at).unwrap();
     let connection = until(reactor, |_, it| match it {
-        Happening::Accepted { line: connection, .. } => Some(*connection),
+        ReactorEvent::Accepted { connection, .. } => Some(*connection),
         _ => None,
     });
     (connection, remote)
@@ -70,12 +70,12 @@
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (connection, mut remote) = pair(&mut reactor);
     reactor.send(connection, &[b"last"]);
-    reactor.finish(connection);
+    reactor.close_after_flush(connection);
     let why = until(&mut reactor, |_, it| match it {
-        Happening::Closed(closed, why) if *closed == connection => Some(*why),
+        ReactorEvent::Closed(closed, why) if *closed == connection => Some(*why),
         _ => None,
     });
-    assert_eq!(why, Closing::Finished);
+    assert_eq!(why, CloseReason::Finished);
     assert_eq!(reactor.connections(), 0);
     reactor.close(connection);
     let mut text = String::new();
@@ -90,10 +90,10 @@
     reactor.close(listener);
     let connection = reactor.connect(at, Duration::from_secs(1), SMALL).unwrap();
     let why = until(&mut reactor, |_, it| match it {
-        Happening::Closed(closed, why) if *closed == connection => Some(*why),
+        ReactorEvent::Closed(closed, why) if *closed == connection => Some(*why),
         _ => None,
     });
-    assert_eq!(why, Closing::NotMade);
+    assert_eq!(why, CloseReason::NotMade);
     assert_eq!(reactor.connections(), 0);
 }
 
@@ -104,7 +104,7 @@
     remote.write_all(b"bye").unwrap();
     drop(remote);
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, Closing::ByPeer) if *closed == connection => {
+        ReactorEvent::Closed(closed, CloseReason::ByPeer) if *closed == connection => {
             Some(r.input(connection).to_vec())
         }
         _ => None,
@@ -117,13 +117,13 @@
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (connection, mut remote) = pair(&mut reactor);
     reactor.send(connection, &[b"last"]);
-    reactor.shut(connection);
+    reactor.shut_down_write(connection);
     let mut received = String::new();
     remote.read_to_string(&mut received).unwrap();
     remote.write_all(b"on its way").unwrap();
     drop(remote);
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, Closing::ByPeer) if *closed == connection => {
+        ReactorEvent::Closed(closed, CloseReason::ByPeer) if *closed == connection => {
             Some(r.input(connection).to_vec())
         }
         _ => None,
@@ -145,7 +145,7 @@
     reactor.send(connection, &[b"more"]);
     reactor.flush();
     let last = until(&mut reactor, |r, it| match it {
-        Happening::Closed(closed, _) if *closed == connection => Some(r.input(connection).to_vec()),
+        ReactorEvent::Closed(closed, _) if *closed == connection => Some(r.input(connection).to_vec()),
         _ => None,
     });
     assert_eq!(last, b"last words");
@@ -157,12 +157,12 @@
     let now = reactor.now();
     assert_eq!(now, Duration::from_secs(100));
     for (ms, token) in [(20, 2), (10, 1), (15, 9), (30, 3)] {
-        reactor.due(now + Duration::from_millis(ms), token);
+        reactor.set_timer(now + Duration::from_millis(ms), token);
     }
-    reactor.not_due(now + Duration::from_millis(15), 9);
+    reactor.cancel_timer(now + Duration::from_millis(15), 9);
     let mut tokens = Vec::new();
     until(&mut reactor, |_, it| {
-        tokens.extend(if let Happening::Due(token) = it { Some(*token) } else { None });
+        tokens.extend(if let ReactorEvent::Timer(token) = it { Some(*token) } else { None });
         (tokens.len() == 3).then_some(())
     });
     assert_eq!(tokens, [1, 2, 3]);
@@ -173,26 +173,26 @@
 fn available_input_can_be_read_without_a_wait() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (connection, mut remote) = pair(&mut reactor);
-    assert!(!reactor.read_now(connection));
+    assert!(!reactor.read_available(connection));
     remote.write_all(b"a set-up").unwrap();
-    assert!(reactor.read_now(connection));
+    assert!(reactor.read_available(connection));
     assert_eq!(reactor.input(connection), b"a set-up");
 }
 
 #[test]
 fn signals_and_datagrams_are_reported() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
-    let (here, at) = reactor.datagrams(anywhere()).unwrap();
+    let (here, at) = reactor.bind_datagrams(anywhere()).unwrap();
     assert!(reactor.send_to(here, at, b"to myself"));
     let bytes = until(&mut reactor, |_, it| match it {
-        Happening::Datagram { bytes, .. } => Some(bytes.clone()),
+        ReactorEvent::Datagram { bytes, .. } => Some(bytes.clone()),
         _ => None,
     });
     assert_eq!(bytes, b"to myself");
-    reactor.signal(signal_hook::consts::SIGUSR1).unwrap();
+    reactor.watch_signal(signal_hook::consts::SIGUSR1).unwrap();
     signal_hook::low_level::raise(signal_hook::consts::SIGUSR1).unwrap();
     let signal = until(&mut reactor, |_, it| match it {
-        Happening::Signal(signal) => Some(*signal),
+        ReactorEvent::Signal(signal) => Some(*signal),
         _ => None,
     });
     assert_eq!(signal, signal_hook::consts::SIGUSR1);
@@ -205,11 +205,11 @@
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
     let mut open_connections = 0;
     for _ in 0..40 {
-        let more: Vec<Line> =
+        let more: Vec<SocketId> =
             (0..50).map(|_| reactor.connect(at, Duration::from_secs(5), SMALL).unwrap()).collect();
         let mut left = 2 * more.len();
         until(&mut reactor, |_, it| {
-            left -= usize::from(matches!(it, Happening::Accepted { .. } | Happening::Opened(_)));
+            left -= usize::from(matches!(it, ReactorEvent::Accepted { .. } | ReactorEvent::Opened(_)));
             (left == 0).then_some(())
         });
         open_connections += 2 * more.len();
@@ -231,7 +231,7 @@
     let end = reactor.clock() + Duration::from_secs(5);
     reactor.wait(Some(end), &mut events).unwrap();
     assert!(
-        matches!(events[..], [Happening::Readable(a), Happening::Closed(b, Closing::ByPeer)] if a == connection && b == connection),
+        matches!(events[..], [ReactorEvent::Readable(a), ReactorEvent::Closed(b, CloseReason::ByPeer)] if a == connection && b == connection),
         "{events:?}"
     );
     assert_eq!(reactor.input(connection).len(), 300, "the input before the close is available");
@@ -242,13 +242,13 @@
 fn the_connections_accepted_per_wait_are_limited() {
     let mut reactor = Reactor::new(Duration::ZERO).unwrap();
     let (_, at) = reactor.listen(anywhere(), SMALL).unwrap();
-    reactor.accept_at_once(3);
+    reactor.set_max_accepts_per_wait(3);
     let remote: Vec<_> = (0..10).map(|_| TcpStream::connect(at).unwrap()).collect();
     let (mut all, mut events) = (0, Vec::new());
     let end = reactor.clock() + Duration::from_secs(5);
     while all < remote.len() && reactor.clock() < end {
         reactor.wait(Some(end), &mut events).unwrap();
-        let taken = events.drain(..).filter(|it| matches!(it, Happening::Accepted { .. })).count();
+        let taken = events.drain(..).filter(|it| matches!(it, ReactorEvent::Accepted { .. })).count();
         assert!(taken <= 3, "{taken} in one wait");
         all += taken;
     }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -13,7 +13,7 @@
 use badgerledge_distribution::message::{decode, encode, PeerMessage};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 
 use crate::backoff::Backoff;
 use crate::envelope::{Identity, Lives, Opener, Payload, PeerFrame, Refusal, Sealer, Session, LONGEST_FRAME};
@@ -51,13 +51,13 @@
     Waiting(Duration),
     Connecting,
     /// Made; the challenge has not come.
-    Unchallenged(Line, Duration),
+    Unchallenged(SocketId, Duration),
     /// Challenged; up once a ping was answered.
     Sealed(Box<SealedStream>),
 }
 
 struct SealedStream {
-    line: Line,
+    line: SocketId,
     sealer: Sealer,
     opener: Opener,
     up: bool,
@@ -77,13 +77,13 @@
 pub struct Peers {
     identity: Identity,
     keys: Keys,
-    listener: Line,
+    listener: SocketId,
     /// The address that streams are made from, if one is told: others know this machine by it.
     from: Option<IpAddr>,
     bounds: Bounds,
     outgoing: BTreeMap<MachineId, Outgoing>,
-    by_line: BTreeMap<Line, MachineId>,
-    incoming: BTreeMap<Line, Incoming>,
+    by_line: BTreeMap<SocketId, MachineId>,
+    incoming: BTreeMap<SocketId, Incoming>,
     lives: Lives,
     chance: Rng,
     lines: LineLimit,
@@ -97,7 +97,7 @@
 
     /// Streams to these peers, which are begun with the first call of [`Peers::tend`].
     pub fn new(
-        identity: Identity, keys: Keys, (listener, listens_at): (Line, SocketAddr),
+        identity: Identity, keys: Keys, (listener, listens_at): (SocketId, SocketAddr),
         peers: &BTreeMap<MachineId, SocketAddr>, output_bytes: usize, now: Duration, seed: u64,
     ) -> Self {
         let outgoing = |(number, address): (&MachineId, &SocketAddr)| {
@@ -131,12 +131,14 @@
         self.outgoing.values().filter(is_up).count()
     }
 
-    pub fn is(&self, line: Line) -> bool {
+    pub fn is(&self, line: SocketId) -> bool {
         self.by_line.contains_key(&line) || self.incoming.contains_key(&line)
     }
 
     /// Takes a connection that came in, if it is one of these: it is challenged.
-    pub fn accepts(&mut self, reactor: &mut Reactor, line: Line, listener: Line, now: Duration) -> bool {
+    pub fn accepts(
+        &mut self, reactor: &mut Reactor, line: SocketId, listener: SocketId, now: Duration,
+    ) -> bool {
         if listener != self.listener {
             return false;
         }
@@ -163,7 +165,7 @@
     }
 
     /// A stream of this side is made.
-    pub fn opened(&mut self, line: Line, now: Duration) {
+    pub fn opened(&mut self, line: SocketId, now: Duration) {
         let peer = self.by_line.get(&line).and_then(|number| self.outgoing.get_mut(number));
         if let Some(peer) = peer {
             peer.state = State::Unchallenged(line, now);
@@ -171,7 +173,7 @@
     }
 
     /// A stream has ended.
-    pub fn closed(&mut self, line: Line, now: Duration, events: &mut Vec<PeerEvent>) {
+    pub fn closed(&mut self, line: SocketId, now: Duration, events: &mut Vec<PeerEvent>) {
         self.incoming.remove(&line);
         let Some(number) = self.by_line.remove(&line) else { return };
         let Some(peer) = self.outgoing.get_mut(&number) else { return };
@@ -185,7 +187,7 @@
 
     /// Takes what came in on a stream.
     pub fn readable(
-        &mut self, reactor: &mut Reactor, line: Line, now: Duration, events: &mut Vec<PeerEvent>,
+        &mut self, reactor: &mut Reactor, line: SocketId, now: Duration, events: &mut Vec<PeerEvent>,
     ) {
         loop {
             let taken = match decode::<PeerFrame>(reactor.input(line), LONGEST_FRAME) {
@@ -205,7 +207,7 @@
         }
     }
 
-    fn refuse(&mut self, line: Line, now: Duration, refusal: Refusal) {
+    fn refuse(&mut self, line: SocketId, now: Duration, refusal: Refusal) {
         telemetry::count_refused(KIND, refusal.label());
         if let Some(suppressed) = self.lines.allows(now, refusal.label()) {
             let peer = self.by_line.get(&line).copied();
@@ -214,7 +216,7 @@
     }
 
     fn take(
-        &mut self, reactor: &mut Reactor, line: Line, now: Duration, frame: PeerFrame,
+        &mut self, reactor: &mut Reactor, line: SocketId, now: Duration, frame: PeerFrame,
         events: &mut Vec<PeerEvent>,
     ) -> Result<(), Refusal> {
         match (frame, self.by_line.get(&line).copied()) {
@@ -255,7 +257,7 @@
     }
 
     fn challenged(
-        &mut self, line: Line, number: MachineId, session: Session, now: Duration,
+        &mut self, line: SocketId, number: MachineId, session: Session, now: Duration,
     ) -> Result<(), Refusal> {
         let (identity, peer) = (self.identity, self.outgoing.get_mut(&number));
         let Some(peer) = peer.filter(|peer| matches!(peer.state, State::Unchallenged(..))) else {
@@ -274,7 +276,7 @@
     }
 
     /// Answers a ping. The first one shows whose stream it is: it takes the place of an older one of the same machine.
-    fn pong(&mut self, reactor: &mut Reactor, line: Line, (from, life, sequence): (MachineId, u32, u64)) {
+    fn pong(&mut self, reactor: &mut Reactor, line: SocketId, (from, life, sequence): (MachineId, u32, u64)) {
         let identity = self.identity;
         let Some(stream) = self.incoming.get_mut(&line) else { return };
         let session = stream.opener.session();
@@ -286,7 +288,7 @@
             let older = self.incoming.iter().filter(|(other, stream)| {
                 **other != line && stream.sealer.is_some() && stream.opener.peer() == Some(from)
             });
-            let older: Vec<Line> = older.map(|(line, _)| *line).collect();
+            let older: Vec<SocketId> = older.map(|(line, _)| *line).collect();
             for line in older {
                 self.incoming.remove(&line);
                 reactor.close(line);
@@ -351,8 +353,8 @@
             State::Waiting(_) | State::Connecting => None,
         });
         let is_silent =
-            |(line, stream): (&Line, &Incoming)| (now >= stream.heard + SILENT_AFTER).then_some(*line);
-        let silent: Vec<Line> = outgoing.chain(self.incoming.iter().filter_map(is_silent)).collect();
+            |(line, stream): (&SocketId, &Incoming)| (now >= stream.heard + SILENT_AFTER).then_some(*line);
+        let silent: Vec<SocketId> = outgoing.chain(self.incoming.iter().filter_map(is_silent)).collect();
         for line in silent {
             reactor.close(line);
             self.closed(line, now, events);
@@ -360,7 +362,7 @@
     }
 }
 
-fn send(reactor: &mut Reactor, line: Line, bytes: &[u8]) -> bool {
+fn send(reactor: &mut Reactor, line: SocketId, bytes: &[u8]) -> bool {
     let sent = reactor.send(line, &[bytes]);
     if sent {
         telemetry::count_bytes(KIND, "out", bytes.len());
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -10,7 +10,7 @@
 use badgerledge_distribution::message::{ControlStatus, PartitionStatus, PeerMessage, ToRelay, ToWatcher};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{raise_descriptors, Bounds, Reactor, ReactorEvent, SocketId};
 use metrics::counter;
 use metrics_exporter_prometheus::PrometheusHandle;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -58,7 +58,7 @@
     watcher_events: VecDeque<WatcherEvent>,
     /// What the control machine wants done.
     outputs: Vec<ControlOutput>,
-    readers: Vec<Line>,
+    readers: Vec<SocketId>,
     page: PrometheusHandle,
     ring_read: Option<SystemTime>,
     /// What was logged last of revisions.
@@ -82,7 +82,7 @@
         let page = telemetry::start()?;
         let mut reactor = Reactor::new(ORIGIN).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
-            reactor.signal(signal).context("signals")?;
+            reactor.watch_signal(signal).context("signals")?;
         }
         let (storage, stored) =
             Storage::open(&place.state).with_context(|| format!("state folder {}", place.state.display()))?;
@@ -149,7 +149,7 @@
     /// Where the event loop fails, or more waits to be stored than may.
     pub fn run(mut self) -> Result<()> {
         let mut happenings = Vec::new();
-        self.reactor.due(ORIGIN + SWEEP_EVERY, SWEEP);
+        self.reactor.set_timer(ORIGIN + SWEEP_EVERY, SWEEP);
         while !self.ending {
             let until = self.control.next_due().min(self.peers.next_due());
             self.reactor.wait(Some(until), &mut happenings).context("event loop")?;
@@ -182,34 +182,34 @@
         self.settle();
     }
 
-    fn take(&mut self, happening: Happening) {
+    fn take(&mut self, happening: ReactorEvent) {
         let (now, reactor) = (self.reactor.now(), &mut self.reactor);
         match happening {
-            Happening::Accepted { line, listener, .. } => self.accept(line, listener, now),
-            Happening::Opened(line) => self.peers.opened(line, now),
-            Happening::Readable(line) if self.peers.is(line) => {
+            ReactorEvent::Accepted { connection: line, listener, .. } => self.accept(line, listener, now),
+            ReactorEvent::Opened(line) => self.peers.opened(line, now),
+            ReactorEvent::Readable(line) if self.peers.is(line) => {
                 self.peers.readable(reactor, line, now, &mut self.peer_events);
             }
-            Happening::Readable(line) if self.watchers.is(line) => {
+            ReactorEvent::Readable(line) if self.watchers.is(line) => {
                 self.with_watchers(|watchers, reactor, events| watchers.readable(reactor, line, now, events));
             }
-            Happening::Readable(line) if self.readers.contains(&line) => self.show_metrics(line),
-            Happening::Closed(line, _) => {
+            ReactorEvent::Readable(line) if self.readers.contains(&line) => self.show_metrics(line),
+            ReactorEvent::Closed(line, _) => {
                 self.readers.retain(|reader| *reader != line);
                 self.peers.closed(line, now, &mut self.peer_events);
                 self.with_watchers(|watchers, _, events| watchers.closed(line, events));
             }
-            Happening::Due(_) => self.sweep(now),
-            Happening::Signal(SIGHUP) => self.read_ring(now),
-            Happening::Signal(signal) => {
+            ReactorEvent::Timer(_) => self.sweep(now),
+            ReactorEvent::Signal(SIGHUP) => self.read_ring(now),
+            ReactorEvent::Signal(signal) => {
                 tracing::info!(signal, "told to end");
                 self.ending = true;
             }
-            Happening::Readable(_) | Happening::Drained(_) | Happening::Datagram { .. } => {}
+            ReactorEvent::Readable(_) | ReactorEvent::Drained(_) | ReactorEvent::Datagram { .. } => {}
         }
     }
 
-    fn accept(&mut self, line: Line, listener: Line, now: Duration) {
+    fn accept(&mut self, line: SocketId, listener: SocketId, now: Duration) {
         if self.peers.accepts(&mut self.reactor, line, listener, now) {
             return;
         }
@@ -266,7 +266,7 @@
     }
 
     /// Whether a message is a change that no controller could act on; its author is told.
-    fn is_rejected(&mut self, line: Line, message: &ToRelay) -> bool {
+    fn is_rejected(&mut self, line: SocketId, message: &ToRelay) -> bool {
         let ToRelay::Push(change) = message else { return false };
         let Err(rejection) = self.push_check.check(self.control.state(), change) else { return false };
         let outcome = ToWatcher::PushOutcome { change: change.id, outcome: Err(rejection) };
@@ -327,7 +327,7 @@
 
     /// What is looked at once a second.
     fn sweep(&mut self, now: Duration) {
-        self.reactor.due(now + SWEEP_EVERY, SWEEP);
+        self.reactor.set_timer(now + SWEEP_EVERY, SWEEP);
         self.with_watchers(|watchers, reactor, events| watchers.sweep(reactor, now, events));
         let done = self.storage.tend();
         self.note_stored(done, now);
@@ -393,11 +393,11 @@
     }
 
     /// Any request is answered with the metrics once its head has come.
-    fn show_metrics(&mut self, line: Line) {
+    fn show_metrics(&mut self, line: SocketId) {
         if self.reactor.input(line).windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             let answer = telemetry::page(&self.page);
             self.reactor.send(line, &[&answer]);
-            self.reactor.finish(line);
+            self.reactor.close_after_flush(line);
         }
     }
 }
--- a/crates/relay/src/tests/peers.rs
+++ b/crates/relay/src/tests/peers.rs
@@ -7,7 +7,7 @@
 
 use badgerledge_distribution::message::{decode, encode, PeerMessage};
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 use super::support::keys;
 use crate::envelope::{Identity, Payload, PeerFrame, Sealer, Session, LONGEST_FRAME};
@@ -32,14 +32,14 @@
         let now = self.reactor.now();
         for happening in happenings {
             match happening {
-                Happening::Accepted { line, listener, .. } => {
+                ReactorEvent::Accepted { connection: line, listener, .. } => {
                     assert!(self.peers.accepts(&mut self.reactor, line, listener, now));
                 }
-                Happening::Opened(line) => self.peers.opened(line, now),
-                Happening::Readable(line) => {
+                ReactorEvent::Opened(line) => self.peers.opened(line, now),
+                ReactorEvent::Readable(line) => {
                     self.peers.readable(&mut self.reactor, line, now, &mut self.events);
                 }
-                Happening::Closed(line, _) => self.peers.closed(line, now, &mut self.events),
+                ReactorEvent::Closed(line, _) => self.peers.closed(line, now, &mut self.events),
                 _ => {}
             }
         }
@@ -70,7 +70,7 @@
 
 /// Machines of which each lets this many bytes wait for another.
 fn machines_with(keys: &[Keys], output_bytes: usize) -> Vec<Machine> {
-    let listening: Vec<(Reactor, Line, SocketAddr)> = keys
+    let listening: Vec<(Reactor, SocketId, SocketAddr)> = keys
         .iter()
         .map(|_| {
             let mut reactor = Reactor::new(Duration::from_secs(1)).unwrap();
@@ -234,7 +234,7 @@
     for _ in 0..32 {
         machines[0].send(1, PeerMessage::Agreement(vec![7; 16 * 1024]));
     }
-    let waiting: usize = (0..100).map(|line| machines[0].reactor.unwritten(line)).sum();
+    let waiting: usize = (0..100).map(|line| machines[0].reactor.unwritten_bytes(line)).sum();
     assert!(waiting > BOUND / 2 && waiting <= BOUND, "{waiting} bytes");
     // And the stream carries on.
     let mut heard = 0;
--- a/crates/relay/src/tests/watchers.rs
+++ b/crates/relay/src/tests/watchers.rs
@@ -7,7 +7,7 @@
 use badgerledge_distribution::change::Summary;
 use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher};
 use badgerledge_distribution::Certified;
-use badgerledge_reactor::{Happening, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent};
 use badgerledge_revisions::{Head, Signed};
 
 use crate::watchers::{Limits, WatcherEvent, Watchers, FIRST_MESSAGE_WITHIN};
@@ -37,13 +37,13 @@
         let (now, events) = (self.reactor.now(), &mut self.events);
         for happening in happenings {
             match happening {
-                Happening::Accepted { line, listener, .. } => {
+                ReactorEvent::Accepted { connection: line, listener, .. } => {
                     self.watchers.accepts(&mut self.reactor, line, listener, now, events);
                 }
-                Happening::Readable(line) => {
+                ReactorEvent::Readable(line) => {
                     self.watchers.readable(&mut self.reactor, line, now, events);
                 }
-                Happening::Closed(line, _) => self.watchers.closed(line, events),
+                ReactorEvent::Closed(line, _) => self.watchers.closed(line, events),
                 _ => {}
             }
         }
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_distribution::control::{CloseReason, ConnectionId};
 use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, MAX_WATCHER_BODY_BYTES};
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use metrics::counter;
 
 use crate::envelope::frame_fault_label;
@@ -49,9 +49,9 @@
 
 /// All connections of controllers and tools. The number of a connection is that of its line, which is never used twice.
 pub struct Watchers {
-    listener: Line,
+    listener: SocketId,
     limits: Limits,
-    connections: BTreeMap<Line, Connection>,
+    connections: BTreeMap<SocketId, Connection>,
     held: usize,
     lines: LineLimit,
 }
@@ -62,11 +62,11 @@
         Bounds { input: MAX_WATCHER_BODY_BYTES + HEADER, output: limits.output }
     }
 
-    pub fn new(listener: Line, limits: Limits) -> Self {
+    pub fn new(listener: SocketId, limits: Limits) -> Self {
         Self { listener, limits, connections: BTreeMap::new(), held: 0, lines: LineLimit::default() }
     }
 
-    pub fn is(&self, line: Line) -> bool {
+    pub fn is(&self, line: SocketId) -> bool {
         self.connections.contains_key(&line)
     }
 
@@ -76,7 +76,7 @@
 
     /// Takes a connection that came in, if it is one of these. One too many is told to come later.
     pub fn accepts(
-        &mut self, reactor: &mut Reactor, line: Line, listener: Line, now: Duration,
+        &mut self, reactor: &mut Reactor, line: SocketId, listener: SocketId, now: Duration,
         events: &mut Vec<WatcherEvent>,
     ) -> bool {
         if listener != self.listener {
@@ -85,7 +85,7 @@
         if self.connections.len() >= self.limits.connections || self.held >= self.limits.all {
             counter!(telemetry::BUSY).increment(1);
             reactor.send(line, &[&encode(&ToWatcher::Busy { retry_after_ms: RETRY_AFTER_MS })]);
-            reactor.finish(line);
+            reactor.close_after_flush(line);
             return true;
         }
         self.connections.insert(line, Connection { until: now + FIRST_MESSAGE_WITHIN, held: 0 });
@@ -95,7 +95,7 @@
 
     /// Takes what came in on a connection.
     pub fn readable(
-        &mut self, reactor: &mut Reactor, line: Line, now: Duration, events: &mut Vec<WatcherEvent>,
+        &mut self, reactor: &mut Reactor, line: SocketId, now: Duration, events: &mut Vec<WatcherEvent>,
     ) {
         loop {
             let Some(connection) = self.connections.get_mut(&line) else { return };
@@ -120,9 +120,9 @@
     }
 
     /// Counts what is held for a connection anew. Over the bound of all it is closed.
-    fn account(&mut self, reactor: &mut Reactor, line: Line, events: &mut Vec<WatcherEvent>) {
+    fn account(&mut self, reactor: &mut Reactor, line: SocketId, events: &mut Vec<WatcherEvent>) {
         let Some(connection) = self.connections.get_mut(&line) else { return };
-        let held = reactor.input(line).len() + reactor.unwritten(line);
+        let held = reactor.input(line).len() + reactor.unwritten_bytes(line);
         self.held = self.held - connection.held + held;
         connection.held = held;
         if self.held > self.limits.all {
@@ -134,7 +134,7 @@
     /// Sends a message. A watcher that reads so slowly that it does not fit is closed: it comes again, here or elsewhere, and
     /// gets what it lacks in one piece.
     pub fn send(
-        &mut self, reactor: &mut Reactor, line: Line, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
+        &mut self, reactor: &mut Reactor, line: SocketId, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
     ) {
         if !self.is(line) {
             return telemetry::count_dropped(KIND);
@@ -150,29 +150,29 @@
     }
 
     /// Ends a connection for the control machine, once what was sent on it is written.
-    pub fn finish(&mut self, reactor: &mut Reactor, line: Line, reason: CloseReason, now: Duration) {
+    pub fn finish(&mut self, reactor: &mut Reactor, line: SocketId, reason: CloseReason, now: Duration) {
         if self.remove(line) {
             telemetry::count_closed(close_label(reason));
             if let Some(suppressed) = self.lines.allows(now, close_label(reason)) {
                 tracing::info!(line, suppressed, "a watcher's connection is closed: {reason}");
             }
-            reactor.finish(line);
+            reactor.close_after_flush(line);
         }
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, line: Line, events: &mut Vec<WatcherEvent>) {
+    pub fn closed(&mut self, line: SocketId, events: &mut Vec<WatcherEvent>) {
         if self.remove(line) {
             events.push(WatcherEvent::Closed(line));
         }
     }
 
-    fn close(&mut self, reactor: &mut Reactor, line: Line, events: &mut Vec<WatcherEvent>) {
+    fn close(&mut self, reactor: &mut Reactor, line: SocketId, events: &mut Vec<WatcherEvent>) {
         reactor.close(line);
         self.closed(line, events);
     }
 
-    fn remove(&mut self, line: Line) -> bool {
+    fn remove(&mut self, line: SocketId) -> bool {
         let Some(connection) = self.connections.remove(&line) else { return false };
         self.held -= connection.held;
         true
@@ -180,7 +180,7 @@
 
     /// Closes those that are silent, and counts anew what is held. To be called about once a second.
     pub fn sweep(&mut self, reactor: &mut Reactor, now: Duration, events: &mut Vec<WatcherEvent>) {
-        let silent: Vec<Line> =
+        let silent: Vec<SocketId> =
             self.connections.iter().filter(|(_, it)| now >= it.until).map(|(line, _)| *line).collect();
         for line in silent {
             telemetry::count_closed("silent");
--- a/crates/replay/src/gossip.rs
+++ b/crates/replay/src/gossip.rs
@@ -10,7 +10,7 @@
 use badgerledge_gossip::statement::ITEM_BYTES;
 use badgerledge_gossip::{Event, Gossip, Member, Transport};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 use badgerledge_settings::{within, Sheet};
 use garde::Validate;
 use serde::Deserialize;
@@ -108,13 +108,13 @@
 /// A member that gossips as all do, but for what it says of one streamer.
 pub struct Liar {
     gossip: Gossip<Keys>,
-    line: Line,
+    line: SocketId,
     of: StreamerId,
     lies_at: Duration,
 }
 
 /// Sends what gossip says on its line.
-fn transport(reactor: &Reactor, line: Line) -> impl Transport + '_ {
+fn transport(reactor: &Reactor, line: SocketId) -> impl Transport + '_ {
     move |to: SocketAddrV4, bytes: &[u8]| {
         reactor.send_to(line, SocketAddr::V4(to), bytes);
     }
@@ -124,7 +124,7 @@
     pub fn new(
         reactor: &mut Reactor, keys: &KeyFolder, member: u32, seeds: &[SocketAddr], of: StreamerId, seed: u64,
     ) -> Result<Self> {
-        let (line, at) = reactor.datagrams(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+        let (line, at) = reactor.bind_datagrams(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let v4 = |at: &SocketAddr| match at {
             SocketAddr::V4(at) => Some(*at),
             SocketAddr::V6(_) => None,
@@ -140,8 +140,10 @@
         self.gossip.next_due().min(self.lies_at)
     }
 
-    pub fn take(&mut self, reactor: &Reactor, now: Duration, happening: &Happening) -> bool {
-        let Happening::Datagram { line, from: SocketAddr::V4(from), bytes } = happening else { return false };
+    pub fn take(&mut self, reactor: &Reactor, now: Duration, happening: &ReactorEvent) -> bool {
+        let ReactorEvent::Datagram { socket: line, from: SocketAddr::V4(from), bytes } = happening else {
+            return false;
+        };
         if *line == self.line {
             let mut events: Vec<Event> = Vec::new();
             let _ = self.gossip.handle_datagram(
--- a/crates/replay/src/messages.rs
+++ b/crates/replay/src/messages.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_reactor::{Happening, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent};
 use badgerledge_standins::free_port;
 use badgerledge_ways::{Delivery, Way, Ways};
 
@@ -62,7 +62,7 @@
         (tenths.keys().map(second).max().unwrap_or(0), all as f64 / seconds.max(1) as f64)
     }
 
-    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &Happening) -> bool {
+    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent) -> bool {
         self.ways.take(reactor, now, happening)
     }
 
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -9,9 +9,9 @@
 use badgerledge_accounts::Accounts;
 use badgerledge_controller::accounting::read_stored_accounts;
 use badgerledge_core::interface::Health;
-use badgerledge_reactor::{raise_descriptors, Happening, Reactor};
+use badgerledge_reactor::{raise_descriptors, Reactor, ReactorEvent};
 use badgerledge_standins::{Condition, Habits, ListService, Streamers, Told, Viewers};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 
 use crate::controllers::Controllers;
 use crate::day::Day;
@@ -50,7 +50,7 @@
     pub(crate) messages: Messages,
     pub(crate) operators: Operators,
     pub(crate) titles: Vec<Title>,
-    pub(crate) witness: Witness,
+    pub(crate) witness: RuleChecker,
     pub(crate) draw: Draw,
     /// Which streamer holds a place, after replacements.
     pub(crate) holds: Vec<usize>,
@@ -74,7 +74,7 @@
     let catalogue = options.folder.join("catalogue.ini");
     std::fs::write(&catalogue, plan::catalogue(day, &titles))
         .with_context(|| catalogue.display().to_string())?;
-    let mut witness = Witness::new(day.shared.clone());
+    let mut witness = RuleChecker::new(day.shared.clone());
     let mut streamers = Streamers::new(day.shared.clone(), day.course.seed ^ 0x5717);
     let mut list = ListService::new(&mut reactor, SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
     list.spread(Duration::from_millis(day.course.list_spread_ms));
@@ -219,7 +219,7 @@
         let gossip = self.gossip();
         Ok(Report {
             seed: self.day.course.seed,
-            rules: self.witness.verdict(),
+            rules: self.witness.results(),
             budget: self.budget(),
             tally: self.viewers.tally,
             viewers: self.viewers.counts,
@@ -234,7 +234,7 @@
             crossed,
             gossip,
             revisions,
-            contradicting_lists: self.witness.contradicting_lists(),
+            contradicting_lists: self.witness.list_contradictions(),
             joins_lost: joins_lost(&self.folder, self.controllers.len()),
             accounts_within: self.day.course.accounts_within,
         })
@@ -309,7 +309,7 @@
         Some((windows.fold(0.0, f64::max), most))
     }
 
-    fn take(&mut self, now: Duration, happening: &Happening) {
+    fn take(&mut self, now: Duration, happening: &ReactorEvent) {
         let (reactor, witness) = (&mut self.reactor, &mut self.witness);
         let taken = self.streamers.take(reactor, now, happening, witness)
             || self.viewers.take(reactor, now, happening, witness)
@@ -317,7 +317,7 @@
             || self.messages.take(reactor, now, happening)
             || self.liars.iter_mut().any(|liar| liar.take(reactor, now, happening));
         // A connection that came in at a listener that was closed meanwhile is nobody's.
-        if let Happening::Accepted { line, .. } = happening {
+        if let ReactorEvent::Accepted { connection: line, .. } = happening {
             if !taken {
                 self.reactor.close(*line);
             }
@@ -354,7 +354,7 @@
     pub(crate) fn go_on(&mut self, number: usize) {
         self.controllers.go_on(number);
         if self.controllers.runs(number) {
-            self.witness.controller_goes_on(number as u32);
+            self.witness.controller_resumed(number as u32);
         }
     }
 
@@ -422,7 +422,7 @@
         let successor = self.streamers.add(&mut self.reactor, told, Some(now))?;
         self.holds[place] = successor;
         let places = self.day.shared.fleet.kind_streams[told.kind];
-        self.witness.started(now, self.streamers.at(successor), places);
+        self.witness.streamer_started(now, self.streamers.at(successor), places);
         self.learn(successor, Health::Ready, now, &self.day.course.start_lag_ms);
         Ok(())
     }
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use badgerledge_standins::{Steps, Tally, SWING};
-use badgerledge_witness::{Judged, RULES};
+use badgerledge_witness::{RuleResult, RULES};
 use serde_json::{json, Value};
 
 use crate::gossip::{GossipDay, Membership};
@@ -11,7 +11,7 @@
 
 pub struct Report {
     pub seed: u64,
-    pub rules: [Judged; 6],
+    pub rules: [RuleResult; 6],
     pub tally: Tally,
     pub viewers: badgerledge_standins::ViewerCounts,
     /// What the viewers of each controller had.
@@ -119,8 +119,8 @@
 impl Report {
     /// Whether every rule was put to the test, but for those named, and all were kept.
     pub fn kept(&self, untested: &[usize]) -> bool {
-        let good = |(n, rule): (usize, &Judged)| {
-            rule.broken == 0 && (rule.tested > 0 || untested.contains(&(n + 1)))
+        let good = |(n, rule): (usize, &RuleResult)| {
+            rule.violations == 0 && (rule.checks > 0 || untested.contains(&(n + 1)))
         };
         self.accounts_match()
             && self.gossip.as_ref().is_none_or(Gossiped::good)
@@ -146,7 +146,7 @@
     /// All figures.
     pub fn json(&self) -> Value {
         let rules = self.rules.iter().zip(RULES).map(|(rule, name)| {
-            json!({"rule": name, "tested": rule.tested, "broken": rule.broken, "examples": rule.examples})
+            json!({"rule": name, "tested": rule.checks, "broken": rule.violations, "examples": rule.examples})
         });
         let (worst_type, worst_name) = self.tally.worst_room_type();
         let room_types =
@@ -190,12 +190,12 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (rule, name)) in self.rules.iter().zip(RULES).enumerate() {
-            let word = match (rule.broken, rule.tested) {
+            let word = match (rule.violations, rule.checks) {
                 (0, 0) => "not put to the test",
                 (0, _) => "kept",
                 _ => "BROKEN",
             };
-            let (tested, broken) = (rule.tested, rule.broken);
+            let (tested, broken) = (rule.checks, rule.violations);
             writeln!(f, "rule {}  {name:<62} {word}: tested {tested}, broken {broken}", n + 1)?;
             for example in &rule.examples {
                 writeln!(f, "        {example}")?;
--- a/crates/replay/tests/short_days.rs
+++ b/crates/replay/tests/short_days.rs
@@ -89,9 +89,9 @@
     };
     let report = play(&day, &options).unwrap();
     for (n, rule) in report.rules.iter().enumerate() {
-        assert_eq!(rule.broken, 0, "rule {}: {:?}", n + 1, rule.examples);
+        assert_eq!(rule.violations, 0, "rule {}: {:?}", n + 1, rule.examples);
     }
-    assert!(report.rules[0].tested > 20 && report.viewers.plays > 10, "{report}");
+    assert!(report.rules[0].checks > 20 && report.viewers.plays > 10, "{report}");
     assert!(report.controllers_crashed.is_empty() && report.orderly_ends, "{report}");
     report
 }
@@ -99,7 +99,7 @@
 #[test]
 fn streamers_crash_and_come_back_cold() {
     let report = kept("kind = crash\nat_s = 2\nfor_s = 1.5\npart = 0.4");
-    assert!(report.viewers.breaks > 0 && report.rules[3].tested > 0, "{report}");
+    assert!(report.viewers.breaks > 0 && report.rules[3].checks > 0, "{report}");
 }
 
 #[test]
@@ -110,7 +110,7 @@
 #[test]
 fn streamers_drain_and_are_replaced() {
     let report = kept("kind = deploy\nat_s = 1\nfor_s = 5\npart = 0.6\nsize = 0.4\nextra = 1");
-    assert!(report.rules[2].tested > 0 && report.rules[3].tested > 0, "{report}");
+    assert!(report.rules[2].checks > 0 && report.rules[3].checks > 0, "{report}");
 }
 
 #[test]
@@ -161,7 +161,7 @@
         "kind = burst\nat_s = 1\nfor_s = 3\nsize = 2.5\n[trouble crowd]\nkind = hot_key\nat_s = 2\n\
                        for_s = 4\nsize = 0.8\nextra = 1",
     );
-    assert!(report.rules[4].tested > 0, "{report}");
+    assert!(report.rules[4].checks > 0, "{report}");
 }
 
 #[test]
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -17,7 +17,7 @@
 };
 use badgerledge_distribution::{Author, ControllerId, MachineId, Number, Signature, Signer};
 use badgerledge_keys::{Ring, Verifier};
-use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{raise_descriptors, Bounds, Reactor, ReactorEvent, SocketId};
 
 use super::orders::{hear, say, HostResult, HostSettings, Order, RelayAddress, Report};
 use crate::machine::{monotonic, process_cpu, resident_bytes};
@@ -68,7 +68,7 @@
     state: Option<Watcher<SharedVerifier>>,
     /// The control machines in the order of its preference.
     relays: Vec<RelayAddress>,
-    lines: BTreeMap<usize, Line>,
+    lines: BTreeMap<usize, SocketId>,
     due: Duration,
     disk: Option<Vec<u8>>,
     meter: Meter,
@@ -78,13 +78,13 @@
 struct Host {
     settings: HostSettings,
     reactor: Reactor,
-    orders: Line,
+    orders: SocketId,
     hand: SharedVerifier,
     genesis: State,
     seats: Vec<Seat>,
     by_controller: BTreeMap<ControllerId, usize>,
     /// The seat and the relay's place of a line.
-    by_line: BTreeMap<Line, (usize, usize)>,
+    by_line: BTreeMap<SocketId, (usize, usize)>,
     seen: Observations,
     chance: Rng,
     look_at: Duration,
@@ -168,9 +168,9 @@
             });
             self.by_controller.insert(controller, place);
             let at = now + self.chance.random_duration(spread);
-            self.reactor.due(at, START + place as u64);
+            self.reactor.set_timer(at, START + place as u64);
         }
-        self.reactor.due(self.look_at, LOOK);
+        self.reactor.set_timer(self.look_at, LOOK);
     }
 
     fn run(&mut self) -> Result<()> {
@@ -201,28 +201,28 @@
         }
     }
 
-    fn take(&mut self, happening: Happening) -> Result<()> {
+    fn take(&mut self, happening: ReactorEvent) -> Result<()> {
         match happening {
-            Happening::Opened(line) if line == self.orders => {
+            ReactorEvent::Opened(line) if line == self.orders => {
                 let number = self.settings.number;
                 say(&mut self.reactor, line, &Report::Ready { number });
             }
-            Happening::Readable(line) if line == self.orders => self.take_orders()?,
-            Happening::Closed(line, _) if line == self.orders => bail!("the run is gone"),
-            Happening::Opened(line) => {
+            ReactorEvent::Readable(line) if line == self.orders => self.take_orders()?,
+            ReactorEvent::Closed(line, _) if line == self.orders => bail!("the run is gone"),
+            ReactorEvent::Opened(line) => {
                 if let Some((seat, relay)) = self.by_line.get(&line).copied() {
                     self.with(seat, |state, now, out| state.on_connected(now, relay, out));
                 }
             }
-            Happening::Readable(line) => self.readable(line),
-            Happening::Closed(line, _) => {
+            ReactorEvent::Readable(line) => self.readable(line),
+            ReactorEvent::Closed(line, _) => {
                 self.readable(line);
                 self.lost(line);
             }
             // A look that is due takes place in the step.
-            Happening::Due(LOOK) => {}
-            Happening::Due(token) if token >= START => self.start((token - START) as usize, true),
-            Happening::Due(token) => self.tend(token as usize),
+            ReactorEvent::Timer(LOOK) => {}
+            ReactorEvent::Timer(token) if token >= START => self.start((token - START) as usize, true),
+            ReactorEvent::Timer(token) => self.tend(token as usize),
             _ => {}
         }
         Ok(())
@@ -292,7 +292,7 @@
     fn unschedule(&mut self, place: usize) {
         let due = std::mem::replace(&mut self.seats[place].due, Duration::MAX);
         if due < Duration::MAX {
-            self.reactor.not_due(due, place as u64);
+            self.reactor.cancel_timer(due, place as u64);
         }
     }
 
@@ -301,7 +301,7 @@
         if due != self.seats[place].due {
             self.unschedule(place);
             self.seats[place].due = due;
-            self.reactor.due(due, place as u64);
+            self.reactor.set_timer(due, place as u64);
         }
     }
 
@@ -362,7 +362,7 @@
         }
     }
 
-    fn readable(&mut self, line: Line) {
+    fn readable(&mut self, line: SocketId) {
         while let Some((place, relay)) = self.by_line.get(&line).copied() {
             match decode::<ToWatcher>(self.reactor.input(line), MAX_RELAY_BODY_BYTES) {
                 Ok(None) => return,
@@ -381,7 +381,7 @@
         }
     }
 
-    fn lost(&mut self, line: Line) {
+    fn lost(&mut self, line: SocketId) {
         let Some((place, relay)) = self.by_line.remove(&line) else { return };
         self.seats[place].lines.remove(&relay);
         self.with(place, |state, now, out| state.on_closed(now, relay, out));
@@ -411,7 +411,7 @@
             self.report(now);
         }
         self.look_at = now + LOOK_EVERY;
-        self.reactor.due(self.look_at, LOOK);
+        self.reactor.set_timer(self.look_at, LOOK);
         // To look at all of them takes its time.
         self.stepped = self.reactor.clock();
     }
--- a/crates/scale/src/hollow/orders.rs
+++ b/crates/scale/src/hollow/orders.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use badgerledge_distribution::{ControllerId, MachineId};
-use badgerledge_reactor::{Line, Reactor};
+use badgerledge_reactor::{Reactor, SocketId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -76,14 +76,14 @@
 }
 
 /// Writes one line.
-pub fn say<T: Serialize>(reactor: &mut Reactor, line: Line, told: &T) {
+pub fn say<T: Serialize>(reactor: &mut Reactor, line: SocketId, told: &T) {
     // The types hold nothing that JSON can't express.
     let text = serde_json::to_string(told).unwrap_or_default();
     reactor.send(line, &[text.as_bytes(), b"\n"]);
 }
 
 /// Takes the next whole line, if there is one that is in order.
-pub fn hear<T: DeserializeOwned>(reactor: &mut Reactor, line: Line) -> Option<T> {
+pub fn hear<T: DeserializeOwned>(reactor: &mut Reactor, line: SocketId) -> Option<T> {
     loop {
         let input = reactor.input(line);
         let end = input.iter().position(|byte| *byte == b'\n')?;
--- a/crates/scale/src/hollow/run.rs
+++ b/crates/scale/src/hollow/run.rs
@@ -10,7 +10,7 @@
 use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, MAX_RELAY_BODY_BYTES};
 use badgerledge_distribution::watcher::relay_order;
 use badgerledge_distribution::{control, lease, ControllerId, Number};
-use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{raise_descriptors, Bounds, Reactor, ReactorEvent, SocketId};
 
 use super::disk::DiskWatch;
 use super::orders::{hear, say, HostResult, HostSettings, Order, Report};
@@ -38,7 +38,7 @@
 
 struct Host {
     process: Process,
-    line: Option<Line>,
+    line: Option<SocketId>,
     result: PathBuf,
     acting: u32,
     highest: Number,
@@ -51,7 +51,7 @@
     /// The machines in the order in which it tries them.
     machines: Vec<usize>,
     at: usize,
-    line: Option<Line>,
+    line: Option<SocketId>,
     open: bool,
 }
 
@@ -59,7 +59,7 @@
     scenario: &'a Scenario,
     zero: Duration,
     reactor: Reactor,
-    listener: Line,
+    listener: SocketId,
     rig: Rig,
     real: RealControllers,
     disk: DiskWatch,
@@ -102,7 +102,7 @@
         let rig = Rig::start(scenario, program)?;
         let zero = monotonic();
         let mut reactor = Reactor::new(Duration::ZERO)?;
-        SIGNALS.iter().try_for_each(|signal| reactor.signal(*signal))?;
+        SIGNALS.iter().try_for_each(|signal| reactor.watch_signal(*signal))?;
         let (listener, at) = reactor.listen(([127, 0, 0, 1], 0).into(), HOST_BOUNDS)?;
         let real = RealControllers::start(scenario, &rig, real.min(scenario.fleet.controllers), zero)?;
         let disk = DiskWatch::start(rig.folder.path().join("disk-watch"));
@@ -248,20 +248,22 @@
         Ok(())
     }
 
-    fn take(&mut self, happening: Happening) -> Result<()> {
+    fn take(&mut self, happening: ReactorEvent) -> Result<()> {
         match happening {
-            Happening::Signal(signal) => bail!("ended by signal {signal}"),
-            Happening::Accepted { .. } => {}
-            Happening::Opened(line) => {
+            ReactorEvent::Signal(signal) => bail!("ended by signal {signal}"),
+            ReactorEvent::Accepted { .. } => {}
+            ReactorEvent::Opened(line) => {
                 if let Some(tool) = self.tools.iter_mut().find(|tool| tool.line == Some(line)) {
                     tool.open = true;
                 }
             }
-            Happening::Readable(line) => match self.tools.iter().position(|tool| tool.line == Some(line)) {
-                Some(tool) => self.tool_readable(tool, line),
-                None => self.host_readable(line),
-            },
-            Happening::Closed(line, _) => {
+            ReactorEvent::Readable(line) => {
+                match self.tools.iter().position(|tool| tool.line == Some(line)) {
+                    Some(tool) => self.tool_readable(tool, line),
+                    None => self.host_readable(line),
+                }
+            }
+            ReactorEvent::Closed(line, _) => {
                 let now = self.now();
                 if let Some(tool) = self.tools.iter_mut().find(|tool| tool.line == Some(line)) {
                     (tool.line, tool.open, tool.at) = (None, false, tool.at + 1);
@@ -273,7 +275,7 @@
         Ok(())
     }
 
-    fn host_readable(&mut self, line: Line) {
+    fn host_readable(&mut self, line: SocketId) {
         while let Some(report) = hear::<Report>(&mut self.reactor, line) {
             let (Report::Ready { number } | Report::Progress { number, .. } | Report::Done { number }) =
                 report;
@@ -403,7 +405,7 @@
         }
     }
 
-    fn tool_readable(&mut self, place: usize, line: Line) {
+    fn tool_readable(&mut self, place: usize, line: SocketId) {
         while let Ok(Some((message, used))) =
             decode::<ToWatcher>(self.reactor.input(line), MAX_RELAY_BODY_BYTES)
         {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for all that a controller meets: streamers behind shared links, a list service with its lag, and
 //! viewers who watch, give up and come again. All speak the real protocols on loopback sockets; many share one
-//! process and one loop. What they see of the six rules they tell a [`badgerledge_witness::Witness`].
+//! process and one loop. What they see of the six rules they tell a [`badgerledge_witness::RuleChecker`].
 
 pub mod links;
 mod list_service;
--- a/crates/standins/src/list_service.rs
+++ b/crates/standins/src/list_service.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result};
 use badgerledge_core::interface::{Health, StreamerId};
 use badgerledge_discovery::{health_name, MAX_LINE_BYTES};
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
-use badgerledge_witness::Witness;
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
+use badgerledge_witness::RuleChecker;
 use serde_json::{json, Value};
 
 /// One streamer as the service lists it.
@@ -45,19 +45,19 @@
 
 pub struct ListService {
     /// Nothing while it is down.
-    listener: Option<Line>,
+    listener: Option<SocketId>,
     at: SocketAddr,
     epoch: u64,
     revision: u64,
     listed: BTreeMap<StreamerId, Listed>,
     coming: Vec<Change>,
-    readers: BTreeMap<Line, Reader>,
+    readers: BTreeMap<SocketId, Reader>,
     /// Added to every lag while it runs behind.
     behind: Duration,
     lines_sent: u64,
     /// Changes reach each reader late by a part of this, which is that reader's own.
     spread: Duration,
-    late: BTreeSet<(Duration, Line)>,
+    late: BTreeSet<(Duration, SocketId)>,
 }
 
 const BOUNDS: Bounds = Bounds { input: 64 * 1024, output: MAX_LINE_BYTES };
@@ -139,7 +139,7 @@
     }
 
     /// Tells what has become due.
-    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut Witness) {
+    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut RuleChecker) {
         while let Some((at, line)) = self.late.first().copied().filter(|late| late.0 <= now) {
             self.late.remove(&(at, line));
             self.send_changes(reactor, now, line, witness);
@@ -159,7 +159,7 @@
                 self.listed.insert(streamer, Listed { revision: self.revision, ..listed });
             }
         }
-        let observers: Vec<Line> =
+        let observers: Vec<SocketId> =
             self.readers.iter().filter(|(_, reader)| reader.observes).map(|(line, _)| *line).collect();
         for line in observers {
             // A tenth of it, two tenths and so on, by the reader's number.
@@ -174,25 +174,25 @@
 
     /// Takes what is its own; tells whether it was.
     pub fn take(
-        &mut self, reactor: &mut Reactor, now: Duration, happening: &Happening, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent, witness: &mut RuleChecker,
     ) -> bool {
         match happening {
-            Happening::Accepted { line, listener, .. } if Some(*listener) == self.listener => {
+            ReactorEvent::Accepted { connection: line, listener, .. } if Some(*listener) == self.listener => {
                 self.readers.insert(*line, Reader::default());
             }
-            Happening::Readable(line) if self.readers.contains_key(line) => {
+            ReactorEvent::Readable(line) if self.readers.contains_key(line) => {
                 self.read(reactor, now, *line, witness);
             }
-            Happening::Closed(line, _) if self.readers.contains_key(line) => {
+            ReactorEvent::Closed(line, _) if self.readers.contains_key(line) => {
                 self.readers.remove(line);
             }
-            Happening::Drained(line) => return self.readers.contains_key(line),
+            ReactorEvent::Drained(line) => return self.readers.contains_key(line),
             _ => return false,
         }
         true
     }
 
-    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
+    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker) {
         while let Some(end) = reactor.input(line).iter().position(|byte| *byte == b'\n') {
             let asked: Value = serde_json::from_slice(&reactor.input(line)[..end]).unwrap_or_default();
             reactor.consume(line, end + 1);
@@ -213,7 +213,9 @@
         }
     }
 
-    fn send_whole(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
+    fn send_whole(
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker,
+    ) {
         let there = self.listed.iter().filter(|(_, listed)| listed.health != Health::Gone);
         let entries: Vec<Value> = there.map(|(id, listed)| entry(*id, listed, now)).collect();
         let text =
@@ -221,7 +223,9 @@
         self.send(reactor, now, line, &text, 0, witness);
     }
 
-    fn send_changes(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
+    fn send_changes(
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker,
+    ) {
         let Some(from) = self.readers.get(&line).map(|reader| reader.revision) else { return };
         let fresh = self.listed.iter().filter(|(_, listed)| listed.revision > from);
         let entries: Vec<Value> = fresh.map(|(id, listed)| entry(*id, listed, now)).collect();
@@ -231,8 +235,8 @@
     }
 
     fn send(
-        &mut self, reactor: &mut Reactor, now: Duration, line: Line, text: &Value, from: u64,
-        witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, text: &Value, from: u64,
+        witness: &mut RuleChecker,
     ) {
         let Some(reader) = self.readers.get_mut(&line) else { return };
         if !reactor.send(line, &[text.to_string().as_bytes(), b"\n"]) {
@@ -246,7 +250,7 @@
         let Some(controller) = reader.controller else { return };
         for (streamer, listed) in self.listed.iter().filter(|(_, listed)| from == 0 || listed.revision > from)
         {
-            witness.told(now, controller, *streamer, listed.health != Health::Ready);
+            witness.list_update_sent(now, controller, *streamer, listed.health != Health::Ready);
         }
     }
 }
--- a/crates/standins/src/streamers.rs
+++ b/crates/standins/src/streamers.rs
@@ -11,11 +11,11 @@
 use anyhow::{Context, Result};
 use badgerledge_core::interface::StreamerId;
 use badgerledge_deployment::Shared;
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 use badgerledge_rtsp::notes::note;
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{describe, frame_header, Framer, Request, Response, Server, State, Unit};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rtsp_types::{Method, StatusCode};
@@ -68,7 +68,7 @@
 struct Streamer {
     told: Told,
     at: StreamerId,
-    listener: Option<Line>,
+    listener: Option<SocketId>,
     condition: Condition,
     start: u64,
     came_up: Option<Duration>,
@@ -88,7 +88,7 @@
 /// A note on its way to a stream.
 struct Note {
     at: Duration,
-    line: Line,
+    line: SocketId,
     kind: u8,
     value: f64,
 }
@@ -98,8 +98,8 @@
     fleet: Vec<Streamer>,
     links: Links,
     uplinks: Vec<f64>,
-    listeners: BTreeMap<Line, usize>,
-    streams: BTreeMap<Line, Stream>,
+    listeners: BTreeMap<SocketId, usize>,
+    streams: BTreeMap<SocketId, Stream>,
     notes: VecDeque<Note>,
     chance: Pcg64Mcg,
     next_start: u64,
@@ -249,7 +249,7 @@
     }
 
     /// Ends a streamer's process: all its connections break.
-    pub fn crash(&mut self, reactor: &mut Reactor, streamer: usize, witness: &mut Witness) {
+    pub fn crash(&mut self, reactor: &mut Reactor, streamer: usize, witness: &mut RuleChecker) {
         self.fleet[streamer].condition = Condition::Down;
         if let Some(listener) = self.fleet[streamer].listener.take() {
             self.listeners.remove(&listener);
@@ -258,8 +258,8 @@
         self.drop_streams(reactor, streamer, witness);
     }
 
-    fn drop_streams(&mut self, reactor: &mut Reactor, streamer: usize, witness: &mut Witness) {
-        let its: Vec<Line> = self
+    fn drop_streams(&mut self, reactor: &mut Reactor, streamer: usize, witness: &mut RuleChecker) {
+        let its: Vec<SocketId> = self
             .streams
             .iter()
             .filter(|(_, stream)| stream.streamer == streamer)
@@ -283,7 +283,7 @@
 
     /// Starts a streamer's process anew, cold, at its address.
     pub fn restart(
-        &mut self, reactor: &mut Reactor, streamer: usize, now: Duration, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, streamer: usize, now: Duration, witness: &mut RuleChecker,
     ) -> Result<()> {
         self.drop_streams(reactor, streamer, witness);
         if self.fleet[streamer].listener.is_none() {
@@ -295,7 +295,7 @@
         self.next_start += 1;
         let one = &mut self.fleet[streamer];
         (one.condition, one.start, one.came_up, one.fell) = (Condition::Up, start, Some(now), false);
-        witness.started(now, one.at, places);
+        witness.streamer_started(now, one.at, places);
         Ok(())
     }
 
@@ -346,31 +346,31 @@
 
     /// Takes what is its own; tells whether it was.
     pub fn take(
-        &mut self, reactor: &mut Reactor, now: Duration, happening: &Happening, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent, witness: &mut RuleChecker,
     ) -> bool {
         match happening {
-            Happening::Accepted { line, listener, .. } => {
+            ReactorEvent::Accepted { connection: line, listener, .. } => {
                 let Some(streamer) = self.listeners.get(listener).copied() else { return false };
                 self.streams.insert(*line, Stream::new(streamer));
             }
-            Happening::Readable(line) if self.streams.contains_key(line) => {
+            ReactorEvent::Readable(line) if self.streams.contains_key(line) => {
                 self.read(reactor, now, *line, witness);
             }
-            Happening::Closed(line, _) if self.streams.contains_key(line) => self.over(*line, witness),
-            Happening::Drained(line) => return self.streams.contains_key(line),
+            ReactorEvent::Closed(line, _) if self.streams.contains_key(line) => self.over(*line, witness),
+            ReactorEvent::Drained(line) => return self.streams.contains_key(line),
             _ => return false,
         }
         true
     }
 
-    fn over(&mut self, line: Line, witness: &mut Witness) {
+    fn over(&mut self, line: SocketId, witness: &mut RuleChecker) {
         if self.streams.remove(&line).is_some_and(|stream| stream.witnessed) {
-            witness.join_over(line);
+            witness.join_ended(line);
         }
     }
 
-    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
-        let mut input = reactor.lift(line);
+    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker) {
+        let mut input = reactor.take_input(line);
         while let Some(stream) = self.streams.get_mut(&line) {
             match stream.framer.next(input.as_slice()) {
                 Ok(Some((unit, used))) => {
@@ -381,16 +381,17 @@
                 }
                 Ok(None) => break,
                 Err(_) => {
-                    reactor.finish(line);
+                    reactor.close_after_flush(line);
                     self.over(line, witness);
                 }
             }
         }
-        reactor.lay_back(line, input);
+        reactor.restore_input(line, input);
     }
 
     fn request(
-        &mut self, reactor: &mut Reactor, now: Duration, line: Line, request: Request, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, request: Request,
+        witness: &mut RuleChecker,
     ) {
         let Some(stream) = self.streams.get_mut(&line) else { return };
         let (streamer, condition) = (stream.streamer, self.fleet[stream.streamer].condition);
@@ -420,7 +421,7 @@
                 match rung {
                     Some(rung) => {
                         stream.rung = rung.min(highest);
-                        witness.stepped(line, rung);
+                        witness.rung_changed(line, rung);
                     }
                     None => {
                         let answer = stream.server.answer(&request, StatusCode::ParameterNotUnderstood);
@@ -432,7 +433,7 @@
                 let answer = stream.server.answer(&request, StatusCode::Ok);
                 self.answer(reactor, line, answer);
                 self.over(line, witness);
-                return reactor.finish(line);
+                return reactor.close_after_flush(line);
             }
             Method::Options => {
                 let answer = stream.server.options(&request);
@@ -452,7 +453,8 @@
     }
 
     fn set_up(
-        &mut self, reactor: &mut Reactor, now: Duration, line: Line, request: Request, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, request: Request,
+        witness: &mut RuleChecker,
     ) {
         let Some(stream) = self.streams.get_mut(&line) else { return };
         let streamer = stream.streamer;
@@ -468,7 +470,7 @@
         stream.witnessed = true;
         let (title, room_type, rung) = (stream.title, stream.room_type, rung.min(255) as u8);
         let at = self.fleet[streamer].at;
-        let fell = witness.set_up(now, line, at, viewer, title, room_type, rung);
+        let fell = witness.set_up_received(now, line, at, viewer, title, room_type, rung);
         self.counts.set_ups += 1;
         self.fleet[streamer].set_ups += 1;
         if fell {
@@ -490,7 +492,7 @@
             }
         };
         self.counts.turned_away += 1;
-        witness.turned_away(line);
+        witness.set_up_rejected(line);
         if let Some(stream) = self.streams.get_mut(&line) {
             stream.witnessed = false;
             let answer = stream.server.answer(&request, status);
@@ -500,7 +502,7 @@
     }
 
     /// Answers a SETUP whose time has come.
-    fn grant(&mut self, reactor: &mut Reactor, now: Duration, line: Line) {
+    fn grant(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId) {
         let Some(stream) = self.streams.get_mut(&line) else { return };
         let Some((_, request)) = stream.set_up_at.take() else { return };
         let channels = badgerledge_rtsp::interleaved(&request).unwrap_or((0, 1));
@@ -512,7 +514,7 @@
         self.answer(reactor, line, answer);
     }
 
-    fn answer(&mut self, reactor: &mut Reactor, line: Line, answer: Response) {
+    fn answer(&mut self, reactor: &mut Reactor, line: SocketId, answer: Response) {
         let silent = self
             .streams
             .get(&line)
@@ -573,7 +575,7 @@
             let due = stream.set_up_at.as_ref().is_some_and(|(at, _)| *at <= now);
             due && self.fleet[stream.streamer].condition != Condition::Silent
         });
-        let granted: Vec<Line> = granted.map(|(line, _)| *line).collect();
+        let granted: Vec<SocketId> = granted.map(|(line, _)| *line).collect();
         granted.into_iter().for_each(|line| self.grant(reactor, now, line));
         if now >= self.paced_at + PACE {
             let span = (now - self.paced_at).as_secs_f64().min(MOST_CREDIT);
@@ -608,7 +610,7 @@
             .streams
             .iter()
             .filter(|(_, stream)| stream.plays && self.fleet[stream.streamer].condition != Condition::Silent);
-        let playing: Vec<(Line, f64)> = playing
+        let playing: Vec<(SocketId, f64)> = playing
             .map(|(line, stream)| (*line, rate(&self.shared, stream) * self.links.share(stream.streamer)))
             .collect();
         for (line, rate) in playing {
@@ -617,7 +619,7 @@
     }
 
     /// Sends as many packets as the credit allows, at least one byte's worth at a time.
-    fn send_media(&mut self, reactor: &mut Reactor, line: Line, credit: f64) {
+    fn send_media(&mut self, reactor: &mut Reactor, line: SocketId, credit: f64) {
         let Some(stream) = self.streams.get_mut(&line) else { return };
         let rate = (rate(&self.shared, stream) * 1000.0) as u32;
         stream.credit += credit;
@@ -641,7 +643,7 @@
         }
     }
 
-    fn send_control(&mut self, reactor: &mut Reactor, line: Line, bytes: &[u8]) {
+    fn send_control(&mut self, reactor: &mut Reactor, line: SocketId, bytes: &[u8]) {
         let Some(stream) = self.streams.get(&line).filter(|stream| stream.server.state() != State::Init)
         else {
             return;
@@ -653,7 +655,7 @@
     }
 
     /// Notes 3 and 4 on one stream, as they come with its set-up or later.
-    fn tell_fullness(&mut self, now: Duration, line: Line, late: Duration) {
+    fn tell_fullness(&mut self, now: Duration, line: SocketId, late: Duration) {
         let Some(stream) = self.streams.get(&line).filter(|_| !self.shared.fleet.by_probe()) else { return };
         let streamer = stream.streamer;
         let has = |field: &str| self.shared.fleet.report.iter().any(|known| known == field);
@@ -674,7 +676,7 @@
         if !short && !full {
             return;
         }
-        let mut heard: BTreeMap<(usize, u32), Line> = BTreeMap::new();
+        let mut heard: BTreeMap<(usize, u32), SocketId> = BTreeMap::new();
         for (line, stream) in self.streams.iter().filter(|(_, stream)| stream.plays) {
             heard.entry((stream.streamer, stream.controller)).or_insert(*line);
         }
@@ -735,7 +737,7 @@
     0.85 + 0.3 * (mixed as f64 / f64::from(1 << 24))
 }
 
-fn listen(reactor: &mut Reactor, at: SocketAddrV4) -> Result<(Line, StreamerId)> {
+fn listen(reactor: &mut Reactor, at: SocketAddrV4) -> Result<(SocketId, StreamerId)> {
     let (listener, at) =
         reactor.listen(SocketAddr::V4(at), BOUNDS).with_context(|| format!("streamer at {at}"))?;
     match at {
--- a/crates/standins/src/viewers.rs
+++ b/crates/standins/src/viewers.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use badgerledge_deployment::Shared;
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 use badgerledge_rtsp::notes::{notes, Note};
 use badgerledge_rtsp::words::{self, Headed};
 use badgerledge_rtsp::{Client, Framer, Request, Response, Server, Unit};
-use badgerledge_witness::Witness;
+use badgerledge_witness::RuleChecker;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rtsp_types::headers::{self, HeaderName};
@@ -83,7 +83,7 @@
     key: u64,
     tries: u32,
     /// The line that plays.
-    plays: Option<Line>,
+    plays: Option<SocketId>,
     moved: Option<usize>,
     returning: bool,
     gone: bool,
@@ -123,7 +123,7 @@
     dead_since: Vec<Option<Duration>>,
     lean: Vec<f64>,
     viewers: Vec<Viewer>,
-    conns: BTreeMap<Line, Conn>,
+    conns: BTreeMap<SocketId, Conn>,
     due: BTreeSet<(Duration, usize, What)>,
     chance: Pcg64Mcg,
     next_ask: u64,
@@ -214,7 +214,7 @@
     }
 
     /// Does what is due.
-    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut Witness) {
+    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut RuleChecker) {
         while let Some((at, viewer, what)) = self.due.first().copied().filter(|due| due.0 <= now) {
             self.due.remove(&(at, viewer, what));
             match what {
@@ -312,23 +312,23 @@
 
     /// Takes what is its own; tells whether it was.
     pub fn take(
-        &mut self, reactor: &mut Reactor, now: Duration, happening: &Happening, witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent, witness: &mut RuleChecker,
     ) -> bool {
         match happening {
-            Happening::Opened(line) if self.conns.contains_key(line) => {
+            ReactorEvent::Opened(line) if self.conns.contains_key(line) => {
                 self.opened(reactor, now, *line, witness)
             }
-            Happening::Readable(line) if self.conns.contains_key(line) => {
+            ReactorEvent::Readable(line) if self.conns.contains_key(line) => {
                 self.read(reactor, now, *line, witness)
             }
-            Happening::Closed(line, _) if self.conns.contains_key(line) => self.closed(now, *line),
-            Happening::Drained(line) => return self.conns.contains_key(line),
+            ReactorEvent::Closed(line, _) if self.conns.contains_key(line) => self.closed(now, *line),
+            ReactorEvent::Drained(line) => return self.conns.contains_key(line),
             _ => return false,
         }
         true
     }
 
-    fn opened(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
+    fn opened(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker) {
         let Some(conn) = self.conns.get_mut(&line) else { return };
         let (n, controller) = (conn.viewer, conn.controller);
         self.dead_since[controller] = None;
@@ -367,7 +367,7 @@
         send(reactor, line, &request);
         self.counts.asks += 1;
         self.served[controller].asks += 1;
-        witness.asked(now, ask, controller as u32, key, title, room_type, client_timeout);
+        witness.request_sent(now, ask, controller as u32, key, title, room_type, client_timeout);
         self.due.insert((now + client_timeout, n, What::TimeOut(ask)));
         if !moved && !retry && share(&mut self.chance) < self.habits.impatient {
             self.due.insert((
@@ -378,8 +378,8 @@
         }
     }
 
-    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: Line, witness: &mut Witness) {
-        let mut input = reactor.lift(line);
+    fn read(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId, witness: &mut RuleChecker) {
+        let mut input = reactor.take_input(line);
         while let Some(conn) = self.conns.get_mut(&line) {
             match conn.framer.next(input.as_slice()) {
                 Ok(Some((unit, used))) => {
@@ -403,12 +403,12 @@
                 }
             }
         }
-        reactor.lay_back(line, input);
+        reactor.restore_input(line, input);
     }
 
     fn answered(
-        &mut self, reactor: &mut Reactor, now: Duration, line: Line, response: &Response,
-        witness: &mut Witness,
+        &mut self, reactor: &mut Reactor, now: Duration, line: SocketId, response: &Response,
+        witness: &mut RuleChecker,
     ) {
         let Some(conn) = self.conns.get_mut(&line) else { return };
         let method = conn.client.answered(response);
@@ -416,14 +416,14 @@
             // SETUP is the first request of every connection: a second answer to it is one too many.
             let again = response.header(&headers::CSEQ).is_some_and(|cseq| cseq.as_str() == "1");
             if let Some(ask) = conn.ask.filter(|_| again && method.is_none()) {
-                witness.answered(now, ask, u16::from(response.status()));
+                witness.answer_received(now, ask, u16::from(response.status()));
             }
             return;
         }
         let (n, controller, asked_at) = (conn.viewer, conn.controller, conn.asked_at);
         conn.answered = true;
         if let Some(ask) = conn.ask {
-            witness.answered(now, ask, u16::from(response.status()));
+            witness.answer_received(now, ask, u16::from(response.status()));
         }
         match response.status() {
             StatusCode::Ok => {
@@ -469,7 +469,7 @@
     }
 
     /// REDIRECT: it leaves its stream and comes back to the same controller.
-    fn asked_of(&mut self, reactor: &mut Reactor, now: Duration, line: Line, request: &Request) {
+    fn asked_of(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId, request: &Request) {
         let Some(conn) = self.conns.get_mut(&line) else { return };
         let answer = Server::default().answer(request, StatusCode::Ok);
         let mut bytes = Vec::new();
@@ -485,7 +485,7 @@
             send(reactor, line, &request);
         }
         self.conns.remove(&line);
-        reactor.finish(line);
+        reactor.close_after_flush(line);
         self.counts.moved += 1;
         let viewer = &mut self.viewers[n];
         (viewer.plays, viewer.moved, viewer.returning) = (None, Some(controller), true);
@@ -493,7 +493,7 @@
         self.due.insert((now + gap, n, What::Ask));
     }
 
-    fn media(&mut self, now: Duration, line: Line, carried: &[u8]) {
+    fn media(&mut self, now: Duration, line: SocketId, carried: &[u8]) {
         let Some(conn) = self.conns.get(&line) else { return };
         let viewer = &mut self.viewers[conn.viewer];
         if let Some(packet) = Packet::read(carried) {
@@ -509,12 +509,12 @@
         self.counts.media_bytes += carried.len() as u64;
     }
 
-    fn stream_ended(&mut self, reactor: &mut Reactor, now: Duration, line: Line) {
+    fn stream_ended(&mut self, reactor: &mut Reactor, now: Duration, line: SocketId) {
         reactor.close(line);
         self.closed(now, line);
     }
 
-    fn closed(&mut self, now: Duration, line: Line) {
+    fn closed(&mut self, now: Duration, line: SocketId) {
         let Some(conn) = self.conns.remove(&line) else { return };
         let (n, controller) = (conn.viewer, conn.controller);
         match conn.ask {
@@ -540,8 +540,10 @@
         }
     }
 
-    fn time_out(&mut self, reactor: &mut Reactor, now: Duration, n: usize, ask: u64, witness: &mut Witness) {
-        witness.timed_out(ask);
+    fn time_out(
+        &mut self, reactor: &mut Reactor, now: Duration, n: usize, ask: u64, witness: &mut RuleChecker,
+    ) {
+        witness.request_timed_out(ask);
         let line = self
             .conns
             .iter()
@@ -558,30 +560,30 @@
     }
 
     /// The end of its life: it tears down and goes.
-    fn leave(&mut self, reactor: &mut Reactor, n: usize, witness: &mut Witness) {
+    fn leave(&mut self, reactor: &mut Reactor, n: usize, witness: &mut RuleChecker) {
         self.viewers[n].gone = true;
         self.viewers[n].plays = None;
-        let its: Vec<Line> =
+        let its: Vec<SocketId> =
             self.conns.iter().filter(|(_, conn)| conn.viewer == n).map(|(line, _)| *line).collect();
         for line in its {
             self.hang_up(reactor, line, witness);
         }
     }
 
-    fn hang_up(&mut self, reactor: &mut Reactor, line: Line, witness: &mut Witness) {
+    fn hang_up(&mut self, reactor: &mut Reactor, line: SocketId, witness: &mut RuleChecker) {
         let Some(mut conn) = self.conns.remove(&line) else { return };
         if let Some(ask) = conn.ask.filter(|_| !conn.answered) {
-            witness.gave_up(ask);
+            witness.request_abandoned(ask);
         }
         let uri = words::uri(self.controllers[conn.controller].0, self.viewers[conn.viewer].plan.title);
         if let Some(request) = conn.client.request(Method::Teardown, uri, &[]).filter(|_| conn.plays) {
             send(reactor, line, &request);
         }
-        reactor.finish(line);
+        reactor.close_after_flush(line);
     }
 
     /// Counts benefit offered and earned, and lets those leave whose share has fallen.
-    fn count(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut Witness) {
+    fn count(&mut self, reactor: &mut Reactor, now: Duration, witness: &mut RuleChecker) {
         let span = (now - self.counted_at).as_secs_f64();
         self.counted_at = now;
         let at = now - self.start;
@@ -610,7 +612,7 @@
         }
     }
 
-    fn measure(&mut self, reactor: &mut Reactor, now: Duration, n: usize, witness: &mut Witness) {
+    fn measure(&mut self, reactor: &mut Reactor, now: Duration, n: usize, witness: &mut RuleChecker) {
         let viewer = &mut self.viewers[n];
         let span = now - viewer.counted;
         if span < MEASURE {
@@ -659,7 +661,7 @@
     }
 }
 
-fn send(reactor: &mut Reactor, line: Line, request: &Request) {
+fn send(reactor: &mut Reactor, line: SocketId, request: &Request) {
     let mut bytes = Vec::with_capacity(512);
     if request.write(&mut bytes).is_ok() {
         reactor.send(line, &[&bytes]);
--- a/crates/standins/tests/false_controller.rs
+++ b/crates/standins/tests/false_controller.rs
@@ -10,7 +10,7 @@
 use badgerledge_reactor::Reactor;
 use badgerledge_settings::Sheet;
 use badgerledge_standins::{Habits, ListService, Plan, Streamers, Told, Viewers};
-use badgerledge_witness::{Judged, Witness};
+use badgerledge_witness::{RuleChecker, RuleResult};
 
 const SHARED: &str = "\
 [fleet]
@@ -86,11 +86,11 @@
 type Script = fn(Scene) -> Vec<TcpStream>;
 
 /// Runs a script as the controller of these viewers (by room type), and gives the verdict.
-fn judge(room_types: &[usize], script: Script) -> [Judged; 6] {
+fn judge(room_types: &[usize], script: Script) -> [RuleResult; 6] {
     let sheet = Sheet::parse("shared.ini", SHARED).unwrap();
     let shared = Shared::of(&sheet).unwrap_or_else(|faults| panic!("{faults}"));
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
-    let mut witness = Witness::new(shared.clone());
+    let mut witness = RuleChecker::new(shared.clone());
     witness.controller_up(0);
     let mut streamers = Streamers::new(shared.clone(), 1);
     for cell in 0..4 {
@@ -132,7 +132,7 @@
         reactor.flush();
     }
     drop(done);
-    witness.verdict()
+    witness.results()
 }
 
 /// The false controller: each viewer's first request goes to the script, in a thread of its own. What the scripts
@@ -162,12 +162,12 @@
     (at, held)
 }
 
-fn broken(verdict: &[Judged; 6]) -> Vec<usize> {
-    (1..=6).filter(|rule| verdict[rule - 1].broken > 0).collect()
+fn broken(verdict: &[RuleResult; 6]) -> Vec<usize> {
+    (1..=6).filter(|rule| verdict[rule - 1].violations > 0).collect()
 }
 
 /// Asserts that this rule alone is broken, and that an example says how.
-fn names(verdict: &[Judged; 6], rule: usize, how: &str) {
+fn names(verdict: &[RuleResult; 6], rule: usize, how: &str) {
     let examples = &verdict[rule - 1].examples;
     assert_eq!(broken(verdict), [rule], "{verdict:#?}");
     assert!(examples.iter().any(|example| example.contains(how)), "{examples:?}");
@@ -181,7 +181,7 @@
         vec![join]
     });
     assert_eq!(broken(&verdict), [0; 0], "{verdict:#?}");
-    assert_eq!((verdict[0].tested, verdict[1].tested), (2, 2));
+    assert_eq!((verdict[0].checks, verdict[1].checks), (2, 2));
 }
 
 #[test]
--- a/crates/ways/src/lib.rs
+++ b/crates/ways/src/lib.rs
@@ -13,7 +13,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 use crate::streams::Streams;
 pub use crate::way::{Draw, Way};
@@ -43,7 +43,7 @@
 const MAX_IN_FLIGHT: usize = 16 * 1024;
 
 struct Front {
-    line: Line,
+    line: SocketId,
     /// Where others reach it, and where it is itself.
     reached: SocketAddr,
     own: SocketAddr,
@@ -76,7 +76,7 @@
             // other.
             let (line, reached) = loop {
                 let (listener, at) = streams.listen(reactor, end)?;
-                match reactor.datagrams(at) {
+                match reactor.bind_datagrams(at) {
                     Ok(bound) => break bound,
                     Err(_) => reactor.close(listener),
                 }
@@ -137,8 +137,8 @@
     }
 
     /// Takes what a wait brought, if it is of the rig.
-    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &Happening) -> bool {
-        if let Happening::Datagram { line, from, bytes } = happening {
+    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent) -> bool {
+        if let ReactorEvent::Datagram { socket: line, from, bytes } = happening {
             let Some(to) = self.fronts.iter().position(|front| front.line == *line) else { return false };
             match self.fronts.iter().position(|front| front.own == *from) {
                 Some(from) => self.datagram(now, from, to, bytes),
@@ -146,7 +146,7 @@
             }
             return true;
         }
-        if let Happening::Accepted { line, listener, from } = happening {
+        if let ReactorEvent::Accepted { connection: line, listener, from } = happening {
             let Some(to) = self.streams.end_of(*listener) else { return false };
             let from = self.end_at(from.ip());
             let way = from.map_or(self.default_way, |from| self.current_way(from, to));
--- a/crates/ways/src/streams.rs
+++ b/crates/ways/src/streams.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 
 use crate::{Delivery, End, Entry, Way};
 
@@ -18,7 +18,7 @@
 struct Half {
     from: Option<End>,
     to: Option<End>,
-    out: Line,
+    out: SocketId,
     /// What waits for its time.
     waits: VecDeque<(Duration, Vec<u8>)>,
     /// Bytes that a slow way may still carry, counted from then.
@@ -28,20 +28,20 @@
 
 #[derive(Default)]
 pub struct Streams {
-    listeners: BTreeMap<Line, End>,
+    listeners: BTreeMap<SocketId, End>,
     /// By the line that it reads from.
-    halves: BTreeMap<Line, Half>,
+    halves: BTreeMap<SocketId, Half>,
     next: Option<Duration>,
 }
 
 impl Streams {
-    pub fn listen(&mut self, reactor: &mut Reactor, end: End) -> io::Result<(Line, SocketAddr)> {
+    pub fn listen(&mut self, reactor: &mut Reactor, end: End) -> io::Result<(SocketId, SocketAddr)> {
         let (line, at) = reactor.listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), BOUNDS)?;
         self.listeners.insert(line, end);
         Ok((line, at))
     }
 
-    pub fn end_of(&self, listener: Line) -> Option<End> {
+    pub fn end_of(&self, listener: SocketId) -> Option<End> {
         self.listeners.get(&listener).copied()
     }
 
@@ -51,7 +51,7 @@
 
     /// A stream came in for an end.
     pub fn accepted(
-        &mut self, reactor: &mut Reactor, line: Line, from: Option<End>, (to, at): (End, SocketAddr),
+        &mut self, reactor: &mut Reactor, line: SocketId, from: Option<End>, (to, at): (End, SocketAddr),
         way: Way,
     ) {
         if way.reset {
@@ -70,7 +70,7 @@
             carried: (Duration::ZERO, 0.0),
             ended: false,
         };
-        let other = out.unwrap_or(Line::MAX);
+        let other = out.unwrap_or(SocketId::MAX);
         self.halves.insert(line, half(from, Some(to), other));
         if out.is_some() {
             self.halves.insert(other, half(Some(to), from, line));
@@ -79,12 +79,12 @@
 
     /// Takes what a wait brought, if it is of a stream here.
     pub fn take(
-        &mut self, reactor: &mut Reactor, now: Duration, happening: &Happening,
+        &mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent,
         way_of: &dyn Fn(Option<End>, Option<End>) -> Way, record: &mut Vec<Entry>,
     ) -> bool {
         let line = match happening {
-            Happening::Readable(line) | Happening::Opened(line) | Happening::Drained(line) => *line,
-            Happening::Closed(line, _) => *line,
+            ReactorEvent::Readable(line) | ReactorEvent::Opened(line) | ReactorEvent::Drained(line) => *line,
+            ReactorEvent::Closed(line, _) => *line,
             _ => return false,
         };
         let Some(half) = self.halves.get_mut(&line) else { return false };
@@ -97,7 +97,7 @@
         let bytes = reactor.input(line).to_vec();
         reactor.consume(line, bytes.len());
         if !bytes.is_empty() {
-            let lost = way.half_open || half.out == Line::MAX;
+            let lost = way.half_open || half.out == SocketId::MAX;
             if let (Some(from), Some(to)) = (half.from, half.to) {
                 let delivery = if lost { Delivery::Lost } else { Delivery::Passed };
                 record.push(Entry { at: now, from, to, bytes: bytes.len(), delivery, stream: true });
@@ -107,7 +107,7 @@
                 half.waits.push_back((late, bytes));
             }
         }
-        half.ended |= matches!(happening, Happening::Closed(..));
+        half.ended |= matches!(happening, ReactorEvent::Closed(..));
         if half.ended && half.waits.is_empty() {
             let other = half.out;
             self.end(reactor, line, other);
@@ -117,10 +117,10 @@
         true
     }
 
-    fn end(&mut self, reactor: &mut Reactor, line: Line, other: Line) {
+    fn end(&mut self, reactor: &mut Reactor, line: SocketId, other: SocketId) {
         for line in [line, other] {
             self.halves.remove(&line);
-            reactor.flush_line(line);
+            reactor.flush_connection(line);
             reactor.close(line);
         }
     }
--- a/crates/witness/src/lib.rs
+++ b/crates/witness/src/lib.rs
@@ -29,9 +29,9 @@
 
 /// The result for one rule.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Judged {
-    pub tested: u64,
-    pub broken: u64,
+pub struct RuleResult {
+    pub checks: u64,
+    pub violations: u64,
     /// Descriptions of the first few violations.
     pub examples: Vec<String>,
 }
@@ -92,9 +92,9 @@
 }
 
 /// Follows the events of a run and checks the rules.
-pub struct Witness {
+pub struct RuleChecker {
     shared: Shared,
-    rules: [Judged; 6],
+    rules: [RuleResult; 6],
     requests: BTreeMap<u64, Request>,
     subscriptions: BTreeMap<u64, Subscription>,
     /// The latest request of a viewer for a title.
@@ -110,7 +110,7 @@
     set_ups: Vec<(Duration, StreamerId, u64)>,
 }
 
-impl Witness {
+impl RuleChecker {
     /// Creates a checker for these settings.
     pub fn new(shared: Shared) -> Self {
         Self {
@@ -130,7 +130,7 @@
 
     /// For each streamer that is draining or gone at the end: how long after the first controller the last
     /// one was told.
-    pub fn contradicting_lists(&self) -> Vec<Duration> {
+    pub fn list_contradictions(&self) -> Vec<Duration> {
         self.unavailable_since.values().map(|(first, last)| *last - *first).collect()
     }
 
@@ -140,12 +140,12 @@
     }
 
     fn count_check(&mut self, rule: usize) {
-        self.rules[rule - 1].tested += 1;
+        self.rules[rule - 1].checks += 1;
     }
 
     fn report_violation(&mut self, rule: usize, describe: impl FnOnce() -> String) {
         let result = &mut self.rules[rule - 1];
-        result.broken += 1;
+        result.violations += 1;
         if result.examples.len() < MAX_EXAMPLES {
             result.examples.push(describe());
         }
@@ -174,13 +174,13 @@
     }
 
     /// A stopped controller continues with its state.
-    pub fn controller_goes_on(&mut self, controller: u32) {
+    pub fn controller_resumed(&mut self, controller: u32) {
         self.controllers.entry(controller).or_default().running = true;
     }
 
     /// A viewer sent SETUP to a controller. `id` numbers the requests of all viewers.
     #[allow(clippy::too_many_arguments)]
-    pub fn asked(
+    pub fn request_sent(
         &mut self, now: Duration, id: u64, controller: u32, viewer: u64, title: u64, room_type: usize,
         client_timeout: Duration,
     ) {
@@ -211,7 +211,7 @@
     }
 
     /// A viewer received the final answer to a SETUP, with this status.
-    pub fn answered(&mut self, now: Duration, id: u64, status: u16) {
+    pub fn answer_received(&mut self, now: Duration, id: u64, status: u16) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.answers += 1;
         let (answers, took, max) = (request.answers, now - request.sent_at, request.client_timeout);
@@ -235,14 +235,14 @@
     }
 
     /// A viewer abandoned a request before its timeout.
-    pub fn gave_up(&mut self, id: u64) {
+    pub fn request_abandoned(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.excused = true;
         }
     }
 
     /// A request has reached its client timeout: without an answer the rule is violated.
-    pub fn timed_out(&mut self, id: u64) {
+    pub fn request_timed_out(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.excused && request.answers == 0)
         else {
             return;
@@ -264,7 +264,9 @@
     }
 
     /// The list service reported the state of a streamer to a controller.
-    pub fn told(&mut self, now: Duration, controller: u32, streamer: StreamerId, unavailable: bool) {
+    pub fn list_update_sent(
+        &mut self, now: Duration, controller: u32, streamer: StreamerId, unavailable: bool,
+    ) {
         let state = self.controllers.entry(controller).or_default();
         if unavailable {
             if !state.unavailable.contains_key(&streamer) {
@@ -278,14 +280,14 @@
     }
 
     /// A streamer process started, cold, with this capacity in sessions.
-    pub fn started(&mut self, now: Duration, streamer: StreamerId, capacity: f64) {
+    pub fn streamer_started(&mut self, now: Duration, streamer: StreamerId, capacity: f64) {
         let cold = ColdStreamer::new(now, capacity, &self.shared.rules);
         self.cold_streamers.insert(streamer, cold);
     }
 
     /// A streamer received SETUP on a connection that `join` numbers. Returns whether this overloaded it.
     #[allow(clippy::too_many_arguments)]
-    pub fn set_up(
+    pub fn set_up_received(
         &mut self, now: Duration, join: u64, streamer: StreamerId, viewer: u64, title: u64, room_type: usize,
         rung: u8,
     ) -> bool {
@@ -409,14 +411,14 @@
     }
 
     /// The rung of a playing join was changed.
-    pub fn stepped(&mut self, join: u64, rung: u8) {
+    pub fn rung_changed(&mut self, join: u64, rung: u8) {
         if let Some(outstanding) = self.outstanding_joins.get(&join) {
             self.check_floor(outstanding.room_type, rung);
         }
     }
 
     /// A streamer rejected a SETUP before setting anything up: it never ran.
-    pub fn turned_away(&mut self, join: u64) {
+    pub fn set_up_rejected(&mut self, join: u64) {
         let request = self
             .outstanding_joins
             .get(&join)
@@ -426,11 +428,11 @@
         if let Some(subscription) = subscription {
             subscription.possibly_ran = subscription.possibly_ran.saturating_sub(1);
         }
-        self.join_over(join);
+        self.join_ended(join);
     }
 
     /// The connection of a join has closed at its streamer, or the streamer has ended.
-    pub fn join_over(&mut self, join: u64) {
+    pub fn join_ended(&mut self, join: u64) {
         let Some(outstanding) = self.outstanding_joins.remove(&join) else { return };
         if let Some(count) = self.outstanding_counts.get_mut(&(outstanding.viewer, outstanding.title)) {
             *count = count.saturating_sub(1);
@@ -447,7 +449,7 @@
     }
 
     /// Returns the result for each rule.
-    pub fn verdict(&self) -> [Judged; 6] {
+    pub fn results(&self) -> [RuleResult; 6] {
         self.rules.clone()
     }
 }
