--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -13,7 +13,7 @@
 use badgerledge_distribution::message::{decode, encode, PeerMessage};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 
 use crate::backoff::Backoff;
 use crate::envelope::{
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -10,7 +10,7 @@
 use badgerledge_distribution::message::{ControlStatus, PartitionStatus, PeerMessage, ToRelay, ToWatcher};
 use badgerledge_distribution::MachineId;
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{raise_descriptors, Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{raise_descriptors, Bounds, Reactor, ReactorEvent, SocketId};
 use metrics::counter;
 use metrics_exporter_prometheus::PrometheusHandle;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -89,7 +89,7 @@
         let metrics_handle = telemetry::start()?;
         let mut reactor = Reactor::new(CLOCK_START).context("event loop")?;
         for signal in [SIGTERM, SIGINT, SIGHUP] {
-            reactor.signal(signal).context("signals")?;
+            reactor.watch_signal(signal).context("signals")?;
         }
         let (storage, stored) =
             Storage::open(&place.state).with_context(|| format!("state folder {}", place.state.display()))?;
@@ -231,7 +231,7 @@
                 tracing::info!(signal, "signal received; stopping");
                 self.stopping = true;
             }
-            Happening::Readable(_) | Happening::Drained(_) | Happening::Datagram { .. } => {}
+            ReactorEvent::Readable(_) | ReactorEvent::Drained(_) | ReactorEvent::Datagram { .. } => {}
         }
     }
 
--- a/crates/relay/src/tests/peers.rs
+++ b/crates/relay/src/tests/peers.rs
@@ -7,7 +7,7 @@
 
 use badgerledge_distribution::message::{decode, encode, PeerMessage};
 use badgerledge_keys::Keys;
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 use super::support::keys;
 use crate::envelope::{Identity, Payload, PeerFrame, Sealer, Session, MAX_FRAME_BYTES};
--- a/crates/relay/src/tests/watchers.rs
+++ b/crates/relay/src/tests/watchers.rs
@@ -7,7 +7,7 @@
 use badgerledge_distribution::change::Summary;
 use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher};
 use badgerledge_distribution::Certified;
-use badgerledge_reactor::{Happening, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent};
 use badgerledge_revisions::{Head, Signed};
 
 use crate::watchers::{Limits, WatcherEvent, Watchers, FIRST_MESSAGE_TIMEOUT};
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_distribution::control::{CloseReason, ConnectionId};
 use badgerledge_distribution::message::{decode, encode, ToRelay, ToWatcher, MAX_WATCHER_BODY_BYTES};
-use badgerledge_reactor::{Bounds, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, SocketId};
 use metrics::counter;
 
 use crate::envelope::frame_fault_label;
@@ -54,7 +54,7 @@
 /// All connections of controllers and tools. A connection is identified by its number in the reactor, which is never
 /// reused.
 pub struct Watchers {
-    listener: Line,
+    listener: SocketId,
     limits: Limits,
     connections: BTreeMap<Line, Connection>,
     /// Sum of the buffered bytes of all connections.
