--- a/crates/relay/tests/it/changes.rs
+++ b/crates/relay/tests/it/changes.rs
@@ -50,7 +50,10 @@
     // A change of the same key on an outdated base.
     let (code, output) = harness.change(3, "0", 8, 14);
     assert_eq!(code, 2, "{output}");
-    assert!(output.contains("fleet\tcells") && output.contains("revision 1 changed it"), "{output}");
+    assert!(
+        output.contains("fleet\tcells") && output.contains("changed in revision 1, after revision 0"),
+        "{output}"
+    );
     assert_eq!(harness.status(3).unwrap().certified, 1);
 }
 
@@ -65,7 +68,7 @@
     });
     let (code, output) = harness.change(3, "latest", 2, 14);
     assert_eq!(code, 2, "{output}");
-    assert!(output.contains("that author's key was revoked"), "{output}");
+    assert!(output.contains("the author's key was revoked"), "{output}");
     harness.wait_for_active(1);
     assert_eq!(harness.status(0).unwrap().certified, 1);
 }
