--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -57,13 +57,13 @@
     Waiting(Duration),
     Connecting,
     /// Connected at this time; the challenge has not arrived.
-    Unchallenged(Line, Duration),
+    Unchallenged(SocketId, Duration),
     /// Challenged; messages are sent once a ping was answered.
     Sealed(Box<SealedStream>),
 }
 
 struct SealedStream {
-    connection: Line,
+    connection: SocketId,
     sealer: Sealer,
     opener: Opener,
     up: bool,
@@ -83,15 +83,15 @@
 pub struct Peers {
     identity: Identity,
     keys: Keys,
-    listener: Line,
+    listener: SocketId,
     /// The source address of outgoing streams, if a specific one is configured: peers know this machine by it.
     source_address: Option<IpAddr>,
     /// Buffer sizes of an outgoing stream.
     outgoing_bounds: Bounds,
     outgoing: BTreeMap<MachineId, Outgoing>,
     /// The peer of each outgoing stream.
-    peer_by_connection: BTreeMap<Line, MachineId>,
-    incoming: BTreeMap<Line, Incoming>,
+    peer_by_connection: BTreeMap<SocketId, MachineId>,
+    incoming: BTreeMap<SocketId, Incoming>,
     incarnations: Incarnations,
     rng: Rng,
     log_limiter: LogLimiter,
@@ -105,7 +105,7 @@
 
     /// Prepares streams to these peers; the first call of [`Peers::poll`] connects them.
     pub fn new(
-        identity: Identity, keys: Keys, (listener, listen_address): (Line, SocketAddr),
+        identity: Identity, keys: Keys, (listener, listen_address): (SocketId, SocketAddr),
         peers: &BTreeMap<MachineId, SocketAddr>, output_bytes: usize, now: Duration, seed: u64,
     ) -> Self {
         let disconnected = |(number, address): (&MachineId, &SocketAddr)| {
@@ -140,13 +140,13 @@
     }
 
     /// Whether this connection is a stream to or from a peer.
-    pub fn contains(&self, connection: Line) -> bool {
+    pub fn contains(&self, connection: SocketId) -> bool {
         self.peer_by_connection.contains_key(&connection) || self.incoming.contains_key(&connection)
     }
 
     /// Takes over a connection accepted by the peers' listener and sends the challenge on it. Returns whether it did.
     pub fn on_accepted(
-        &mut self, reactor: &mut Reactor, connection: Line, listener: Line, now: Duration,
+        &mut self, reactor: &mut Reactor, connection: SocketId, listener: SocketId, now: Duration,
     ) -> bool {
         if listener != self.listener {
             return false;
@@ -174,7 +174,7 @@
     }
 
     /// An outgoing stream is connected.
-    pub fn on_connected(&mut self, connection: Line, now: Duration) {
+    pub fn on_connected(&mut self, connection: SocketId, now: Duration) {
         let peer = self.peer_by_connection.get(&connection).and_then(|number| self.outgoing.get_mut(number));
         if let Some(peer) = peer {
             peer.state = State::Unchallenged(connection, now);
@@ -182,7 +182,7 @@
     }
 
     /// A stream has closed. An outgoing one is connected again after a pause.
-    pub fn on_closed(&mut self, connection: Line, now: Duration, events: &mut Vec<PeerEvent>) {
+    pub fn on_closed(&mut self, connection: SocketId, now: Duration, events: &mut Vec<PeerEvent>) {
         self.incoming.remove(&connection);
         let Some(number) = self.peer_by_connection.remove(&connection) else { return };
         let Some(peer) = self.outgoing.get_mut(&number) else { return };
@@ -196,7 +196,7 @@
 
     /// Handles the frames received on a stream; an invalid one closes the stream.
     pub fn on_readable(
-        &mut self, reactor: &mut Reactor, connection: Line, now: Duration, events: &mut Vec<PeerEvent>,
+        &mut self, reactor: &mut Reactor, connection: SocketId, now: Duration, events: &mut Vec<PeerEvent>,
     ) {
         loop {
             let handled = match decode::<PeerFrame>(reactor.input(connection), MAX_FRAME_BYTES) {
@@ -217,7 +217,7 @@
     }
 
     /// Counts and logs a refused frame.
-    fn log_refusal(&mut self, connection: Line, now: Duration, refusal: Refusal) {
+    fn log_refusal(&mut self, connection: SocketId, now: Duration, refusal: Refusal) {
         telemetry::count_refused_frame(STREAM_LABEL, refusal.label());
         if let Some(suppressed) = self.log_limiter.allows(now, refusal.label()) {
             let peer = self.peer_by_connection.get(&connection).copied();
@@ -231,7 +231,7 @@
     }
 
     fn handle_frame(
-        &mut self, reactor: &mut Reactor, connection: Line, now: Duration, frame: PeerFrame,
+        &mut self, reactor: &mut Reactor, connection: SocketId, now: Duration, frame: PeerFrame,
         events: &mut Vec<PeerEvent>,
     ) -> Result<(), Refusal> {
         match (frame, self.peer_by_connection.get(&connection).copied()) {
@@ -279,7 +279,7 @@
 
     /// Handles the challenge on an outgoing stream: from now on envelopes can be signed for its session.
     fn on_challenge(
-        &mut self, connection: Line, number: MachineId, session: Session, now: Duration,
+        &mut self, connection: SocketId, number: MachineId, session: Session, now: Duration,
     ) -> Result<(), Refusal> {
         let (identity, peer) = (self.identity, self.outgoing.get_mut(&number));
         let Some(peer) = peer.filter(|peer| matches!(peer.state, State::Unchallenged(..))) else {
@@ -299,7 +299,7 @@
 
     /// Answers a ping. The first ping identifies the sender: older incoming streams of the same machine are closed.
     fn send_pong(
-        &mut self, reactor: &mut Reactor, connection: Line,
+        &mut self, reactor: &mut Reactor, connection: SocketId,
         (from, incarnation, sequence): (MachineId, u32, u64),
     ) {
         let identity = self.identity;
@@ -313,7 +313,7 @@
             let older = self.incoming.iter().filter(|(other, stream)| {
                 **other != connection && stream.sealer.is_some() && stream.opener.peer() == Some(from)
             });
-            let older: Vec<Line> = older.map(|(connection, _)| *connection).collect();
+            let older: Vec<SocketId> = older.map(|(connection, _)| *connection).collect();
             for connection in older {
                 self.incoming.remove(&connection);
                 reactor.close(connection);
@@ -386,10 +386,10 @@
             }
             State::Waiting(_) | State::Connecting => None,
         });
-        let is_silent = |(connection, stream): (&Line, &Incoming)| {
+        let is_silent = |(connection, stream): (&SocketId, &Incoming)| {
             (now >= stream.last_received_at + SILENCE_TIMEOUT).then_some(*connection)
         };
-        let silent: Vec<Line> = outgoing.chain(self.incoming.iter().filter_map(is_silent)).collect();
+        let silent: Vec<SocketId> = outgoing.chain(self.incoming.iter().filter_map(is_silent)).collect();
         for connection in silent {
             reactor.close(connection);
             self.on_closed(connection, now, events);
@@ -398,7 +398,7 @@
 }
 
 /// Queues bytes on a connection. Returns whether they fit into its output buffer.
-fn send_bytes(reactor: &mut Reactor, connection: Line, bytes: &[u8]) -> bool {
+fn send_bytes(reactor: &mut Reactor, connection: SocketId, bytes: &[u8]) -> bool {
     let sent = reactor.send(connection, &[bytes]);
     if sent {
         telemetry::count_bytes(STREAM_LABEL, "out", bytes.len());
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -65,7 +65,7 @@
     /// Outputs of the control machine that are still to be executed.
     outputs: Vec<ControlOutput>,
     /// Metrics connections, oldest first.
-    metrics_connections: Vec<Line>,
+    metrics_connections: Vec<SocketId>,
     metrics_handle: PrometheusHandle,
     /// Modification time of the ring file when it was last read.
     ring_modified_at: Option<SystemTime>,
@@ -167,7 +167,7 @@
     /// If the event loop fails, or too many items wait to be written to the disk.
     pub fn run(mut self) -> Result<()> {
         let mut events = Vec::new();
-        self.reactor.due(CLOCK_START + PERIODIC_INTERVAL, PERIODIC_TOKEN);
+        self.reactor.set_timer(CLOCK_START + PERIODIC_INTERVAL, PERIODIC_TOKEN);
         while !self.stopping {
             let wake_at = self.control.next_due().min(self.peers.next_poll_at());
             self.reactor.wait(Some(wake_at), &mut events).context("event loop")?;
@@ -204,30 +204,30 @@
         self.process_pending();
     }
 
-    fn handle_event(&mut self, event: Happening) {
+    fn handle_event(&mut self, event: ReactorEvent) {
         let (now, reactor) = (self.reactor.now(), &mut self.reactor);
         match event {
-            Happening::Accepted { line: connection, listener, .. } => self.accept(connection, listener, now),
-            Happening::Opened(connection) => self.peers.on_connected(connection, now),
-            Happening::Readable(connection) if self.peers.contains(connection) => {
+            ReactorEvent::Accepted { connection, listener, .. } => self.accept(connection, listener, now),
+            ReactorEvent::Opened(connection) => self.peers.on_connected(connection, now),
+            ReactorEvent::Readable(connection) if self.peers.contains(connection) => {
                 self.peers.on_readable(reactor, connection, now, &mut self.peer_events);
             }
-            Happening::Readable(connection) if self.watchers.contains(connection) => {
+            ReactorEvent::Readable(connection) if self.watchers.contains(connection) => {
                 self.with_watchers(|watchers, reactor, events| {
                     watchers.on_readable(reactor, connection, now, events)
                 });
             }
-            Happening::Readable(connection) if self.metrics_connections.contains(&connection) => {
+            ReactorEvent::Readable(connection) if self.metrics_connections.contains(&connection) => {
                 self.answer_metrics_request(connection)
             }
-            Happening::Closed(connection, _) => {
+            ReactorEvent::Closed(connection, _) => {
                 self.metrics_connections.retain(|other| *other != connection);
                 self.peers.on_closed(connection, now, &mut self.peer_events);
                 self.with_watchers(|watchers, _, events| watchers.on_closed(connection, events));
             }
-            Happening::Due(_) => self.run_periodic_work(now),
-            Happening::Signal(SIGHUP) => self.read_ring(now),
-            Happening::Signal(signal) => {
+            ReactorEvent::Timer(_) => self.run_periodic_work(now),
+            ReactorEvent::Signal(SIGHUP) => self.read_ring(now),
+            ReactorEvent::Signal(signal) => {
                 tracing::info!(signal, "signal received; stopping");
                 self.stopping = true;
             }
@@ -235,7 +235,7 @@
         }
     }
 
-    fn accept(&mut self, connection: Line, listener: Line, now: Duration) {
+    fn accept(&mut self, connection: SocketId, listener: SocketId, now: Duration) {
         if self.peers.on_accepted(&mut self.reactor, connection, listener, now) {
             return;
         }
@@ -295,7 +295,7 @@
     }
 
     /// Rejects a pushed change that controllers could not apply, and reports this to its author. Tells whether it did.
-    fn reject_unusable(&mut self, connection: Line, message: &ToRelay) -> bool {
+    fn reject_unusable(&mut self, connection: SocketId, message: &ToRelay) -> bool {
         let ToRelay::Push(change) = message else { return false };
         let Err(rejection) = self.push_check.check(self.control.state(), change) else { return false };
         let outcome = ToWatcher::PushOutcome { change: change.id, outcome: Err(rejection) };
@@ -357,7 +357,7 @@
 
     /// Runs once per [`PERIODIC_INTERVAL`].
     fn run_periodic_work(&mut self, now: Duration) {
-        self.reactor.due(now + PERIODIC_INTERVAL, PERIODIC_TOKEN);
+        self.reactor.set_timer(now + PERIODIC_INTERVAL, PERIODIC_TOKEN);
         self.with_watchers(|watchers, reactor, events| watchers.poll(reactor, now, events));
         let result = self.storage.retry();
         self.report_store_result(result, now);
@@ -433,11 +433,11 @@
     }
 
     /// Answers any HTTP request with the metrics, once its head is complete.
-    fn answer_metrics_request(&mut self, connection: Line) {
+    fn answer_metrics_request(&mut self, connection: SocketId) {
         if self.reactor.input(connection).windows(4).any(|bytes| bytes == b"\r\n\r\n") {
             let response = telemetry::metrics_response(&self.metrics_handle);
             self.reactor.send(connection, &[&response]);
-            self.reactor.finish(connection);
+            self.reactor.close_after_flush(connection);
         }
     }
 }
--- a/crates/relay/src/tests/peers.rs
+++ b/crates/relay/src/tests/peers.rs
@@ -33,14 +33,16 @@
         let now = self.reactor.now();
         for event in reactor_events {
             match event {
-                Happening::Accepted { line: connection, listener, .. } => {
+                ReactorEvent::Accepted { connection, listener, .. } => {
                     assert!(self.peers.on_accepted(&mut self.reactor, connection, listener, now));
                 }
-                Happening::Opened(connection) => self.peers.on_connected(connection, now),
-                Happening::Readable(connection) => {
+                ReactorEvent::Opened(connection) => self.peers.on_connected(connection, now),
+                ReactorEvent::Readable(connection) => {
                     self.peers.on_readable(&mut self.reactor, connection, now, &mut self.events);
                 }
-                Happening::Closed(connection, _) => self.peers.on_closed(connection, now, &mut self.events),
+                ReactorEvent::Closed(connection, _) => {
+                    self.peers.on_closed(connection, now, &mut self.events)
+                }
                 _ => {}
             }
         }
@@ -71,7 +73,7 @@
 
 /// Machines that buffer at most this many output bytes for each other machine.
 fn machines_with(keys: &[Keys], output_bytes: usize) -> Vec<Machine> {
-    let listeners: Vec<(Reactor, Line, SocketAddr)> = keys
+    let listeners: Vec<(Reactor, SocketId, SocketAddr)> = keys
         .iter()
         .map(|_| {
             let mut reactor = Reactor::new(Duration::from_secs(1)).unwrap();
@@ -248,7 +250,7 @@
     for _ in 0..32 {
         machines[0].send(1, PeerMessage::Agreement(vec![7; 16 * 1024]));
     }
-    let waiting: usize = (0..100).map(|connection| machines[0].reactor.unwritten(connection)).sum();
+    let waiting: usize = (0..100).map(|connection| machines[0].reactor.unwritten_bytes(connection)).sum();
     assert!(waiting > OUTPUT_BYTES / 2 && waiting <= OUTPUT_BYTES, "{waiting} bytes");
     // The stream still works.
     let mut received = 0;
--- a/crates/relay/src/tests/watchers.rs
+++ b/crates/relay/src/tests/watchers.rs
@@ -40,13 +40,13 @@
         let (now, events) = (self.reactor.now(), &mut self.events);
         for event in reactor_events {
             match event {
-                Happening::Accepted { line: connection, listener, .. } => {
+                ReactorEvent::Accepted { connection, listener, .. } => {
                     self.watchers.on_accepted(&mut self.reactor, connection, listener, now, events);
                 }
-                Happening::Readable(connection) => {
+                ReactorEvent::Readable(connection) => {
                     self.watchers.on_readable(&mut self.reactor, connection, now, events);
                 }
-                Happening::Closed(connection, _) => self.watchers.on_closed(connection, events),
+                ReactorEvent::Closed(connection, _) => self.watchers.on_closed(connection, events),
                 _ => {}
             }
         }
--- a/crates/relay/src/watchers.rs
+++ b/crates/relay/src/watchers.rs
@@ -56,7 +56,7 @@
 pub struct Watchers {
     listener: SocketId,
     limits: Limits,
-    connections: BTreeMap<Line, Connection>,
+    connections: BTreeMap<SocketId, Connection>,
     /// Sum of the buffered bytes of all connections.
     buffered_bytes: usize,
     log_limiter: LogLimiter,
@@ -69,7 +69,7 @@
     }
 
     /// Serves the connections accepted by this listener.
-    pub fn new(listener: Line, limits: Limits) -> Self {
+    pub fn new(listener: SocketId, limits: Limits) -> Self {
         Self {
             listener,
             limits,
@@ -80,7 +80,7 @@
     }
 
     /// Whether this connection is a watcher's or tool's.
-    pub fn contains(&self, id: Line) -> bool {
+    pub fn contains(&self, id: SocketId) -> bool {
         self.connections.contains_key(&id)
     }
 
@@ -92,7 +92,7 @@
     /// Takes over a connection accepted by the watchers' listener, and returns whether it did. Beyond the limits, the client
     /// is told to retry later and the connection is closed.
     pub fn on_accepted(
-        &mut self, reactor: &mut Reactor, id: Line, listener: Line, now: Duration,
+        &mut self, reactor: &mut Reactor, id: SocketId, listener: SocketId, now: Duration,
         events: &mut Vec<WatcherEvent>,
     ) -> bool {
         if listener != self.listener {
@@ -102,7 +102,7 @@
         {
             counter!(telemetry::REFUSED_CONNECTIONS).increment(1);
             reactor.send(id, &[&encode(&ToWatcher::Busy { retry_after_ms: RETRY_AFTER_MS })]);
-            reactor.finish(id);
+            reactor.close_after_flush(id);
             return true;
         }
         self.connections
@@ -113,7 +113,7 @@
 
     /// Handles the messages received on a connection; an invalid frame closes it.
     pub fn on_readable(
-        &mut self, reactor: &mut Reactor, id: Line, now: Duration, events: &mut Vec<WatcherEvent>,
+        &mut self, reactor: &mut Reactor, id: SocketId, now: Duration, events: &mut Vec<WatcherEvent>,
     ) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -142,9 +142,9 @@
     }
 
     /// Recounts the bytes buffered for a connection, and closes it if the total exceeds the limit.
-    fn update_buffered(&mut self, reactor: &mut Reactor, id: Line, events: &mut Vec<WatcherEvent>) {
+    fn update_buffered(&mut self, reactor: &mut Reactor, id: SocketId, events: &mut Vec<WatcherEvent>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let buffered_bytes = reactor.input(id).len() + reactor.unwritten(id);
+        let buffered_bytes = reactor.input(id).len() + reactor.unwritten_bytes(id);
         self.buffered_bytes = self.buffered_bytes - connection.buffered_bytes + buffered_bytes;
         connection.buffered_bytes = buffered_bytes;
         if self.buffered_bytes > self.limits.total_bytes {
@@ -156,7 +156,7 @@
     /// Sends a message. If it does not fit into the output buffer, the watcher reads too slowly and its connection is closed:
     /// it reconnects, to this relay or another, and gets the missing state in one transfer.
     pub fn send(
-        &mut self, reactor: &mut Reactor, id: Line, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
+        &mut self, reactor: &mut Reactor, id: SocketId, message: &ToWatcher, events: &mut Vec<WatcherEvent>,
     ) {
         if !self.contains(id) {
             return telemetry::count_dropped_message(STREAM_LABEL);
@@ -172,29 +172,29 @@
     }
 
     /// Closes a connection on behalf of the control machine, after the buffered output is written.
-    pub fn finish(&mut self, reactor: &mut Reactor, id: Line, reason: CloseReason, now: Duration) {
+    pub fn finish(&mut self, reactor: &mut Reactor, id: SocketId, reason: CloseReason, now: Duration) {
         if self.remove(id) {
             telemetry::count_closed_connection(close_label(reason));
             if let Some(suppressed) = self.log_limiter.allows(now, close_label(reason)) {
                 tracing::info!(line = id, suppressed, "closing a watcher's connection: {reason}");
             }
-            reactor.finish(id);
+            reactor.close_after_flush(id);
         }
     }
 
     /// A connection has closed.
-    pub fn on_closed(&mut self, id: Line, events: &mut Vec<WatcherEvent>) {
+    pub fn on_closed(&mut self, id: SocketId, events: &mut Vec<WatcherEvent>) {
         if self.remove(id) {
             events.push(WatcherEvent::Closed(id));
         }
     }
 
-    fn close(&mut self, reactor: &mut Reactor, id: Line, events: &mut Vec<WatcherEvent>) {
+    fn close(&mut self, reactor: &mut Reactor, id: SocketId, events: &mut Vec<WatcherEvent>) {
         reactor.close(id);
         self.on_closed(id, events);
     }
 
-    fn remove(&mut self, id: Line) -> bool {
+    fn remove(&mut self, id: SocketId) -> bool {
         let Some(connection) = self.connections.remove(&id) else { return false };
         self.buffered_bytes -= connection.buffered_bytes;
         true
@@ -202,7 +202,7 @@
 
     /// Closes silent connections and recounts the buffered bytes. To be called about once a second.
     pub fn poll(&mut self, reactor: &mut Reactor, now: Duration, events: &mut Vec<WatcherEvent>) {
-        let silent: Vec<Line> = self
+        let silent: Vec<SocketId> = self
             .connections
             .iter()
             .filter(|(_, connection)| now >= connection.expires_at)
--- a/crates/replay/src/operators.rs
+++ b/crates/replay/src/operators.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_deployment::kinds::canonical;
-use badgerledge_revision_tool::{Client, Push, Voice};
+use badgerledge_revision_tool::{Client, OutputFormat, Push};
 use badgerledge_revisions::requests::Report;
 use badgerledge_settings::Sheet;
 
@@ -79,7 +79,7 @@
 
     /// The text that a controller acts on.
     pub fn active(&self, number: usize) -> Result<String> {
-        Client::connect(self.own[number])?.active()
+        Client::connect(self.own[number])?.active_text()
     }
 
     /// What each controller that runs says of itself.
@@ -91,7 +91,7 @@
 }
 
 fn push(name: &str, told: &PushDay, folder: &Path, at: SocketAddr) -> Result<u8> {
-    let latest = Client::connect(at)?.latest()?;
+    let latest = Client::connect(at)?.latest_text()?;
     let mut text = with_value(&latest, told)?;
     for line in told.also.iter().flat_map(|also| also.split("; ")) {
         let line_of =
@@ -105,7 +105,7 @@
     let one = |file: PathBuf, text: String| {
         std::fs::write(&file, text).with_context(|| file.display().to_string())?;
         let push = Push { at, key: key.clone(), file, catalogue: None, wait: 0 };
-        badgerledge_revision_tool::push(&push, &Voice { json: true })
+        badgerledge_revision_tool::push(&push, &OutputFormat { json: true })
     };
     let code = one(folder.join(format!("push-{name}.ini")), text.clone())?;
     for turn in 0..told.flood {
--- a/crates/replay/tests/distribution/fleet.rs
+++ b/crates/replay/tests/distribution/fleet.rs
@@ -357,7 +357,7 @@
 
     /// What a control machine knows of regions apart.
     pub fn apart(&self, machine: usize) -> Option<PartitionStatus> {
-        Client::connect(self.machines[machine].at).ok()?.apart().ok()?
+        Client::connect(self.machines[machine].at).ok()?.partition_status().ok()?
     }
 
     /// The place of a controller among the ends of the network's `watchers`.
--- a/crates/revision_tool/src/client.rs
+++ b/crates/revision_tool/src/client.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// If the connection fails or ends early, or the response cannot be parsed.
-    pub fn ask(&mut self, request: &Request, text: &[u8]) -> Result<(Response, Vec<u8>)> {
+    pub fn send_request(&mut self, request: &Request, text: &[u8]) -> Result<(Response, Vec<u8>)> {
         let address = self.address;
         let output = self.stream.get_mut();
         output
@@ -62,7 +62,7 @@
     /// # Errors
     /// If the request fails or the response is not a status.
     pub fn status(&mut self) -> Result<Report> {
-        match self.ask(&Request::Status, &[])? {
+        match self.send_request(&Request::Status, &[])? {
             (Response::Status(report), _) => Ok(*report),
             (other, _) => bail!("{}: expected a status, got {other:?}", self.address),
         }
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// If the request fails or the response is not a UTF-8 text.
-    pub fn active(&mut self) -> Result<String> {
+    pub fn active_text(&mut self) -> Result<String> {
         self.request_text(&Request::Active)
     }
 
@@ -81,12 +81,12 @@
     ///
     /// # Errors
     /// If the request fails or the response is not a UTF-8 text.
-    pub fn latest(&mut self) -> Result<String> {
+    pub fn latest_text(&mut self) -> Result<String> {
         self.request_text(&Request::Latest)
     }
 
     fn request_text(&mut self, request: &Request) -> Result<String> {
-        match self.ask(request, &[])? {
+        match self.send_request(request, &[])? {
             (Response::Bytes(_), text) => {
                 String::from_utf8(text).with_context(|| format!("{}: the text is not UTF-8", self.address))
             }
--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -119,7 +119,7 @@
 /// Runs the program with these arguments; the first one is the program name.
 pub fn main_with(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let command = Command::parse_from(arguments);
-    match run(command.what, &Voice { json: command.json }) {
+    match run(command.what, &OutputFormat { json: command.json }) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("badgerledge-revision: {error:#}");
@@ -129,12 +129,12 @@
 }
 
 /// Where results go: standard output, as text or as JSON.
-pub struct Voice {
+pub struct OutputFormat {
     /// Print JSON lines instead of text.
     pub json: bool,
 }
 
-impl Voice {
+impl OutputFormat {
     fn print(&self, json_line: serde_json::Value, text: &str) {
         if self.json {
             println!("{json_line}");
@@ -144,7 +144,7 @@
     }
 }
 
-fn run(what: What, output: &Voice) -> Result<u8> {
+fn run(what: What, output: &OutputFormat) -> Result<u8> {
     match what {
         What::Check { file, catalogue } => {
             let text = canonical(&read(&file, catalogue.as_deref())?);
@@ -159,7 +159,7 @@
         What::Diff { from, to, at, catalogue } => {
             let from = match (from, at) {
                 (Some(from), _) => read(&from, None)?,
-                (None, Some(at)) => Sheet::parse(&at.to_string(), &Client::connect(at)?.active()?)?,
+                (None, Some(at)) => Sheet::parse(&at.to_string(), &Client::connect(at)?.active_text()?)?,
                 (None, None) => bail!("a file or --at is required"),
             };
             print_changes(&changes(&from, &read(&to, catalogue.as_deref())?), output);
@@ -209,12 +209,12 @@
 ///
 /// # Errors
 /// If the key or the file is invalid, or the controller cannot be reached. A refusal by the controller is an exit code.
-pub fn push(arguments: &Push, output: &Voice) -> Result<u8> {
+pub fn push(arguments: &Push, output: &OutputFormat) -> Result<u8> {
     let (private, author) = read_author_key(&arguments.key)?;
     let sheet = read(&arguments.file, arguments.catalogue.as_deref())?;
     let text = canonical(&sheet);
     let mut client = Client::connect(arguments.at)?;
-    let latest = Sheet::parse("certified", &client.latest()?)?;
+    let latest = Sheet::parse("certified", &client.latest_text()?)?;
     let changes = changes(&latest, &sheet);
     print_changes(&changes, output);
     if changes.is_empty() {
@@ -229,7 +229,7 @@
     let signed = Signed { head, signature: private.sign(&head.signed_bytes()) };
     let request = Request::Push { head: requests::to_hex(&signed), bytes: text.len() };
     let pushed_at = Instant::now();
-    match client.ask(&request, text.as_bytes())? {
+    match client.send_request(&request, text.as_bytes())? {
         (Response::Taken, _) => {}
         (Response::Refused(reason), _) => {
             output.print(json!({"refused": reason}), &format!("refused: {reason}"));
@@ -244,7 +244,7 @@
 
 /// Waits until the revision is active on the controller, and prints which members it waits for.
 fn wait_until_active(
-    client: &mut Client, arguments: &Push, signed: &Signed, pushed_at: Instant, output: &Voice,
+    client: &mut Client, arguments: &Push, signed: &Signed, pushed_at: Instant, output: &OutputFormat,
 ) -> Result<u8> {
     let (number, own_digest) = (signed.head.number, hex::encode(signed.head.digest()));
     let mut last_progress = None;
@@ -286,7 +286,7 @@
 }
 
 /// Removes a member from those that changes wait for, or restores it.
-fn force(at: SocketAddr, key: &Path, member: Member, removed: bool, output: &Voice) -> Result<u8> {
+fn force(at: SocketAddr, key: &Path, member: Member, removed: bool, output: &OutputFormat) -> Result<u8> {
     let (private, author) = read_author_key(key)?;
     // The sequence number is this machine's clock in seconds, so that it exceeds that of earlier statements. With a clock
     // that is behind, the statement is refused with that reason.
@@ -294,7 +294,7 @@
     let mut removal =
         MemberRemoval { member, sequence: since_epoch.as_secs() as u32, removed, author, signature: [0; 64] };
     removal.signature = private.sign(&removal.signed_bytes());
-    match Client::connect(at)?.ask(&Request::Gone { gone: requests::to_hex(&removal) }, &[])? {
+    match Client::connect(at)?.send_request(&Request::Gone { gone: requests::to_hex(&removal) }, &[])? {
         (Response::Taken, _) => {
             let effect = if removed {
                 "is removed: no change waits for it"
@@ -312,7 +312,7 @@
     }
 }
 
-fn print_changes(changes: &[Change], output: &Voice) {
+fn print_changes(changes: &[Change], output: &OutputFormat) {
     if changes.is_empty() {
         output.print(json!({"changes": 0}), "no changes");
     }
@@ -346,7 +346,7 @@
     }
 }
 
-fn print_status(address: SocketAddr, report: &Report, output: &Voice) {
+fn print_status(address: SocketAddr, report: &Report, output: &OutputFormat) {
     let mut text = format!(
         "{address} member {}: active {} ({}), certified {}, {}, contradictions end within {} ms",
         report.member, report.active, report.source, report.certified, report.regime, report.bound_ms
