--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
-use badgerledge_rtsp::words::{self, name};
+use badgerledge_rtsp::extension_headers::{self, header_name};
 use badgerledge_rtsp::{Client, Framer, Unit};
 use hdrhistogram::Histogram;
 use rtsp_types::{headers, Method};
@@ -134,7 +134,7 @@
     }
 
     fn answered(&mut self, reactor: &mut Reactor, line: SocketId, granted: bool) {
-        let uri = words::uri("bench", line % TITLES);
+        let uri = extension_headers::title_uri("bench", line % TITLES);
         if !granted {
             self.turned_away += 1;
             self.viewers.remove(&line);
--- a/crates/controller/src/connections/answers.rs
+++ b/crates/controller/src/connections/answers.rs
@@ -4,8 +4,8 @@
 
 use badgerledge_core::interface::JobId;
 use badgerledge_reactor::SocketId;
-use badgerledge_rtsp::notes;
-use badgerledge_rtsp::words;
+use badgerledge_rtsp::extension_headers;
+use badgerledge_rtsp::progress_reports;
 use badgerledge_rtsp::{frame_header, Response, State};
 use metrics::{counter, histogram};
 use rand_pcg::rand_core::Rng;
--- a/crates/controller/src/connections/joins.rs
+++ b/crates/controller/src/connections/joins.rs
@@ -6,7 +6,7 @@
 use badgerledge_accounts::Key;
 use badgerledge_core::interface::{Ending, JobId, StreamerId, SubscriptionRequest};
 use badgerledge_reactor::{Bounds, SocketId};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
 use badgerledge_rtsp::{Response, Unit};
 use metrics::counter;
 use rtsp_types::headers::{self, HeaderName};
--- a/crates/controller/src/connections/probing.rs
+++ b/crates/controller/src/connections/probing.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_reactor::{Bounds, SocketId};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
 use badgerledge_rtsp::Unit;
 use rtsp_types::{headers, Method};
 
--- a/crates/controller/src/connections/relay.rs
+++ b/crates/controller/src/connections/relay.rs
@@ -2,7 +2,7 @@
 
 use badgerledge_core::interface::{Ending, StreamerId};
 use badgerledge_reactor::SocketId;
-use badgerledge_rtsp::notes::{self, Note};
+use badgerledge_rtsp::progress_reports::{self, ProgressReport};
 use badgerledge_rtsp::{frame_header, State};
 
 use super::{Connections, JoinId};
@@ -68,7 +68,7 @@
                 }
                 self.queue_for_round(move |floor| floor.progress_report(id.0, id.1, kind, value));
             }
-            Note::Bye => {
+            ProgressReport::Bye => {
                 self.queue_join_event(move |steps| steps.join_ended(id.0, id.1, Ending::Served, &[]))
             }
         }
--- a/crates/controller/src/connections/requests.rs
+++ b/crates/controller/src/connections/requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerledge_reactor::SocketId;
-use badgerledge_rtsp::words;
+use badgerledge_rtsp::extension_headers;
 use badgerledge_rtsp::{describe, interleaved, Request, State};
 use metrics::counter;
 use rand_pcg::rand_core::Rng;
--- a/crates/controller/src/gossiping.rs
+++ b/crates/controller/src/gossiping.rs
@@ -46,7 +46,7 @@
     gossip: Gossip<Keys>,
     failure_reports: FailureReports,
     connection: SocketId,
-    settings: GossipPlace,
+    settings: GossipSection,
     state: Option<PathBuf>,
     ring_modified: Option<SystemTime>,
     ring_check_at: Duration,
--- a/crates/controller/src/join_connection.rs
+++ b/crates/controller/src/join_connection.rs
@@ -6,7 +6,7 @@
 use badgerledge_accounts::{Amount, Key};
 use badgerledge_core::interface::StreamerId;
 use badgerledge_reactor::SocketId;
-use badgerledge_rtsp::{Bounds, Client, Framer};
+use badgerledge_rtsp::{Client, FrameLimits, Framer};
 
 /// Bytes of media that are buffered until the viewer's PLAY: some tenths of a second at the middle rates, the
 /// time that PLAY takes to arrive.
--- a/crates/controller/src/probes.rs
+++ b/crates/controller/src/probes.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_core::interface::StreamerId;
 use badgerledge_reactor::SocketId;
-use badgerledge_rtsp::{Bounds, Framer};
+use badgerledge_rtsp::{FrameLimits, Framer};
 
 /// Probes in progress at a time; a further one is reported as not sent. At 40 ms a probe this is over a
 /// thousand a second.
--- a/crates/relay/src/edits.rs
+++ b/crates/relay/src/edits.rs
@@ -27,8 +27,8 @@
 ///
 /// # Errors
 /// All errors in the file, each with its file, line and key.
-pub fn read(sheet: &Sheet) -> Result<Vec<Edit>, Faults> {
-    sheet.only(&[SET, REMOVE, SECTION, TITLE])?;
+pub fn read(sheet: &IniFile) -> Result<Vec<Edit>, Faults> {
+    sheet.reject_unknown_sections(&[SET, REMOVE, SECTION, TITLE])?;
     let mut reader = EditReader { sheet, edits: BTreeMap::new(), faults: Vec::new() };
     reader.read_settings();
     reader.read_sections();
@@ -43,7 +43,7 @@
 
 /// Collects the edits and the faults of one file.
 struct EditReader<'a> {
-    sheet: &'a Sheet,
+    sheet: &'a IniFile,
     /// New values by key; none where the key is removed.
     edits: BTreeMap<String, Option<Vec<u8>>>,
     faults: Vec<Fault>,
@@ -53,13 +53,13 @@
     /// Reads the `[set SECTION]` sections.
     fn read_settings(&mut self) {
         let sheet = self.sheet;
-        for section in sheet.named(SET) {
+        for section in sheet.section_names(SET) {
             let heading = format!("{SET} {section}");
             for (key, value) in sheet.keys(&heading) {
                 if !is_setting(section, key) {
                     self.add_fault(&heading, key, "", "unknown setting");
                 } else {
-                    let value = kinds::plain(value);
+                    let value = kinds::canonical_value(value);
                     self.add_edit(&heading, key, setting_key(section, key), Some(value.into_bytes()));
                 }
             }
--- a/crates/relay/src/push_check.rs
+++ b/crates/relay/src/push_check.rs
@@ -63,7 +63,7 @@
 }
 
 /// Checks whether controllers can change from one configuration to another, and returns the reason if not.
-fn check_texts(before: &Text, after: &Text) -> Result<(), String> {
+fn check_texts(before: &RevisionText, after: &RevisionText) -> Result<(), String> {
     match (before.titles().is_empty(), after.titles().is_empty()) {
         (true, false) => {
             Err("the change adds titles, but titles are not part of the shared settings in this fleet"
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -119,7 +119,7 @@
     /// # Errors
     /// All errors in the file, each with its file, line and key.
     pub fn read(path: &Path) -> Result<Self, Faults> {
-        let mut settings = Self::from_sheet(&Sheet::read(path)?)?;
+        let mut settings = Self::from_sheet(&IniFile::read(path)?)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         let place = &mut settings.place;
         for path in [&mut place.state, &mut place.ring, &mut place.key, &mut place.genesis] {
@@ -134,9 +134,9 @@
     ///
     /// # Errors
     /// All errors in the file, each with its line and key.
-    pub fn from_sheet(sheet: &Sheet) -> Result<Self, Faults> {
-        sheet.only(&["relay", "peers"])?;
-        let (place, peers) = Faults::both(sheet.section::<RelayPlace>("relay"), read_peers(sheet))?;
+    pub fn from_sheet(sheet: &IniFile) -> Result<Self, Faults> {
+        sheet.reject_unknown_sections(&["relay", "peers"])?;
+        let (place, peers) = Faults::combine(sheet.section::<RelayPlace>("relay"), read_peers(sheet))?;
         if !peers.contains_key(&place.number) {
             let reason = "the address of each control machine is required, including this one";
             return Err(sheet.fault("peers", &place.number.to_string(), "", reason).into());
@@ -183,7 +183,7 @@
 }
 
 /// Reads section `[peers]`: the address of each control machine, by its number.
-fn read_peers(sheet: &Sheet) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
+fn read_peers(sheet: &IniFile) -> Result<BTreeMap<MachineId, SocketAddr>, Faults> {
     let (mut peers, mut faults) = (BTreeMap::new(), Vec::<Fault>::new());
     for (key, value) in sheet.keys("peers") {
         match (key.parse(), value.parse()) {
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -243,8 +243,8 @@
 /// If it cannot be stored.
 pub fn begin_incarnation(folder: &Path) -> io::Result<u32> {
     let file = folder.join(INCARNATION_FILE);
-    let incarnation = files::next_life(Some(&file));
-    files::replace_durably(&file, files::written_life(incarnation).as_bytes())?;
+    let incarnation = files::next_incarnation(Some(&file));
+    files::replace_durably(&file, files::format_incarnation(incarnation).as_bytes())?;
     Ok(incarnation)
 }
 
--- a/crates/relay/src/tests/settings.rs
+++ b/crates/relay/src/tests/settings.rs
@@ -19,7 +19,7 @@
 ";
 
 fn read(text: &str) -> Result<RelaySettings, String> {
-    let sheet = Sheet::parse("relay.ini", text).map_err(|faults| faults.to_string())?;
+    let sheet = IniFile::parse("relay.ini", text).map_err(|faults| faults.to_string())?;
     RelaySettings::from_sheet(&sheet).map_err(|faults| faults.to_string())
 }
 
--- a/crates/relay/src/tests/support.rs
+++ b/crates/relay/src/tests/support.rs
@@ -6,9 +6,9 @@
 /// The keys of this many control machines, of which the first is the acceptor.
 pub fn keys(machines: u16) -> Vec<Keys> {
     let private_keys: Vec<PrivateKey> =
-        (0..machines).map(|number| PrivateKey::make(Role::Member(number)).unwrap()).collect();
-    let text = ring_text(&private_keys.iter().map(PrivateKey::public).collect::<Vec<_>>());
-    let ring = Ring::of(&Sheet::parse("ring.ini", &text).unwrap()).unwrap();
+        (0..machines).map(|number| PrivateKey::generate(Role::Member(number)).unwrap()).collect();
+    let text = ring_text(&private_keys.iter().map(PrivateKey::public_hex).collect::<Vec<_>>());
+    let ring = Ring::of(&IniFile::parse("ring.ini", &text).unwrap()).unwrap();
     private_keys.into_iter().map(|key| Keys::new(key, ring.clone()).unwrap()).collect()
 }
 
--- a/crates/replay/src/gossip.rs
+++ b/crates/replay/src/gossip.rs
@@ -11,7 +11,7 @@
 use badgerledge_gossip::{Event, Gossip, Member, Transport};
 use badgerledge_keys::{Keys, PrivateKey, Ring, Role};
 use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
-use badgerledge_settings::{within, Sheet};
+use badgerledge_settings::{within, IniFile};
 use garde::Validate;
 use serde::Deserialize;
 
--- a/crates/revision_tool/src/lib.rs
+++ b/crates/revision_tool/src/lib.rs
@@ -159,7 +159,7 @@
         What::Diff { from, to, at, catalogue } => {
             let from = match (from, at) {
                 (Some(from), _) => read(&from, None)?,
-                (None, Some(at)) => Sheet::parse(&at.to_string(), &Client::connect(at)?.active_text()?)?,
+                (None, Some(at)) => IniFile::parse(&at.to_string(), &Client::connect(at)?.active_text()?)?,
                 (None, None) => bail!("a file or --at is required"),
             };
             print_changes(&changes(&from, &read(&to, catalogue.as_deref())?), output);
@@ -186,8 +186,8 @@
 }
 
 /// Reads and validates a file's shared sections, with its own titles or those of another file.
-fn read(file: &Path, catalogue: Option<&Path>) -> Result<Sheet> {
-    let mut sheet = Sheet::read(file)?;
+fn read(file: &Path, catalogue: Option<&Path>) -> Result<IniFile> {
+    let mut sheet = IniFile::read(file)?;
     if let Some(titles) = catalogue {
         let text = sheet.copy_sections(&SHARED_SECTIONS) + &Catalogue::read(titles)?.text();
         sheet = IniFile::parse(&format!("{} with {}", file.display(), titles.display()), &text)?;
@@ -214,7 +214,7 @@
     let sheet = read(&arguments.file, arguments.catalogue.as_deref())?;
     let text = canonical(&sheet);
     let mut client = Client::connect(arguments.at)?;
-    let latest = Sheet::parse("certified", &client.latest_text()?)?;
+    let latest = IniFile::parse("certified", &client.latest_text()?)?;
     let changes = changes(&latest, &sheet);
     print_changes(&changes, output);
     if changes.is_empty() {
@@ -337,7 +337,7 @@
             match side {
                 Side::Lower => "until all have it, each controller that has it applies the lower value",
                 Side::Higher => "until all have it, each controller that has it applies the higher value",
-                Side::LowerBut0 => {
+                Side::LowerOrUnlimited => {
                     "until all have it, each controller that has it applies the lower value, where 0 means none"
                 }
                 Side::False => "until all have it, each controller that has it does only what both values permit",
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,10 +1,10 @@
 //! RTSP 1.0 (RFC 2326) with interleaved RTP and RTCP, for clients and servers, without I/O.
 //!
 //! [`Framer`] splits the bytes of a connection into messages and interleaved frames, within limits;
-//! [`Server`] decides whether a request is permitted in the state of the connection, and with which status it
-//! is rejected otherwise; [`Client`] numbers requests and matches responses. Messages are those of
-//! `rtsp-types`; [`extension_headers`] has the project's own headers, [`progress_reports`] the reports that
-//! streamers send in band, and [`describe`] the description of a title.
+//! [`Server`] decides whether a request is permitted in the state of the connection, and with which status it is
+//! rejected otherwise; [`Client`] numbers requests and matches responses. Messages are those of `rtsp-types`;
+//! [`extension_headers`] has the project's own headers, [`progress_reports`] the reports that streamers send in
+//! band, and [`describe`] the description of a title.
 
 mod client;
 pub mod describe;
--- a/crates/standins/src/streamers.rs
+++ b/crates/standins/src/streamers.rs
@@ -12,8 +12,8 @@
 use badgerledge_core::interface::StreamerId;
 use badgerledge_deployment::Shared;
 use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
-use badgerledge_rtsp::notes::note;
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
+use badgerledge_rtsp::progress_reports::encode_report;
 use badgerledge_rtsp::{describe, frame_header, Framer, Request, Response, Server, State, Unit};
 use badgerledge_witness::RuleChecker;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -660,7 +660,10 @@
 
     /// Notes 3 and 4 on one stream, as they come with its set-up or later.
     fn tell_fullness(&mut self, now: Duration, line: SocketId, late: Duration) {
-        let Some(stream) = self.streams.get(&line).filter(|_| !self.shared.fleet.by_probe()) else { return };
+        let Some(stream) = self.streams.get(&line).filter(|_| !self.shared.fleet.reports_by_probe_only())
+        else {
+            return;
+        };
         let streamer = stream.streamer;
         let has = |field: &str| self.shared.fleet.report.iter().any(|known| known == field);
         let mut tell = |kind, value| self.notes.push_back(Note { at: now + late, line, kind, value });
--- a/crates/standins/src/viewers.rs
+++ b/crates/standins/src/viewers.rs
@@ -9,8 +9,8 @@
 
 use badgerledge_deployment::Shared;
 use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
-use badgerledge_rtsp::notes::{notes, Note};
-use badgerledge_rtsp::words::{self, Headed};
+use badgerledge_rtsp::extension_headers::{self, HeaderValues};
+use badgerledge_rtsp::progress_reports::{decode_reports, ProgressReport};
 use badgerledge_rtsp::{Client, Framer, Request, Response, Server, Unit};
 use badgerledge_witness::RuleChecker;
 use rand_pcg::rand_core::SeedableRng;
--- a/crates/standins/tests/false_controller.rs
+++ b/crates/standins/tests/false_controller.rs
@@ -87,7 +87,7 @@
 
 /// Runs a script as the controller of these viewers (by room type), and gives the verdict.
 fn judge(room_types: &[usize], script: Script) -> [RuleResult; 6] {
-    let sheet = Sheet::parse("shared.ini", SHARED).unwrap();
+    let sheet = IniFile::parse("shared.ini", SHARED).unwrap();
     let shared = Shared::of(&sheet).unwrap_or_else(|faults| panic!("{faults}"));
     let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
     let mut witness = RuleChecker::new(shared.clone());
--- a/crates/witness/src/tests.rs
+++ b/crates/witness/src/tests.rs
@@ -21,7 +21,7 @@
                 set_up_again = single_shot\nfloor = 1\nseats = 1\n\
                 [rules]\nwarm_up_ms = 10000\ncold_from = 0.5\ntip_after_ms = 2000\nbudget_window_ms = 5000\n\
                 budget_few = 1\n";
-    let sheet = Sheet::parse("w.ini", text).unwrap_or_else(|faults| panic!("{faults}"));
+    let sheet = IniFile::parse("w.ini", text).unwrap_or_else(|faults| panic!("{faults}"));
     let mut checker = RuleChecker::new(Shared::of(&sheet).unwrap_or_else(|faults| panic!("{faults}")));
     checker.controller_up(0);
     checker
