--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -1,22 +1,22 @@
-//! A control machine: its part in the agreement, and the relay of its watchers.
+//! A control machine: its member of the consensus group, and the relay for its watchers.
 //!
 //! | module | job |
 //! |---|---|
-//! | `config`, `output`, `stored` | the types that a driver deals with |
-//! | `agreement` | carries out what the agreement asks for, and tells it what this machine holds |
-//! | `member_hand` | lets control machines be the authors of what they agree on |
+//! | `config`, `output`, `stored` | the types that the driver uses |
+//! | `agreement` | executes the outputs of consensus and reports this machine's progress to it |
+//! | `member_signer` | signer with which control machines are the authors of what they agree on |
 //! | `ledger` | the state of the highest certified revision, and deltas to it |
-//! | `batches` | batches that were proposed or certified |
-//! | `state_check` | whether controllers can act on the state that a batch leads to |
-//! | `sequencer` | puts waiting changes into batches |
-//! | `forwarding` | changes that were pushed here, until their outcome is known |
-//! | `outcomes` | what became of the changes of the last revisions |
-//! | `peers` | which control machines are heard |
-//! | `regional` | vouching for watchers of a region that is cut off |
-//! | `catch_up`, `serving` | getting a state from another control machine, and giving it |
-//! | `recovery` | begins from what was stored |
+//! | `batches` | proposed and certified batches |
+//! | `state_check` | whether controllers can act on the state that a batch results in |
+//! | `sequencer` | builds batches from waiting changes |
+//! | `forwarding` | changes that were pushed to this machine, until their outcome is known |
+//! | `outcomes` | outcomes of the changes of recent revisions |
+//! | `peers` | which control machines are reachable |
+//! | `regional` | regional grants for watchers of a partitioned region |
+//! | `catch_up`, `serving` | fetching a state from another control machine, and serving it |
+//! | `recovery` | restores the machine from stored items, and schedules checkpoints |
 //!
-//! What watchers are sent is in [`crate::relay`].
+//! [`crate::relay`] sends updates and leases to watchers.
 
 mod agreement;
 mod batches;
@@ -24,7 +24,7 @@
 mod config;
 mod forwarding;
 pub(crate) mod ledger;
-mod member_hand;
+mod member_signer;
 mod outcomes;
 mod output;
 mod peers;
@@ -54,19 +54,19 @@
 use crate::{quorum, Certified, Digest, MachineId, Number, Signer};
 use batches::Batches;
 use catch_up::CatchUp;
-use forwarding::{Forwarding, Tended, Told};
+use forwarding::{Forwarding, PollResult, PushReply};
 use ledger::Ledger;
-use member_hand::MemberHand;
+use member_signer::MemberSigner;
 use outcomes::Outcomes;
 use peers::Peers;
-use recovery::Checkpoints;
+use recovery::CheckpointSchedule;
 use sequencer::Sequencer;
 use serving::Serving;
 
-/// A control machine without I/O: the driver carries its outputs out in their order.
+/// A control machine without I/O: the driver executes its outputs in order.
 pub struct ControlMachine<H: Signer> {
     config: Config,
-    revisions: Revisions<MemberHand<H>>,
+    revisions: Revisions<MemberSigner<H>>,
     ledger: Ledger,
     batches: Batches,
     outcomes: Outcomes,
@@ -75,162 +75,177 @@
     peers: Peers,
     catch_up: CatchUp,
     serving: Serving,
-    checkpoints: Checkpoints,
+    checkpoints: CheckpointSchedule,
     relay: Relay,
-    chance: Rng,
-    /// The highest number that is known certified, and since when it is.
+    rng: Rng,
+    /// The highest number that is known to be certified, and since when it is known.
     certified: (Number, Duration),
-    /// When another machine's batch for the next number came.
-    rival_at: Option<Duration>,
+    /// When another machine's batch for the next number was received.
+    competing_batch_at: Option<Duration>,
     state_check: StateCheck,
     exclusive_check: ExclusiveCheck,
 }
 
 impl<H: Signer> ControlMachine<H> {
-    /// A machine that goes on with what it stored, or begins with `genesis`, the state of revision 0 that is the same at
-    /// all machines.
-    pub fn new(config: Config, hand: H, stored: Stored, genesis: State, seed: u64, now: Duration) -> Self {
-        recovery::begin(config, hand, stored, genesis, seed, now)
+    /// Restores a machine from its stored items. Without any it starts from `genesis`, the state of revision
+    /// 0, which is the same on all machines.
+    pub fn new(config: Config, signer: H, stored: Stored, genesis: State, seed: u64, now: Duration) -> Self {
+        recovery::restore(config, signer, stored, genesis, seed, now)
     }
 
-    /// Has each state that a batch leads to judged before it is proposed or voted for. Without this every state is taken.
+    /// Sets the check of the state that a batch results in, made before the batch is proposed or voted for.
+    /// The default accepts every state.
     pub fn set_state_check(&mut self, check: StateCheck) {
         self.state_check = check;
     }
 
-    /// Takes another ring, for instance one without an author whose key was revoked.
-    pub fn take_hand(&mut self, now: Duration, hand: H, out: &mut Vec<ControlOutput>) {
-        if hand.acceptors() != self.hand().acceptors() {
+    /// Replaces the signer when the ring has changed, for instance when an author's key was revoked.
+    pub fn take_hand(&mut self, now: Duration, signer: H, out: &mut Vec<ControlOutput>) {
+        if signer.acceptors() != self.signer().acceptors() {
             self.revisions.acceptors_changed(now);
         }
-        self.revisions.replace_signer(MemberHand(hand));
+        self.revisions.replace_signer(MemberSigner(signer));
         self.revisions.revoke_vote_permits();
-        self.judge_candidates(now, out);
-        self.settle(now, out);
+        self.evaluate_candidates(now, out);
+        self.make_progress(now, out);
     }
 
-    /// The connection to another control machine stands.
+    /// The connection to another control machine was established.
     pub fn peer_up(&mut self, now: Duration, peer: MachineId, out: &mut Vec<ControlOutput>) {
-        self.peers.heard(now, peer);
-        self.settle(now, out);
+        self.peers.on_message(now, peer);
+        self.make_progress(now, out);
     }
 
     /// The connection to another control machine broke.
     pub fn peer_down(&mut self, _now: Duration, peer: MachineId) {
-        self.peers.down(peer);
-        self.serving.down(peer);
+        self.peers.on_down(peer);
+        self.serving.on_peer_down(peer);
     }
 
-    /// A message of another control machine; the transport vouches for who sent it.
+    /// Receives a message from another control machine; the transport has authenticated the sender.
     pub fn peer_message(
         &mut self, now: Duration, from: MachineId, message: PeerMessage, out: &mut Vec<ControlOutput>,
     ) {
-        let known = self.hand().members().contains(&from);
-        if !known || from == self.config.me {
+        let is_member = self.signer().members().contains(&from);
+        if !is_member || from == self.config.me {
             return;
         }
-        self.peers.heard(now, from);
+        self.peers.on_message(now, from);
         match message {
-            PeerMessage::Agreement(bytes) => self.agreement_message(now, from, &bytes, out),
-            PeerMessage::Batch { summary, bytes } => self.take_batch(now, from, summary, bytes, out),
+            PeerMessage::Agreement(bytes) => self.on_agreement_message(now, from, &bytes, out),
+            PeerMessage::Batch { summary, bytes } => self.on_batch(now, from, summary, bytes, out),
             PeerMessage::GetBatch { digest } => self.serve_batch(now, from, &digest, out),
             PeerMessage::GetState { held, root } => self.serve_state(now, from, held, &root, out),
             PeerMessage::GetParts { groups, buckets } => self.serve_parts(now, from, &groups, &buckets, out),
-            PeerMessage::State(part) => self.take_state(now, from, *part, out),
+            PeerMessage::State(part) => self.on_state_part(now, from, *part, out),
             PeerMessage::RequestGrant { root } => {
-                if self.peers.may_ask(now, from) {
+                if self.peers.try_request(now, from) {
                     let grant = self.grant(root).map(PeerMessage::Grant);
                     out.extend(grant.map(|message| ControlOutput::ToPeer(from, message)));
                 }
             }
-            PeerMessage::Grant(grant) => self.take_grant(from, grant, out),
-            PeerMessage::Forward { change } => self.forwarded(now, from, change, out),
+            PeerMessage::Grant(grant) => self.on_grant(from, grant, out),
+            PeerMessage::Forward { change } => self.on_forwarded(now, from, change, out),
             PeerMessage::Outcome { change, outcome: Err(rejection) } => {
-                let told = self.forwarding.rejected(from, change, rejection);
-                tell(told, out);
+                let replies = self.forwarding.on_rejected(from, change, rejection);
+                send_replies(replies, out);
             }
-            // That a change was taken, a machine sees when it applies the batch.
+            // A machine learns that a change was accepted when it applies the batch.
             PeerMessage::Outcome { outcome: Ok(_), .. } => {}
             PeerMessage::RequestRegionalGrant { root } => self.serve_regional_grant(now, from, root, out),
-            PeerMessage::RegionalGrant(grant) => self.take_regional_grant(from, grant, out),
+            PeerMessage::RegionalGrant(grant) => self.on_regional_grant(from, grant, out),
         }
-        self.settle(now, out);
+        self.make_progress(now, out);
     }
 
-    /// Somebody connected: a watcher, or an operator's tool.
+    /// A watcher or an operator's tool connected.
     pub fn watcher_opened(&mut self, now: Duration, connection: ConnectionId, out: &mut Vec<ControlOutput>) {
-        self.relay.opened(now, connection, out);
+        self.relay.on_opened(now, connection, out);
     }
 
-    /// A message on such a connection.
+    /// Receives a message on a connection of a watcher or a tool.
     pub fn watcher_message(
         &mut self, now: Duration, connection: ConnectionId, message: ToRelay, out: &mut Vec<ControlOutput>,
     ) {
-        if !self.relay.heard(now, connection, out) {
+        if !self.relay.on_message(now, connection, out) {
             return;
         }
         let (relay, ledger) = (&mut self.relay, &self.ledger);
         match message {
             ToRelay::Hello { controller, active, held, root } => {
-                relay.hello(now, connection, Hello { controller, active, held, root }, ledger, out);
+                relay.on_hello(
+                    now,
+                    connection,
+                    Hello { controller, active, prepared: held, root },
+                    ledger,
+                    out,
+                );
             }
-            ToRelay::Prepared { number } => relay.prepared(now, connection, number, ledger, out),
-            ToRelay::Unfit { number, reason: _ } => relay.unfit(now, connection, number, ledger, out),
+            ToRelay::Prepared { number } => relay.on_prepared(now, connection, number, ledger, out),
+            ToRelay::Unfit { number, reason: _ } => relay.on_unfit(now, connection, number, ledger, out),
             ToRelay::RequestLease { nonce, active } => {
-                relay.ask_lease(now, connection, (nonce, active), ledger, out)
+                relay.on_lease_request(now, connection, (nonce, active), ledger, out)
             }
             ToRelay::RequestRegionalLease { nonce, active } => {
-                relay.ask_lease(now, connection, (nonce, active), ledger, out);
-                relay.takes_regional(connection);
+                relay.on_lease_request(now, connection, (nonce, active), ledger, out);
+                relay.accept_regional(connection);
             }
             ToRelay::GetPartitionStatus => {
-                let apart = Box::new(self.apart_status(now));
-                out.push(ControlOutput::to_watcher(connection, ToWatcher::PartitionStatus(apart)));
+                let status = Box::new(self.apart_status(now));
+                out.push(ControlOutput::to_watcher(connection, ToWatcher::PartitionStatus(status)));
             }
-            ToRelay::GetGroups { groups } => relay.get_parts(now, connection, (&groups, &[]), ledger, out),
-            ToRelay::GetBuckets { buckets } => relay.get_parts(now, connection, (&[], &buckets), ledger, out),
-            ToRelay::Push(change) => self.pushed(now, connection, change, out),
+            ToRelay::GetGroups { groups } => {
+                relay.on_parts_request(now, connection, (&groups, &[]), ledger, out)
+            }
+            ToRelay::GetBuckets { buckets } => {
+                relay.on_parts_request(now, connection, (&[], &buckets), ledger, out)
+            }
+            ToRelay::Push(change) => self.on_push(now, connection, change, out),
             ToRelay::GetStatus => {
                 let status = Box::new(self.status(now));
                 out.push(ControlOutput::to_watcher(connection, ToWatcher::Status(status)));
             }
         }
-        self.settle(now, out);
+        self.make_progress(now, out);
     }
 
-    /// Such a connection is gone.
+    /// A connection of a watcher or a tool closed.
     pub fn watcher_closed(&mut self, _now: Duration, connection: ConnectionId) {
-        self.relay.closed(connection);
-        self.forwarding.closed(connection);
+        self.relay.on_closed(connection);
+        self.forwarding.on_connection_closed(connection);
     }
 
-    /// Does what is due.
+    /// Runs the work that is due at `now`.
     pub fn tend(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         if now >= self.revisions.next_due() {
-            let mut given = Vec::new();
-            self.revisions.poll(now, &mut given);
-            self.carry_out(now, given, out);
+            let mut member_outputs = Vec::new();
+            self.revisions.poll(now, &mut member_outputs);
+            self.execute(now, member_outputs, out);
         }
-        let enough = quorum(self.hand().acceptors().len());
-        let asks = self.relay.tend(now, &self.ledger, enough, out);
-        self.ask_for_grants(asks, out);
-        self.ask_for_regional_grants(now, out);
+        let quorum_size = quorum(self.signer().acceptors().len());
+        let requests = self.relay.poll(now, &self.ledger, quorum_size, out);
+        self.request_grants(requests, out);
+        self.request_regional_grants(now, out);
         self.forward(now, out);
-        self.ask_for_state(now, out);
-        self.settle(now, out);
+        self.request_state(now, out);
+        self.make_progress(now, out);
     }
 
-    /// When [`ControlMachine::tend`] wants to be called. To be asked again after each call of another method.
+    /// When [`ControlMachine::tend`] must be called next. Changes with each call of another method.
     pub fn next_due(&self) -> Duration {
-        let due =
-            [self.relay.next_due(), self.forwarding.next_due(), self.catch_up.next_due(), self.batch_due()];
+        let due = [
+            self.relay.next_poll_at(),
+            self.forwarding.next_poll_at(),
+            self.catch_up.next_poll_at(),
+            self.batch_due(),
+        ];
         due.into_iter().flatten().fold(self.revisions.next_due(), Duration::min)
     }
 
-    /// What an operator is shown.
+    /// The status that is shown to operators.
     pub fn status(&self, now: Duration) -> ControlStatus {
         let agreement = self.revisions.status(now);
-        let watchers = self.relay.standing(agreement.certified);
+        let watchers = self.relay.preparation_status(agreement.certified);
         let active = if self.revisions.may_activate() {
             agreement.certified
         } else {
@@ -238,7 +253,7 @@
         };
         ControlStatus {
             machine: self.config.me,
-            acceptor: self.hand().acceptors().contains(&self.config.me),
+            acceptor: self.signer().acceptors().contains(&self.config.me),
             active,
             certified: agreement.certified,
             root: self.ledger.state().root(),
@@ -254,7 +269,7 @@
         }
     }
 
-    /// The state of the highest certified revision that is here.
+    /// The state of the highest certified revision that this machine has.
     pub fn state(&self) -> &State {
         self.ledger.state()
     }
@@ -264,136 +279,137 @@
         self.ledger.number()
     }
 
-    /// The latest state with what shows that it is certified; nothing for revision 0.
+    /// The latest state with the certificate of its revision; `None` for revision 0.
     pub fn checkpoint(&self) -> Option<Checkpoint> {
         let (certificate, summary) = self.ledger.latest().proof.clone()?;
         Some(Checkpoint { certificate, summary, state: self.ledger.state().clone() })
     }
 
-    /// What shows the highest revision that is known certified, which may be above the state that is here.
+    /// The certificate of the highest revision known to be certified, which may be higher than
+    /// [`ControlMachine::number`].
     pub fn certificate(&self) -> Option<&Certified> {
         self.revisions.latest_certified()
     }
 
-    /// Whether this is an acceptor that votes for the next number: one that lost its disk does so only after some more
-    /// were certified without it.
+    /// Whether this machine is an acceptor that votes for the next number. An acceptor that lost its disk
+    /// votes again only after some more revisions were certified without it.
     pub fn votes(&self) -> bool {
         let (next, _) = self.revisions.next();
-        let voting =
+        let is_voting =
             |acceptor: &Acceptor| !acceptor.is_recovering() && acceptor.state().no_vote_through < next;
-        self.revisions.acceptor().is_some_and(voting)
+        self.revisions.acceptor().is_some_and(is_voting)
     }
 
-    fn hand(&self) -> &H {
+    fn signer(&self) -> &H {
         &self.revisions.signer().0
     }
 
-    /// This acceptor's grant; nothing from one that does not know what its former self allowed.
+    /// This acceptor's grant; `None` while it does not know which revision it allowed before a restart.
     fn grant(&self, root: Digest) -> Option<Grant> {
         let allowed = self.revisions.grantable_number()?;
-        Some(Grant::sign(self.hand(), self.config.me, root, allowed))
+        Some(Grant::sign(self.signer(), self.config.me, root, allowed))
     }
 
-    fn take_grant(&mut self, from: MachineId, grant: Grant, out: &mut Vec<ControlOutput>) {
-        if grant.acceptor == from && self.relay.awaits(&grant) && grant.is_valid(self.hand()) {
-            let enough = quorum(self.hand().acceptors().len());
-            self.relay.granted(grant, enough, out);
+    fn on_grant(&mut self, from: MachineId, grant: Grant, out: &mut Vec<ControlOutput>) {
+        if grant.acceptor == from && self.relay.awaits(&grant) && grant.is_valid(self.signer()) {
+            let quorum_size = quorum(self.signer().acceptors().len());
+            self.relay.on_grant(grant, quorum_size, out);
         }
     }
 
-    fn ask_for_grants(&mut self, asks: Vec<(Digest, Vec<MachineId>)>, out: &mut Vec<ControlOutput>) {
-        for (root, granted) in asks {
-            let acceptors = self.hand().acceptors().iter().copied();
-            let asked: Vec<MachineId> = acceptors.filter(|acceptor| !granted.contains(acceptor)).collect();
-            for acceptor in asked {
+    fn request_grants(&mut self, requests: Vec<(Digest, Vec<MachineId>)>, out: &mut Vec<ControlOutput>) {
+        for (root, granted) in requests {
+            let acceptors = self.signer().acceptors().iter().copied();
+            let missing: Vec<MachineId> = acceptors.filter(|acceptor| !granted.contains(acceptor)).collect();
+            for acceptor in missing {
                 if acceptor != self.config.me {
                     out.push(ControlOutput::ToPeer(acceptor, PeerMessage::RequestGrant { root }));
                 } else if let Some(grant) = self.grant(root) {
-                    self.take_grant(acceptor, grant, out);
+                    self.on_grant(acceptor, grant, out);
                 }
             }
         }
     }
 
-    /// An operator's tool pushed a change here.
-    fn pushed(
+    /// An operator's tool pushed a change to this machine.
+    fn on_push(
         &mut self, now: Duration, connection: ConnectionId, change: Change, out: &mut Vec<ControlOutput>,
     ) {
         let id = change.id;
-        let told = |outcome| Told { connection, change: id, outcome };
-        match self.settled(&change) {
+        let reply = |outcome| PushReply { connection, change: id, outcome };
+        match self.settled_outcome(&change) {
             Some(Err(Rejection::Unknown)) | None => {}
-            Some(outcome) => return tell(vec![told(outcome)], out),
+            Some(outcome) => return send_replies(vec![reply(outcome)], out),
         }
-        let taken = match change.is_signed(self.hand()) {
+        let accepted = match change.is_signed(self.signer()) {
             true => self.forwarding.push(now, connection, change),
             false => Err(Rejection::Author(id.author)),
         };
-        match taken {
+        match accepted {
             Ok(()) => self.forward(now, out),
-            Err(rejection) => tell(vec![told(Err(rejection))], out),
+            Err(rejection) => send_replies(vec![reply(Err(rejection))], out),
         }
     }
 
-    /// What became of a change, if this machine's state settles it.
-    fn settled(&self, change: &Change) -> Option<Result<Number, Rejection>> {
-        self.outcomes.of(change, self.ledger.number(), self.ledger.state())
+    /// The outcome of a change, if this machine's state determines it.
+    fn settled_outcome(&self, change: &Change) -> Option<Result<Number, Rejection>> {
+        self.outcomes.outcome_of(change, self.ledger.number(), self.ledger.state())
     }
 
-    /// Forwards what was pushed here, to the acceptor that makes batches.
+    /// Forwards changes that were pushed to this machine to the acceptor that builds batches.
     fn forward(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let machines = self.peers.heard_of(now, self.config.me, self.revisions.signer().0.acceptors());
-        let acceptor = self.hand().acceptors().contains(&self.config.me);
+        let machines = self.peers.reachable(now, self.config.me, self.revisions.signer().0.acceptors());
+        let is_acceptor = self.signer().acceptors().contains(&self.config.me);
         let sequencers: Vec<MachineId> =
-            machines.into_iter().filter(|machine| acceptor || *machine != self.config.me).collect();
-        let heard_quorum = sequencers.len() >= quorum(self.hand().acceptors().len());
-        let Tended { forwards, told } =
-            self.forwarding.tend(now, &sequencers, self.certified.0, heard_quorum);
-        tell(told, out);
+            machines.into_iter().filter(|machine| is_acceptor || *machine != self.config.me).collect();
+        let quorum_reachable = sequencers.len() >= quorum(self.signer().acceptors().len());
+        let PollResult { forwards, replies } =
+            self.forwarding.poll(now, &sequencers, self.certified.0, quorum_reachable);
+        send_replies(replies, out);
         for (machine, change) in forwards {
             if machine == self.config.me {
-                self.forwarded(now, machine, change, out);
+                self.on_forwarded(now, machine, change, out);
             } else {
                 out.push(ControlOutput::ToPeer(machine, PeerMessage::Forward { change }));
             }
         }
     }
 
-    /// A change came from the machine that it was pushed to.
-    fn forwarded(&mut self, now: Duration, from: MachineId, change: Change, out: &mut Vec<ControlOutput>) {
+    /// Receives a change from the machine that it was pushed to.
+    fn on_forwarded(&mut self, now: Duration, from: MachineId, change: Change, out: &mut Vec<ControlOutput>) {
         let id = change.id;
-        let rejection = match self.settled(&change) {
+        let rejection = match self.settled_outcome(&change) {
             Some(Ok(_)) => None,
             Some(Err(rejection)) => Some(rejection),
-            None => self.sequencer.take(now, from, change),
+            None => self.sequencer.enqueue(now, from, change),
         };
         if let Some(rejection) = rejection {
-            self.answer(sequencer::Answer { to: from, change: id, rejection }, out);
+            self.send_rejection(sequencer::RejectionReply { to: from, change: id, rejection }, out);
         }
     }
 
-    fn answer(&mut self, answer: sequencer::Answer, out: &mut Vec<ControlOutput>) {
-        let sequencer::Answer { to, change, rejection } = answer;
+    fn send_rejection(&mut self, reply: sequencer::RejectionReply, out: &mut Vec<ControlOutput>) {
+        let sequencer::RejectionReply { to, change, rejection } = reply;
         if to == self.config.me {
-            tell(self.forwarding.rejected(to, change, rejection), out);
+            send_replies(self.forwarding.on_rejected(to, change, rejection), out);
         } else {
             out.push(ControlOutput::ToPeer(to, PeerMessage::Outcome { change, outcome: Err(rejection) }));
         }
     }
 
-    /// Tells of changes pushed here that the present state settles.
-    fn tell_settled(&mut self, out: &mut Vec<ControlOutput>) {
+    /// Reports the outcomes of pushed changes that the current state determines.
+    fn report_settled(&mut self, out: &mut Vec<ControlOutput>) {
         let (ledger, outcomes) = (&self.ledger, &self.outcomes);
-        let settled = |change: &Change| {
-            let outcome = outcomes.of(change, ledger.number(), ledger.state());
+        let settled_outcome = |change: &Change| {
+            let outcome = outcomes.outcome_of(change, ledger.number(), ledger.state());
             outcome.filter(|outcome| *outcome != Err(Rejection::Unknown))
         };
-        tell(self.forwarding.settle_all(settled), out);
+        send_replies(self.forwarding.settle_all(settled_outcome), out);
     }
 }
 
-fn tell(told: Vec<Told>, out: &mut Vec<ControlOutput>) {
-    for Told { connection, change, outcome } in told {
+fn send_replies(replies: Vec<PushReply>, out: &mut Vec<ControlOutput>) {
+    for PushReply { connection, change, outcome } in replies {
         out.push(ControlOutput::to_watcher(connection, ToWatcher::PushOutcome { change, outcome }));
     }
 }
--- a/crates/distribution/src/control/agreement.rs
+++ b/crates/distribution/src/control/agreement.rs
@@ -1,4 +1,4 @@
-//! Carries out what the agreement asks for, and tells it what this machine holds.
+//! Executes the outputs of consensus, and reports to it what this machine has stored and prepared.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,37 +8,38 @@
 use badgerledge_revisions::{Head, MemberOutput};
 
 use crate::change::Summary;
-use crate::control::batches::Fitness;
+use crate::control::batches::BatchVerdict;
 use crate::control::ledger::Revision;
-use crate::control::sequencer::{BuildContext, Proposal, Standing};
+use crate::control::sequencer::{AgreementStatus, BuildContext, Proposal};
 use crate::control::{ControlMachine, ControlOutput, StoredItem};
 use crate::message::{PeerMessage, ToWatcher};
 use crate::{Certified, Digest, MachineId, Signed, Signer};
 
-/// Things that follow from each other at once: a vote, a certificate, a word to act, the next batch. More than that wait for
-/// the next call.
-const ROUNDS: usize = 8;
+/// The maximum number of steps made in one call where each enables the next: a vote, a certificate, an
+/// activation, the next batch. Further steps are left to the next call.
+const MAX_STEPS: usize = 8;
 
 impl<H: Signer> ControlMachine<H> {
-    pub(super) fn agreement_message(
+    pub(super) fn on_agreement_message(
         &mut self, now: Duration, from: MachineId, bytes: &[u8], out: &mut Vec<ControlOutput>,
     ) {
-        // That a machine is off for good is an author's word, and authors of the agreement are the machines themselves here.
-        let Some(word) =
-            Message::read(bytes).filter(|word| !matches!(word, Message::Removal(_) | Message::ListReport(_)))
+        // Removals and list reports must be signed by an author. The authors of this consensus group are the
+        // machines themselves, so these messages are not accepted.
+        let Some(message) = Message::read(bytes)
+            .filter(|message| !matches!(message, Message::Removal(_) | Message::ListReport(_)))
         else {
             return;
         };
-        let mut given = Vec::new();
-        self.revisions.receive(now, from, word, &mut given);
-        self.carry_out(now, given, out);
+        let mut member_outputs = Vec::new();
+        self.revisions.receive(now, from, message, &mut member_outputs);
+        self.execute(now, member_outputs, out);
     }
 
-    pub(super) fn carry_out(
-        &mut self, now: Duration, given: Vec<MemberOutput>, out: &mut Vec<ControlOutput>,
+    pub(super) fn execute(
+        &mut self, now: Duration, member_outputs: Vec<MemberOutput>, out: &mut Vec<ControlOutput>,
     ) {
-        let mut given = VecDeque::from(given);
-        while let Some(next) = given.pop_front() {
+        let mut member_outputs = VecDeque::from(member_outputs);
+        while let Some(next) = member_outputs.pop_front() {
             match next {
                 MemberOutput::Send(to, bytes) => {
                     out.push(ControlOutput::ToPeer(to, PeerMessage::Agreement(bytes)))
@@ -46,27 +47,31 @@
                 MemberOutput::Store(bytes) => out.push(ControlOutput::Store(StoredItem::Agreement(bytes))),
                 MemberOutput::Fetch(signed, from) => {
                     let text = signed.head.text;
-                    let Some(summary) = self.batches.get(&text).map(|held| held.summary) else {
+                    let Some(summary) = self.batches.get(&text).map(|record| record.summary) else {
                         out.push(ControlOutput::ToPeer(from, PeerMessage::GetBatch { digest: text }));
                         continue;
                     };
-                    let mut more = Vec::new();
-                    self.revisions.take_own_text(now, Arc::from(summary.text().to_vec()), &mut more);
-                    given.extend(more);
+                    let mut further_outputs = Vec::new();
+                    self.revisions.take_own_text(
+                        now,
+                        Arc::from(summary.text().to_vec()),
+                        &mut further_outputs,
+                    );
+                    member_outputs.extend(further_outputs);
                 }
-                // The batch is stored, and with it its summary, which is the text.
+                // The text is the summary of a batch, and is stored with the batch.
                 MemberOutput::StoreText(..) | MemberOutput::Changed | MemberOutput::Unusable(..) => {}
             }
         }
     }
 
-    /// Goes on as far as what is known allows.
-    pub(super) fn settle(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        for _ in 0..ROUNDS {
+    /// Makes all steps that have become possible, up to [`MAX_STEPS`].
+    pub(super) fn make_progress(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+        for _ in 0..MAX_STEPS {
             let before = (self.certified.0, self.ledger.number(), self.revisions.may_activate());
-            self.note_certified(now);
+            self.update_certified(now);
             self.advance(now, out);
-            self.allow(now, out);
+            self.send_activation(now, out);
             self.report_ready(now, out);
             self.propose_next(now, out);
             if before == (self.certified.0, self.ledger.number(), self.revisions.may_activate()) {
@@ -76,221 +81,231 @@
         out.extend(self.checkpoints.due(now, &self.ledger).map(ControlOutput::Store));
     }
 
-    fn note_certified(&mut self, now: Duration) {
+    fn update_certified(&mut self, now: Duration) {
         let number = self.revisions.latest_certified().map_or(0, Certified::number);
         if number > self.certified.0 {
             self.certified = (number, now);
-            self.rival_at = None;
+            self.competing_batch_at = None;
         }
         self.catch_up.set_behind(now, self.ledger.number() < self.certified.0);
     }
 
-    /// Applies what is certified, if the batches that lead there are here.
+    /// Applies the batches up to the latest certified revision, if all of them are here.
     fn advance(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let top = self.revisions.latest_certified().filter(|top| top.number() > self.ledger.number());
-        let Some(top) = top.cloned() else { return };
-        let last = top.signed.head.text;
-        let Some(steps) = self.batches.chain(self.ledger.latest(), &last, self.hand()) else { return };
+        let latest =
+            self.revisions.latest_certified().filter(|latest| latest.number() > self.ledger.number());
+        let Some(latest) = latest.cloned() else { return };
+        let last = latest.signed.head.text;
+        let Some(steps) = self.batches.chain(self.ledger.latest(), &last, self.signer()) else { return };
         for step in steps {
             out.extend(self.batches.take_to_store(&step.text).map(ControlOutput::Store));
-            let Some(held) = self.batches.get(&step.text) else { return };
-            let number = held.batch.number;
-            let proof = (step.text == last).then(|| (top.clone(), held.summary));
+            let Some(record) = self.batches.get(&step.text) else { return };
+            let number = record.batch.number;
+            let proof = (step.text == last).then(|| (latest.clone(), record.summary));
             let exclusive = (self.exclusive_check)(self.ledger.state(), &step.edits);
             self.revisions.classify(number, exclusive);
-            self.checkpoints.batch(held.bytes.len());
-            self.outcomes.applied(number, &held.batch.changes);
+            self.checkpoints.on_batch(record.bytes.len());
+            self.outcomes.on_applied(number, &record.batch.changes);
             self.ledger.advance(Revision { number, proof, state: step.state }, &step.edits);
-            for answer in self.sequencer.certified(now, number, Some(&step.text)) {
-                self.answer(answer, out);
+            for reply in self.sequencer.on_certified(now, number, Some(&step.text)) {
+                self.send_rejection(reply, out);
             }
         }
-        self.advanced(now, out);
+        self.on_advanced(now, out);
     }
 
-    /// A later state is here.
-    fn advanced(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+    /// The ledger has advanced to a later state.
+    fn on_advanced(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         let summary = self.ledger.latest().proof.as_ref().map(|(_, summary)| *summary);
         if let Some(summary) = summary {
-            self.take_text(now, &summary, out);
+            self.provide_text(now, &summary, out);
         }
-        self.tell_settled(out);
-        self.relay.advanced(now, &self.ledger, out);
+        self.report_settled(out);
+        self.relay.on_advanced(now, &self.ledger, out);
         self.catch_up.set_behind(now, self.ledger.number() < self.certified.0);
-        self.judge_candidates(now, out);
+        self.evaluate_candidates(now, out);
     }
 
-    fn take_text(&mut self, now: Duration, summary: &Summary, out: &mut Vec<ControlOutput>) {
-        let mut given = Vec::new();
-        self.revisions.take_own_text(now, Arc::from(summary.text().to_vec()), &mut given);
-        self.carry_out(now, given, out);
+    fn provide_text(&mut self, now: Duration, summary: &Summary, out: &mut Vec<ControlOutput>) {
+        let mut member_outputs = Vec::new();
+        self.revisions.take_own_text(now, Arc::from(summary.text().to_vec()), &mut member_outputs);
+        self.execute(now, member_outputs, out);
     }
 
-    /// A batch came, proposed or asked for.
-    pub(super) fn take_batch(
+    /// Receives a batch that was proposed, or that this machine requested.
+    pub(super) fn on_batch(
         &mut self, now: Duration, from: MachineId, summary: Summary, bytes: Vec<u8>,
         out: &mut Vec<ControlOutput>,
     ) {
-        if let Some(text) = self.keep_batch(summary, bytes) {
-            let next = self.batches.get(&text).is_some_and(|held| held.batch.number == self.certified.0 + 1);
-            if next && from != self.config.me {
-                self.rival_at.get_or_insert(now);
+        if let Some(text) = self.insert_batch(summary, bytes) {
+            let is_next =
+                self.batches.get(&text).is_some_and(|record| record.batch.number == self.certified.0 + 1);
+            if is_next && from != self.config.me {
+                self.competing_batch_at.get_or_insert(now);
             }
-            self.judge(now, &text, out);
+            self.evaluate(now, &text, out);
         }
     }
 
-    fn keep_batch(&mut self, summary: Summary, bytes: Vec<u8>) -> Option<Digest> {
-        let certified = self.revisions.latest_certified().map(|top| top.signed.head.text);
+    fn insert_batch(&mut self, summary: Summary, bytes: Vec<u8>) -> Option<Digest> {
+        let certified = self.revisions.latest_certified().map(|latest| latest.signed.head.text);
         let revisions = &self.revisions;
-        let needed = |text: &Digest| certified == Some(*text) || revisions.text_by_digest(text).is_some();
-        self.batches.take(summary, bytes, self.ledger.number(), needed)
+        let is_needed = |text: &Digest| certified == Some(*text) || revisions.text_by_digest(text).is_some();
+        self.batches.insert_new(summary, bytes, self.ledger.number(), is_needed)
     }
 
-    /// Looks again at the batches for the next number.
-    pub(super) fn judge_candidates(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let next: Vec<Digest> =
+    /// Evaluates the batches for the next number again.
+    pub(super) fn evaluate_candidates(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+        let candidates: Vec<Digest> =
             self.batches.of_number(self.ledger.number() + 1).map(|(text, _)| *text).collect();
-        for text in next {
-            self.judge(now, &text, out);
+        for text in candidates {
+            self.evaluate(now, &text, out);
         }
     }
 
-    /// Lets the agreement vote for a batch, if this machine is an acceptor, its state is that of the last certified revision,
-    /// and the batch is in order. What it may vote for is on its disk before.
-    fn judge(&mut self, now: Duration, text: &Digest, out: &mut Vec<ControlOutput>) {
+    /// Permits a vote for a batch if this machine is an acceptor, its state is that of the latest certified
+    /// revision, and the batch is valid. The batch is stored before the vote is permitted.
+    fn evaluate(&mut self, now: Duration, text: &Digest, out: &mut Vec<ControlOutput>) {
         let certified = self.revisions.next().0 - 1;
-        let acceptor = self.hand().acceptors().contains(&self.config.me);
-        if !acceptor || self.ledger.number() != certified || self.revisions.is_vote_permitted(text) {
+        let is_acceptor = self.signer().acceptors().contains(&self.config.me);
+        if !is_acceptor || self.ledger.number() != certified || self.revisions.is_vote_permitted(text) {
             return;
         }
-        let Some(held) = self.batches.get(text) else { return };
-        let (summary, fitness) =
-            (held.summary, held.fitness(&self.ledger, &self.revisions.signer().0, &mut self.state_check));
-        if fitness == Fitness::Unfit {
+        let Some(record) = self.batches.get(text) else { return };
+        let (summary, verdict) =
+            (record.summary, record.verdict(&self.ledger, &self.revisions.signer().0, &mut self.state_check));
+        if verdict == BatchVerdict::Invalid {
             return;
         }
         out.extend(self.batches.take_to_store(text).map(ControlOutput::Store));
-        self.revisions.permit_vote(*text, fitness == Fitness::Applicable);
-        self.take_text(now, &summary, out);
+        self.revisions.permit_vote(*text, verdict == BatchVerdict::Applicable);
+        self.provide_text(now, &summary, out);
     }
 
-    /// A part of a state that was asked for came.
-    pub(super) fn take_state(
+    /// Receives a part of a state that this machine requested.
+    pub(super) fn on_state_part(
         &mut self, now: Duration, from: MachineId, part: ToWatcher, out: &mut Vec<ControlOutput>,
     ) {
-        let hand = &self.revisions.signer().0;
-        let (caught, requests) = self.catch_up.take(now, from, part, &self.ledger, hand);
+        let signer = &self.revisions.signer().0;
+        let (caught_up, requests) = self.catch_up.on_part(now, from, part, &self.ledger, signer);
         out.extend(requests.into_iter().map(|request| ControlOutput::ToPeer(from, request)));
-        let Some(caught) = caught.filter(|caught| caught.revision.number > self.ledger.number()) else {
+        let Some(caught_up) = caught_up.filter(|caught_up| caught_up.revision.number > self.ledger.number())
+        else {
             return;
         };
-        let number = caught.revision.number;
-        let certificate = caught.revision.proof.as_ref().map(|(certificate, _)| certificate.clone());
-        match caught.edits {
-            Some(edits) => self.ledger.advance(caught.revision, &edits),
-            None => self.ledger.jump(caught.revision),
+        let number = caught_up.revision.number;
+        let certificate = caught_up.revision.proof.as_ref().map(|(certificate, _)| certificate.clone());
+        match caught_up.edits {
+            Some(edits) => self.ledger.advance(caught_up.revision, &edits),
+            None => self.ledger.jump(caught_up.revision),
         }
-        // What changed on the way is not known.
+        // The changes in between are unknown, so the revision counts as exclusive.
         self.revisions.classify(number, true);
-        self.outcomes.skipped(number);
-        self.checkpoints.skipped();
-        self.catch_up.caught(now);
+        self.outcomes.on_skipped(number);
+        self.checkpoints.on_skipped();
+        self.catch_up.on_caught_up(now);
         if let Some(certificate) = certificate {
-            let mut given = Vec::new();
-            self.revisions.take_certified(now, certificate, &mut given);
-            self.carry_out(now, given, out);
+            let mut member_outputs = Vec::new();
+            self.revisions.take_certified(now, certificate, &mut member_outputs);
+            self.execute(now, member_outputs, out);
         }
-        for answer in self.sequencer.certified(now, number, None) {
-            self.answer(answer, out);
+        for reply in self.sequencer.on_certified(now, number, None) {
+            self.send_rejection(reply, out);
         }
-        self.note_certified(now);
-        self.advanced(now, out);
+        self.update_certified(now);
+        self.on_advanced(now, out);
     }
 
-    /// Asks another machine for its state, if this one's is behind and nothing came for some time.
-    pub(super) fn ask_for_state(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let Some(before) = self.catch_up.wants_to_ask(now) else { return };
-        let me = self.config.me;
-        let members = self.hand().members();
-        let heard = members.iter().copied().filter(|peer| *peer != me && self.peers.is_heard(now, *peer));
-        let mut others: Vec<MachineId> = heard.collect();
-        if others.len() > 1 {
-            others.retain(|peer| Some(*peer) != before);
+    /// Requests the state of another machine if this one's is behind and the last request timed out.
+    pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+        let Some(before) = self.catch_up.request_due(now) else { return };
+        let local_id = self.config.me;
+        let members = self.signer().members();
+        let reachable =
+            members.iter().copied().filter(|peer| *peer != local_id && self.peers.is_reachable(now, *peer));
+        let mut candidates: Vec<MachineId> = reachable.collect();
+        if candidates.len() > 1 {
+            candidates.retain(|peer| Some(*peer) != before);
         }
-        let at = (self.chance.unit_interval() * others.len() as f64) as usize;
-        let machine = others.get(at).copied().unwrap_or(me);
-        let request = self.catch_up.ask(now, machine, &self.ledger);
-        if machine != me {
+        let index = (self.rng.unit_interval() * candidates.len() as f64) as usize;
+        let machine = candidates.get(index).copied().unwrap_or(local_id);
+        let request = self.catch_up.request(now, machine, &self.ledger);
+        if machine != local_id {
             out.push(ControlOutput::ToPeer(machine, request));
         }
     }
 
-    /// Hands down that the highest certified revision may be acted on.
-    fn allow(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let Some(top) = self.revisions.latest_certified().filter(|_| self.revisions.may_activate()) else {
+    /// Has the relay send the activation of the highest certified revision, once it is allowed.
+    fn send_activation(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+        let Some(latest) = self.revisions.latest_certified().filter(|_| self.revisions.may_activate()) else {
             return;
         };
-        self.ledger.take_goes(top);
-        self.relay.allowed(now, top.number(), &top.activation_grants, &self.ledger, out);
+        self.ledger.add_activation_grants(latest);
+        self.relay.on_activation_allowed(now, latest.number(), &latest.activation_grants, &self.ledger, out);
     }
 
-    /// Says to the agreement that this machine's watchers are ready, or have had the time.
+    /// Reports to consensus that this machine's watchers are ready, or that the time for it is over.
     fn report_ready(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let Some(number) = self.relay.ready(now) else { return };
-        let mut given = Vec::new();
-        self.revisions.subtree_ready(now, number, &mut given);
-        self.carry_out(now, given, out);
+        let Some(number) = self.relay.ready_number(now) else { return };
+        let mut member_outputs = Vec::new();
+        self.revisions.subtree_ready(now, number, &mut member_outputs);
+        self.execute(now, member_outputs, out);
     }
 
-    fn standing(&self) -> Standing {
+    fn agreement_status(&self) -> AgreementStatus {
         let (certified, certified_at) = self.certified;
-        let allowed = certified == 0 || self.revisions.may_activate();
-        Standing { certified, certified_at, allowed, rival_at: self.rival_at }
+        let activation_allowed = certified == 0 || self.revisions.may_activate();
+        AgreementStatus {
+            certified,
+            certified_at,
+            activation_allowed,
+            competing_batch_at: self.competing_batch_at,
+        }
     }
 
-    /// When the next batch may be built.
+    /// When the next batch may be built; `None` while this machine's state is behind.
     pub(super) fn batch_due(&self) -> Option<Duration> {
-        let able = self.ledger.number() == self.certified.0;
-        self.sequencer.due(&self.standing()).filter(|_| able)
+        let is_current = self.ledger.number() == self.certified.0;
+        self.sequencer.due(&self.agreement_status()).filter(|_| is_current)
     }
 
     fn propose_next(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         if self.batch_due().is_none_or(|due| now < due) {
             return;
         }
-        let standing = self.standing();
-        let hand = &self.revisions.signer().0;
+        let agreement_status = self.agreement_status();
+        let signer = &self.revisions.signer().0;
         let (ledger, outcomes, check) = (&self.ledger, &self.outcomes, &mut self.state_check);
-        let context = BuildContext { ledger, outcomes, hand, check };
-        let (proposal, answers) = self.sequencer.build(now, &standing, context, &mut self.chance);
-        for answer in answers {
-            self.answer(answer, out);
+        let context = BuildContext { ledger, outcomes, signer, check };
+        let (proposal, replies) = self.sequencer.build(now, &agreement_status, context, &mut self.rng);
+        for reply in replies {
+            self.send_rejection(reply, out);
         }
         if let Some(proposal) = proposal {
             self.propose(now, proposal, out);
         }
     }
 
-    /// Sends a batch to all machines and proposes its summary.
+    /// Sends a batch to all machines and proposes its summary as the next revision.
     fn propose(&mut self, now: Duration, proposal: Proposal, out: &mut Vec<ControlOutput>) {
         let (summary, bytes) = (proposal.built.summary, proposal.built.bytes);
-        let me = self.config.me;
-        for peer in self.hand().members().iter().copied().filter(|peer| *peer != me) {
+        let local_id = self.config.me;
+        for peer in self.signer().members().iter().copied().filter(|peer| *peer != local_id) {
             let bytes = bytes.clone();
             out.push(ControlOutput::ToPeer(peer, PeerMessage::Batch { summary, bytes }));
         }
         let (number, before) = self.revisions.next();
-        let kept = self.keep_batch(summary, bytes).filter(|_| number == proposal.number);
-        let Some(text) = kept else { return self.sequencer.not_proposed(now) };
+        let inserted = self.insert_batch(summary, bytes).filter(|_| number == proposal.number);
+        let Some(text) = inserted else { return self.sequencer.on_proposal_failed(now) };
         out.extend(self.batches.take_to_store(&text).map(ControlOutput::Store));
-        self.judge(now, &text, out);
-        let head = Head::new(number, before, me, &summary.text());
-        let signed = Signed { head, signature: self.hand().sign(&head.signed_bytes()) };
-        let mut given = Vec::new();
-        if self.revisions.push(now, signed, Arc::from(summary.text().to_vec()), &mut given).is_err() {
-            self.sequencer.not_proposed(now);
+        self.evaluate(now, &text, out);
+        let head = Head::new(number, before, local_id, &summary.text());
+        let signed = Signed { head, signature: self.signer().sign(&head.signed_bytes()) };
+        let mut member_outputs = Vec::new();
+        if self.revisions.push(now, signed, Arc::from(summary.text().to_vec()), &mut member_outputs).is_err()
+        {
+            self.sequencer.on_proposal_failed(now);
         }
-        self.carry_out(now, given, out);
+        self.execute(now, member_outputs, out);
     }
 }
--- a/crates/distribution/src/control/batches.rs
+++ b/crates/distribution/src/control/batches.rs
@@ -1,4 +1,4 @@
-//! Batches that were proposed or certified, by the digest of their summary's text.
+//! Proposed and certified batches, by the digest of their summary's text.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,31 @@
 use crate::state::{Edit, State};
 use crate::{digest, Digest, Number, Signer};
 
-/// Batches that are kept at most, each of [`MAX_BATCH_BYTES`] at most.
-const KEPT: usize = 48;
-/// Certified revisions behind the latest whose batches are kept for others.
-const KEPT_BEHIND: Number = 16;
+/// The maximum number of batches in memory, each of at most [`MAX_BATCH_BYTES`].
+const MAX_BATCHES: usize = 48;
+/// The batches of this many certified revisions before the latest are retained for other machines.
+const RETAINED_REVISIONS: Number = 16;
 
-/// What a control machine may do with a batch on its present state.
+/// What a control machine may do with a batch on its current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fitness {
-    /// All its changes are admitted, and it leads to the root that its summary names, to a state that controllers can act on.
+pub(crate) enum BatchVerdict {
+    /// All its changes are admitted, it results in the root of its summary, and controllers can act on the
+    /// state.
     Admitted,
-    /// It leads there, and a change in it is not admitted here, since its author's key was revoked, say; or controllers
-    /// could not act on the state.
+    /// It results in that root, but a change in it is not admitted here, for example because its author's key
+    /// was revoked, or controllers could not act on the state.
     Applicable,
-    /// It leads elsewhere, or nowhere.
-    Unfit,
+    /// It results in another root, or cannot be applied.
+    Invalid,
 }
 
 /// A batch with its summary.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct BatchRecord {
     pub summary: Summary,
     pub bytes: Vec<u8>,
     pub batch: Batch,
-    /// It was given out to be stored.
+    /// Whether it was returned by [`Batches::take_to_store`].
     stored: bool,
 }
 
@@ -43,98 +44,101 @@
     pub edits: Vec<Edit>,
 }
 
-/// The batches that are kept.
+/// The batches that are in memory.
 #[derive(Default)]
 pub(crate) struct Batches {
-    held: BTreeMap<Digest, Held>,
+    records: BTreeMap<Digest, BatchRecord>,
 }
 
-/// What names a batch in a head.
+/// The digest by which a head refers to a batch.
 pub(crate) fn text_digest(summary: &Summary) -> Digest {
     digest(&summary.text())
 }
 
 impl Batches {
-    pub fn get(&self, text: &Digest) -> Option<&Held> {
-        self.held.get(text)
+    pub fn get(&self, text: &Digest) -> Option<&BatchRecord> {
+        self.records.get(text)
     }
 
-    /// Keeps a batch, if it is the one that its summary names and is of use after revision `latest`. `needed` says of others
-    /// whether they can't give way. Tells what names it.
-    pub fn take(
+    /// Inserts a batch if it matches its summary and its number is above `latest`. If there is no room, an
+    /// outdated batch is evicted, or one that is not `needed`. Returns the digest of the batch.
+    pub fn insert_new(
         &mut self, summary: Summary, bytes: Vec<u8>, latest: Number, needed: impl Fn(&Digest) -> bool,
     ) -> Option<Digest> {
-        let known = self.held.contains_key(&text_digest(&summary));
+        let known = self.records.contains_key(&text_digest(&summary));
         let room = known || self.make_room(latest, needed);
         room.then(|| self.insert(summary, bytes, latest)).flatten()
     }
 
     fn insert(&mut self, summary: Summary, bytes: Vec<u8>, latest: Number) -> Option<Digest> {
         let text = text_digest(&summary);
-        if self.held.contains_key(&text) {
+        if self.records.contains_key(&text) {
             return Some(text);
         }
-        let whole = bytes.len() <= MAX_BATCH_BYTES && Summary::of(summary.root, &bytes) == summary;
-        let batch = Batch::decode(&bytes).ok().filter(|batch| whole && batch.number > latest)?;
-        self.held.insert(text, Held { summary, bytes, batch, stored: false });
+        let matches_summary = bytes.len() <= MAX_BATCH_BYTES && Summary::of(summary.root, &bytes) == summary;
+        let batch = Batch::decode(&bytes).ok().filter(|batch| matches_summary && batch.number > latest)?;
+        self.records.insert(text, BatchRecord { summary, bytes, batch, stored: false });
         Some(text)
     }
 
-    /// The same for one that was stored: all of them, also those of numbers up to the present state.
-    pub fn recall(&mut self, summary: Summary, bytes: Vec<u8>, checkpoint: Number) -> Option<Digest> {
+    /// Inserts a batch found in storage, without a limit on the number of batches, if its number is above
+    /// that of the checkpoint.
+    pub fn insert_stored(&mut self, summary: Summary, bytes: Vec<u8>, checkpoint: Number) -> Option<Digest> {
         self.insert(summary, bytes, checkpoint)
     }
 
-    /// Forgets those that are of no use to others any more.
-    pub fn shrink(&mut self, latest: Number) {
-        self.held.retain(|_, held| held.batch.number + KEPT_BEHIND > latest);
+    /// Drops the batches that are too old to be of use to other machines.
+    pub fn drop_old(&mut self, latest: Number) {
+        self.records.retain(|_, record| record.batch.number + RETAINED_REVISIONS > latest);
     }
 
     fn make_room(&mut self, latest: Number, needed: impl Fn(&Digest) -> bool) -> bool {
-        self.shrink(latest);
-        if self.held.len() < KEPT {
+        self.drop_old(latest);
+        if self.records.len() < MAX_BATCHES {
             return true;
         }
-        let past = self.held.iter().find(|(_, held)| held.batch.number <= latest);
-        let spare = past.or_else(|| self.held.iter().find(|(text, _)| !needed(text)));
-        let Some(text) = spare.map(|(text, _)| *text) else { return false };
-        self.held.remove(&text).is_some()
+        let outdated = self.records.iter().find(|(_, record)| record.batch.number <= latest);
+        let evicted = outdated.or_else(|| self.records.iter().find(|(text, _)| !needed(text)));
+        let Some(text) = evicted.map(|(text, _)| *text) else { return false };
+        self.records.remove(&text).is_some()
     }
 
-    /// What is to be stored of a batch, the first time that it is asked for.
+    /// The item to store for a batch; `None` if it was returned before.
     pub fn take_to_store(&mut self, text: &Digest) -> Option<StoredItem> {
-        let held = self.held.get_mut(text).filter(|held| !held.stored)?;
-        held.stored = true;
+        let record = self.records.get_mut(text).filter(|record| !record.stored)?;
+        record.stored = true;
         Some(StoredItem::Batch {
-            number: held.batch.number,
-            summary: held.summary,
-            bytes: held.bytes.clone(),
+            number: record.batch.number,
+            summary: record.summary,
+            bytes: record.bytes.clone(),
         })
     }
 
-    /// The batches of a number, by what names them.
-    pub fn of_number(&self, number: Number) -> impl Iterator<Item = (&Digest, &Held)> {
-        self.held.iter().filter(move |(_, held)| held.batch.number == number)
+    /// The batches of a number, with their digests.
+    pub fn of_number(&self, number: Number) -> impl Iterator<Item = (&Digest, &BatchRecord)> {
+        self.records.iter().filter(move |(_, record)| record.batch.number == number)
     }
 
-    /// The batches that lead from a revision to the one with this text, if all are here: the last one's text is
-    /// certified, it names the root that it applies to, and so each the one before.
-    pub fn chain(&self, from: &Revision, text: &Digest, hand: &impl Signer) -> Option<Vec<Step>> {
-        let mut back = vec![*text];
-        let mut first = self.held.get(text)?;
+    /// Applies the batches from a revision to the one with this text, if all are here. The text of the last
+    /// batch is certified, and each batch names the root that it applies to, which identifies the batch
+    /// before it.
+    pub fn chain(&self, from: &Revision, text: &Digest, signer: &impl Signer) -> Option<Vec<Step>> {
+        let mut texts = vec![*text];
+        let mut first = self.records.get(text)?;
         while first.batch.number > from.number + 1 {
-            let leads_to = first.batch.previous_root;
-            let before =
-                self.of_number(first.batch.number - 1).find(|(_, held)| held.summary.root == leads_to);
-            back.push(*before?.0);
+            let previous_root = first.batch.previous_root;
+            let before = self
+                .of_number(first.batch.number - 1)
+                .find(|(_, record)| record.summary.root == previous_root);
+            texts.push(*before?.0);
             first = before?.1;
         }
         let mut steps: Vec<Step> = Vec::new();
-        for text in back.into_iter().rev() {
-            let held = self.held.get(&text)?;
+        for text in texts.into_iter().rev() {
+            let record = self.records.get(&text)?;
             let state = steps.last().map_or(&from.state, |step| &step.state);
-            let (state, edits) = held.batch.apply_certified(state, hand).ok()?;
-            if state.root() != held.summary.root {
+            let (state, edits) = record.batch.apply_certified(state, signer).ok()?;
+            if state.root() != record.summary.root {
                 return None;
             }
             steps.push(Step { text, state, edits });
@@ -143,22 +147,22 @@
     }
 }
 
-impl Held {
-    /// Whether an acceptor with this state may vote for it.
-    pub fn fitness(&self, ledger: &Ledger, hand: &impl Signer, check: &mut StateCheck) -> Fitness {
-        let leads_there = |state: &State| state.root() == self.summary.root;
+impl BatchRecord {
+    /// Whether an acceptor with this state may vote for the batch.
+    pub fn verdict(&self, ledger: &Ledger, signer: &impl Signer, check: &mut StateCheck) -> BatchVerdict {
+        let has_root = |state: &State| state.root() == self.summary.root;
         if self.batch.number != ledger.number() + 1 {
-            return Fitness::Unfit;
+            return BatchVerdict::Invalid;
         }
-        let admitted = self.batch.apply(ledger.state(), ledger.history(), hand);
-        let mut fits = |state: &State| leads_there(state) && check(ledger.state(), state).is_ok();
-        if admitted.is_ok_and(|(state, _)| fits(&state)) {
-            return Fitness::Admitted;
+        let admitted = self.batch.apply(ledger.state(), ledger.history(), signer);
+        let mut is_acceptable = |state: &State| has_root(state) && check(ledger.state(), state).is_ok();
+        if admitted.is_ok_and(|(state, _)| is_acceptable(&state)) {
+            return BatchVerdict::Admitted;
         }
-        let applied = self.batch.apply_certified(ledger.state(), hand);
-        if applied.is_ok_and(|(state, _)| leads_there(&state)) {
-            return Fitness::Applicable;
+        let applied = self.batch.apply_certified(ledger.state(), signer);
+        if applied.is_ok_and(|(state, _)| has_root(&state)) {
+            return BatchVerdict::Applicable;
         }
-        Fitness::Unfit
+        BatchVerdict::Invalid
     }
 }
--- a/crates/distribution/src/control/config.rs
+++ b/crates/distribution/src/control/config.rs
@@ -1,4 +1,4 @@
-//! What a control machine is given by its operator.
+//! The configuration of a control machine, and its limits.
 
 use std::time::Duration;
 
@@ -6,58 +6,67 @@
 
 use crate::MachineId;
 
-/// How long what was decided may take to go out, for the bound that is stated.
-const LATE: Duration = Duration::from_millis(250);
-/// Connections of watchers and tools at most: a zone's 617, those of a lost neighbour, and some tools.
-const CONNECTIONS: usize = 1500;
-/// More connections than one process is meant to hold.
-const MOST_CONNECTIONS: usize = 20_000;
-/// What a decision takes to go out at most: beyond it the stated bound says nothing.
-const LATEST: Duration = Duration::from_secs(5);
-/// A relay lease is renewed about once a second, and outlives a few lost requests.
+/// The default of [`Config::late`].
+const DEFAULT_ACTIVATION_DELAY: Duration = Duration::from_millis(250);
+/// The default limit of connections: the 617 watchers of a zone, those of a lost neighbour zone, and some
+/// tools.
+const DEFAULT_CONNECTIONS: usize = 1500;
+/// The upper limit of [`Config::connections`]: more than one process is meant to serve.
+const MAX_CONNECTIONS: usize = 20_000;
+/// The upper limit of [`Config::late`]: with a longer delay the stated bound would be useless.
+const MAX_ACTIVATION_DELAY: Duration = Duration::from_secs(5);
+/// The lower limit of [`Config::apart`]: a relay lease is renewed about once a second, and must outlive a few
+/// lost requests.
 pub const LEAST_APART: Duration = Duration::from_secs(10);
-/// An exclusive change waits for a machine that died as long as this at most.
+/// The upper limit of [`Config::apart`], which is how long an exclusive change waits for a machine that died.
 pub const MOST_APART: Duration = Duration::from_secs(4 * 3600);
 
-/// What a control machine is given by its operator.
+/// The configuration of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     pub me: MachineId,
-    /// Later than in all earlier runs of this machine.
+    /// The incarnation number of the process: higher than in all earlier runs of this machine.
     pub life: u32,
-    /// How long what a watcher decided may take to go out, for the bound that is stated.
+    /// The longest time from a watcher's decision until its messages are sent; part of the stated bound on
+    /// contradicting revisions.
     pub late: Duration,
-    /// Connections of watchers and tools at most.
+    /// The maximum number of connections of watchers and tools.
     pub connections: usize,
-    /// How long a region that is cut off from the acceptors goes on under its old configuration, and exclusive changes wait
-    /// for it at most; zero: it holds back after a lease.
+    /// How long a region that is partitioned from the acceptors continues with its old configuration;
+    /// exclusive changes wait for it at most this long. Zero: the region stops acting when its leases expire.
     pub apart: Duration,
 }
 
-/// Why a configuration is not taken.
+/// Why a configuration is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ConfigFault {
-    #[error("late: {0:?}, where {LATEST:?} at most is taken")]
+    #[error("late: {0:?}, where {MAX_ACTIVATION_DELAY:?} at most is taken")]
     Late(Duration),
-    #[error("connections: {0}, where 1 to {MOST_CONNECTIONS} are taken")]
+    #[error("connections: {0}, where 1 to {MAX_CONNECTIONS} are taken")]
     Connections(usize),
     #[error("apart: {0:?}, where 0 or {LEAST_APART:?} to {MOST_APART:?} are taken")]
     Apart(Duration),
 }
 
 impl Config {
-    /// The defaults for a machine.
+    /// The default configuration of a machine.
     pub fn new(me: MachineId, life: u32) -> Self {
-        Self { me, life, late: LATE, connections: CONNECTIONS, apart: Duration::ZERO }
+        Self {
+            me,
+            life,
+            late: DEFAULT_ACTIVATION_DELAY,
+            connections: DEFAULT_CONNECTIONS,
+            apart: Duration::ZERO,
+        }
     }
 
     /// # Errors
-    /// Where a value is out of its bounds.
+    /// If a value is out of its range.
     pub fn check(&self) -> Result<(), ConfigFault> {
-        if self.late > LATEST {
+        if self.late > MAX_ACTIVATION_DELAY {
             return Err(ConfigFault::Late(self.late));
         }
-        if self.connections == 0 || self.connections > MOST_CONNECTIONS {
+        if self.connections == 0 || self.connections > MAX_CONNECTIONS {
             return Err(ConfigFault::Connections(self.connections));
         }
         if !self.apart.is_zero() && !(LEAST_APART..=MOST_APART).contains(&self.apart) {
--- a/crates/distribution/src/control/forwarding.rs
+++ b/crates/distribution/src/control/forwarding.rs
@@ -1,5 +1,6 @@
-//! Changes that were pushed here, until their outcome is known: they are forwarded to who makes batches, again and to the
-//! next one too while no answer comes. The author's sequence number makes a double harmless.
+//! Changes that were pushed to this machine, until their outcome is known. Each is forwarded to the machine
+//! that builds batches; while no answer arrives it is sent again, later also to a second machine. Duplicates
+//! are harmless because of the author's sequence number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,45 +9,45 @@
 use crate::control::ConnectionId;
 use crate::{MachineId, Number};
 
-/// Changes that are under way from here at most, and their bytes.
-const MOST: usize = 512;
-const MOST_BYTES: usize = 8 * 1024 * 1024;
-/// Connections that wait for one change at most.
-const MOST_CONNECTIONS: usize = 8;
-/// After this an outcome is unknown.
-const GIVE_UP: Duration = Duration::from_secs(10);
-/// What is not answered is forwarded again after this.
-const AGAIN: Duration = Duration::from_secs(1);
-/// Whether a revision that a change is made against is here is looked at this often.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
-/// After so many tries the next machine is tried too.
-const TRIES_AT_FIRST: u32 = 3;
+/// The maximum number of pending changes, and of their bytes.
+const MAX_PENDING: usize = 512;
+const MAX_PENDING_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum number of connections that wait for the outcome of one change.
+const MAX_CONNECTIONS_PER_CHANGE: usize = 8;
+/// After this time the outcome is reported as unknown.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(10);
+/// A change without an answer is forwarded again after this time.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// How often it is checked whether the base revision of a change has arrived.
+const BASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// After this many tries a change is forwarded to a second machine as well.
+const TRIES_WITH_ONE_MACHINE: u32 = 3;
 
-/// What is to be said to a connection.
-pub(crate) struct Told {
+/// The outcome of a change, to be sent on a connection.
+pub(crate) struct PushReply {
     pub connection: ConnectionId,
     pub change: ChangeId,
     pub outcome: Result<Number, Rejection>,
 }
 
-/// What is to be done with changes that were pushed here.
-pub(crate) struct Tended {
+/// The changes to forward, and the replies to send.
+pub(crate) struct PollResult {
     pub forwards: Vec<(MachineId, Change)>,
-    pub told: Vec<Told>,
+    pub replies: Vec<PushReply>,
 }
 
 struct Pending {
     change: Change,
     bytes: usize,
     connections: Vec<ConnectionId>,
-    give_up_at: Duration,
-    next_at: Duration,
+    expires_at: Duration,
+    retry_at: Duration,
     tries: u32,
-    /// Machines that it went to, and why each does not take it.
+    /// The machines that it was forwarded to, with the rejection of each that rejected it.
     forwarded: BTreeMap<MachineId, Option<Rejection>>,
 }
 
-/// Changes that were pushed here.
+/// The pending changes that were pushed to this machine.
 #[derive(Default)]
 pub(crate) struct Forwarding {
     pending: BTreeMap<ChangeId, Pending>,
@@ -54,16 +55,16 @@
 }
 
 impl Forwarding {
-    /// A change was pushed on a connection.
+    /// Adds a change that was pushed on a connection.
     ///
     /// # Errors
-    /// Where it goes nowhere.
+    /// If the change is not forwarded: another change has its id, or a limit is reached.
     pub fn push(&mut self, now: Duration, connection: ConnectionId, change: Change) -> Result<(), Rejection> {
         if let Some(pending) = self.pending.get_mut(&change.id) {
             if pending.change != change {
                 return Err(Rejection::Sequence(change.id.sequence, change.id.sequence));
             }
-            if pending.connections.len() >= MOST_CONNECTIONS {
+            if pending.connections.len() >= MAX_CONNECTIONS_PER_CHANGE {
                 return Err(Rejection::Busy(pending.connections.len()));
             }
             if !pending.connections.contains(&connection) {
@@ -72,15 +73,15 @@
             return Ok(());
         }
         let bytes = change.signed_bytes().len();
-        if self.pending.len() >= MOST || self.bytes + bytes > MOST_BYTES {
+        if self.pending.len() >= MAX_PENDING || self.bytes + bytes > MAX_PENDING_BYTES {
             return Err(Rejection::Busy(self.pending.len()));
         }
         self.bytes += bytes;
         let pending = Pending {
             bytes,
             connections: vec![connection],
-            give_up_at: now + GIVE_UP,
-            next_at: now,
+            expires_at: now + OUTCOME_TIMEOUT,
+            retry_at: now,
             tries: 0,
             forwarded: BTreeMap::new(),
             change,
@@ -89,34 +90,35 @@
         Ok(())
     }
 
-    /// A machine does not take a change. It is an outcome where no other machine could take it, or none has it. A machine
-    /// that is busy, or does not know, may take it when it is tried again.
-    pub fn rejected(&mut self, from: MachineId, change: ChangeId, rejection: Rejection) -> Vec<Told> {
+    /// A machine rejected a change. This is its outcome if no other machine could accept it, or if all
+    /// machines that it was forwarded to rejected it. A machine that is busy, or lacks information, may
+    /// accept it on a retry.
+    pub fn on_rejected(&mut self, from: MachineId, change: ChangeId, rejection: Rejection) -> Vec<PushReply> {
         if matches!(rejection, Rejection::Busy(_) | Rejection::Unknown | Rejection::BaseAhead(..)) {
             return Vec::new();
         }
         let Some(pending) = self.pending.get_mut(&change) else { return Vec::new() };
-        let Some(held) = pending.forwarded.get_mut(&from) else { return Vec::new() };
-        *held = Some(rejection.clone());
-        let by_all = pending.forwarded.values().all(Option::is_some);
-        if by_all || holds_everywhere(&rejection) {
+        let Some(recorded) = pending.forwarded.get_mut(&from) else { return Vec::new() };
+        *recorded = Some(rejection.clone());
+        let rejected_by_all = pending.forwarded.values().all(Option::is_some);
+        if rejected_by_all || is_final(&rejection) {
             return self.settle(change, &Err(rejection));
         }
         Vec::new()
     }
 
-    /// The outcome of a change is known.
-    pub fn settle(&mut self, change: ChangeId, outcome: &Result<Number, Rejection>) -> Vec<Told> {
+    /// The outcome of a change is known: removes it and returns the replies.
+    pub fn settle(&mut self, change: ChangeId, outcome: &Result<Number, Rejection>) -> Vec<PushReply> {
         let Some(pending) = self.pending.remove(&change) else { return Vec::new() };
         self.bytes -= pending.bytes;
-        let told = |connection| Told { connection, change, outcome: outcome.clone() };
-        pending.connections.into_iter().map(told).collect()
+        let reply = |connection| PushReply { connection, change, outcome: outcome.clone() };
+        pending.connections.into_iter().map(reply).collect()
     }
 
-    /// Tells of those changes whose outcome is known now.
+    /// Settles all changes whose outcome is known.
     pub fn settle_all(
         &mut self, outcome_of: impl Fn(&Change) -> Option<Result<Number, Rejection>>,
-    ) -> Vec<Told> {
+    ) -> Vec<PushReply> {
         let known = self
             .pending
             .values()
@@ -125,54 +127,57 @@
         known.into_iter().flat_map(|(change, outcome)| self.settle(change, &outcome)).collect()
     }
 
-    /// A connection is gone; its changes go on.
-    pub fn closed(&mut self, connection: ConnectionId) {
+    /// A connection closed; its changes are still forwarded.
+    pub fn on_connection_closed(&mut self, connection: ConnectionId) {
         for pending in self.pending.values_mut() {
-            pending.connections.retain(|held| *held != connection);
+            pending.connections.retain(|waiting| *waiting != connection);
         }
     }
 
-    /// Forwards to the first of these machines and, after some tries, the second; and gives up what took too long. What is made
-    /// against a revision above `highest` waits for it here: its author may know more than this machine does.
-    pub fn tend(
-        &mut self, now: Duration, machines: &[MachineId], highest: Number, heard_quorum: bool,
-    ) -> Tended {
-        let mut tended = Tended { forwards: Vec::new(), told: Vec::new() };
-        let over = |pending: &&Pending| now >= pending.give_up_at;
-        let given_up: Vec<ChangeId> = self.pending.values().filter(over).map(|held| held.change.id).collect();
-        for change in given_up {
+    /// Forwards due changes to the first of these machines and, after some tries, also to the second, and
+    /// gives up changes that timed out. A change whose base is above `highest` waits here for that revision:
+    /// its author may know more than this machine.
+    pub fn poll(
+        &mut self, now: Duration, machines: &[MachineId], highest: Number, quorum_reachable: bool,
+    ) -> PollResult {
+        let mut result = PollResult { forwards: Vec::new(), replies: Vec::new() };
+        let timed_out = |pending: &&Pending| now >= pending.expires_at;
+        let expired: Vec<ChangeId> =
+            self.pending.values().filter(timed_out).map(|pending| pending.change.id).collect();
+        for change in expired {
             let Some(pending) = self.pending.get(&change) else { continue };
-            // One that went nowhere lies in no queue.
-            let there_is_none = pending.forwarded.is_empty() && pending.change.base > highest && heard_quorum;
-            let rejection = match there_is_none {
+            // A change that was never forwarded is in no queue, so its rejection is certain.
+            let base_is_unknown =
+                pending.forwarded.is_empty() && pending.change.base > highest && quorum_reachable;
+            let rejection = match base_is_unknown {
                 true => Rejection::BaseAhead(pending.change.base, highest),
                 false => Rejection::Unknown,
             };
-            tended.told.extend(self.settle(change, &Err(rejection)));
+            result.replies.extend(self.settle(change, &Err(rejection)));
         }
-        for pending in self.pending.values_mut().filter(|pending| now >= pending.next_at) {
+        for pending in self.pending.values_mut().filter(|pending| now >= pending.retry_at) {
             if pending.change.base > highest {
-                pending.next_at = now + LOOK_AGAIN;
+                pending.retry_at = now + BASE_CHECK_INTERVAL;
                 continue;
             }
-            pending.next_at = now + AGAIN;
-            let wide = if pending.tries < TRIES_AT_FIRST { 1 } else { 2 };
+            pending.retry_at = now + RETRY_INTERVAL;
+            let machine_count = if pending.tries < TRIES_WITH_ONE_MACHINE { 1 } else { 2 };
             pending.tries += 1;
-            for machine in machines.iter().take(wide) {
+            for machine in machines.iter().take(machine_count) {
                 pending.forwarded.entry(*machine).or_default();
-                tended.forwards.push((*machine, pending.change.clone()));
+                result.forwards.push((*machine, pending.change.clone()));
             }
         }
-        tended
+        result
     }
 
-    pub fn next_due(&self) -> Option<Duration> {
-        self.pending.values().map(|pending| pending.next_at.min(pending.give_up_at)).min()
+    pub fn next_poll_at(&self) -> Option<Duration> {
+        self.pending.values().map(|pending| pending.retry_at.min(pending.expires_at)).min()
     }
 }
 
-/// Whether no machine could take a change that one rejects so.
-fn holds_everywhere(rejection: &Rejection) -> bool {
+/// Whether no machine could accept a change that one machine rejected for this reason.
+fn is_final(rejection: &Rejection) -> bool {
     matches!(
         rejection,
         Rejection::Sequence(..)
--- a/crates/distribution/src/control/ledger.rs
+++ b/crates/distribution/src/control/ledger.rs
@@ -1,4 +1,4 @@
-//! The state of the highest certified revision that is here, and what leads to it.
+//! The state of the highest certified revision that this machine has, with its history and deltas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 use crate::state::{Edit, State};
 use crate::{Certified, Digest, Number};
 
-/// Revisions of which it is known what they changed, for conflicts: more than a day's.
-const HISTORY: usize = 16_384;
+/// The number of revisions whose changed keys are known, to detect conflicts: more than a day's.
+const HISTORY_REVISIONS: usize = 16_384;
 
 /// A revision with its state.
 #[derive(Debug)]
 pub(crate) struct Revision {
     pub number: Number,
-    /// What shows that it is certified; nothing for revision 0.
+    /// Its certificate and summary; `None` for revision 0.
     pub proof: Option<(Certified, Summary)>,
     pub state: State,
 }
 
-/// The state of the highest certified revision that is here, and what leads to it.
+/// The state of the highest certified revision that this machine has, with its history and deltas.
 pub(crate) struct Ledger {
     latest: Arc<Revision>,
     history: History,
     log: DeltaLog,
-    /// Roots of the revisions that the log reaches.
+    /// The roots of the revisions from which the log has deltas.
     roots: BTreeMap<Number, Digest>,
-    /// Whether the last allowed revision is kept while later ones wait.
-    keeps_allowed: bool,
-    /// The last revision that may be acted on.
+    /// Whether the last revision allowed for activation is retained while later ones wait.
+    retains_allowed: bool,
+    /// The last revision whose activation is allowed.
     allowed: Option<Arc<Revision>>,
 }
 
@@ -39,25 +39,26 @@
         let (number, root) = (revision.number, revision.state.root());
         Self {
             latest: Arc::new(revision),
-            history: History::new(number, HISTORY),
+            history: History::new(number, HISTORY_REVISIONS),
             log: DeltaLog::new(number, Limits::default()),
             roots: BTreeMap::from([(number, root)]),
-            keeps_allowed: false,
+            retains_allowed: false,
             allowed: None,
         }
     }
 
-    /// Keeps the last revision that may be acted on from now on, for who has none and would wait for a later one: that may
-    /// take long where regions apart are waited for.
-    pub fn keep_allowed(&mut self) {
-        self.keeps_allowed = true;
+    /// From now on retains the last revision allowed for activation, for watchers that have no revision and
+    /// would wait for a later one. That wait is long when a partitioned region is waited for.
+    pub fn retain_allowed(&mut self) {
+        self.retains_allowed = true;
     }
 
-    /// The last revision that may be acted on, for one that does not have it, while the latest may not.
-    pub fn allowed_before(&self, active: Number, held: Number) -> Option<&Arc<Revision>> {
+    /// The last revision allowed for activation, if the watcher is_useful it and the latest is not allowed
+    /// yet.
+    pub fn allowed_for(&self, active: Number, prepared: Number) -> Option<&Arc<Revision>> {
         let allowed = self.allowed.as_ref()?;
-        let lacks = allowed.number > active.max(held) && allowed.number < self.number();
-        lacks.then_some(allowed)
+        let is_useful = allowed.number > active.max(prepared) && allowed.number < self.number();
+        is_useful.then_some(allowed)
     }
 
     pub fn latest(&self) -> &Arc<Revision> {
@@ -84,26 +85,27 @@
         self.roots.get(&number).copied()
     }
 
-    /// Goes on to a later revision by the edits that lead there from the one before, or from the present one where several
-    /// are taken at once. For deltas these count then as the last one's: they lead there from each between as well. Which
-    /// revision changed a key is not known then.
+    /// Advances to a later revision by the edits from the previous one, or from the current one if several
+    /// revisions are applied at once. In the latter case the log attributes all edits to the last revision,
+    /// which is correct for deltas from each revision in between as well; which revision changed a key is not
+    /// known.
     pub fn advance(&mut self, revision: Revision, edits: &[Edit]) {
         if revision.number == self.number() + 1 {
             self.history.record(revision.number, edits);
         } else {
-            self.history = History::new(revision.number, HISTORY);
+            self.history = History::new(revision.number, HISTORY_REVISIONS);
         }
-        for between in self.number() + 1..revision.number {
-            self.log.push(between, Vec::new());
+        for number in self.number() + 1..revision.number {
+            self.log.push(number, Vec::new());
         }
         self.log.push(revision.number, edits.to_vec());
         self.set_latest(revision);
     }
 
-    /// Takes a later revision of which nothing is known but the state.
+    /// Replaces everything by a later revision of which only the state is known.
     pub fn jump(&mut self, revision: Revision) {
-        let (keeps_allowed, allowed) = (self.keeps_allowed, self.allowed.take());
-        *self = Self { keeps_allowed, allowed, ..Self::new(revision) };
+        let (retains_allowed, allowed) = (self.retains_allowed, self.allowed.take());
+        *self = Self { retains_allowed, allowed, ..Self::new(revision) };
     }
 
     fn set_latest(&mut self, revision: Revision) {
@@ -113,24 +115,24 @@
         self.latest = Arc::new(revision);
     }
 
-    /// The acceptors' words to act that came since.
-    pub fn take_goes(&mut self, certificate: &Certified) {
-        let Some((held, summary)) = &self.latest.proof else { return };
-        if held.number() != certificate.number() {
+    /// Adds activation grants that arrived after the certificate of the latest revision.
+    pub fn add_activation_grants(&mut self, certificate: &Certified) {
+        let Some((known, summary)) = &self.latest.proof else { return };
+        if known.number() != certificate.number() {
             return;
         }
-        if held.activation_grants.len() < certificate.activation_grants.len() {
+        if known.activation_grants.len() < certificate.activation_grants.len() {
             let proof = Some((certificate.clone(), *summary));
             let state = self.latest.state.clone();
             self.latest = Arc::new(Revision { number: self.latest.number, proof, state });
         }
-        if self.keeps_allowed {
+        if self.retains_allowed {
             self.allowed = Some(self.latest.clone());
         }
     }
 
-    /// What leads from a base to the latest revision in one message; nothing where the log does not reach back, or the base
-    /// is another state than the one certified with its number.
+    /// The delta from a base to the latest revision. `None` if the log does not reach back, or the state at
+    /// the base is not the one certified with its number.
     pub fn delta(&self, base: Number, base_root: &Digest) -> Option<ToWatcher> {
         let (certificate, summary) = self.latest.proof.clone()?;
         if self.roots.get(&base) != Some(base_root) {
--- a/crates/distribution/src/control/member_hand.rs
+++ b/crates/distribution/src/control/member_signer.rs
@@ -1,12 +1,12 @@
-//! The hand that the agreement is given: authors of its heads are control machines.
+//! The signer for consensus: the authors of its heads are control machines.
 
 use crate::{Author, MachineId, Signature, Signer};
 
-/// The agreement's authors are the control machines that propose a batch, and sign its head with their own keys. Those
-/// who sign the changes inside are checked by the hand within.
-pub(crate) struct MemberHand<H>(pub H);
+/// Verifies heads as signed by control machines. The control machine that proposes a batch signs its head
+/// with its own key. The authors of the changes in the batch are verified with the inner signer.
+pub(crate) struct MemberSigner<H>(pub H);
 
-impl<H: Signer> Signer for MemberHand<H> {
+impl<H: Signer> Signer for MemberSigner<H> {
     fn sign(&self, bytes: &[u8]) -> Signature {
         self.0.sign(bytes)
     }
@@ -19,8 +19,8 @@
         self.0.verify_member(author, bytes, signature)
     }
 
-    /// Asked only where a keeper's vote for the head is there, which was given after the signature had been checked: a
-    /// machine whose key was revoked since must not leave a number open for good.
+    /// Called only for a head that an acceptor has voted for, which it did after verifying the signature.
+    /// Always true: if a machine's key was revoked since, its number must not stay open forever.
     fn verify_author_any_key(&self, _: Author, _: &[u8], _: &Signature) -> bool {
         true
     }
--- a/crates/distribution/src/control/output.rs
+++ b/crates/distribution/src/control/output.rs
@@ -1,4 +1,4 @@
-//! What a control machine wants done.
+//! The outputs of a control machine.
 
 use thiserror::Error;
 
@@ -6,16 +6,18 @@
 use crate::message::{PeerMessage, ToWatcher};
 use crate::MachineId;
 
-/// A connection of a watcher or a tool, numbered by the driver and never used twice in a run.
+/// A connection of a watcher or a tool, numbered by the driver; a number is never reused in a run.
 pub type ConnectionId = u64;
 
-/// What a control machine wants done, in this order: what is stored must be on the disk before what follows goes out.
+/// An action for the driver, to be executed in order: an item must be on the disk before later outputs are
+/// sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlOutput {
     Store(StoredItem),
     ToPeer(MachineId, PeerMessage),
     ToWatcher(ConnectionId, Box<ToWatcher>),
-    /// What was sent before still goes out; nothing is read from the connection any more, and it is not reported closed.
+    /// Close a connection after sending what is queued. The driver reads nothing more from it, and does not
+    /// report it as closed.
     CloseWatcher(ConnectionId, CloseReason),
 }
 
@@ -28,16 +30,16 @@
 /// Why a relay closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CloseReason {
-    #[error("{0} connections are open, no more are taken")]
+    #[error("{0} connections are open; no more are accepted")]
     Full(usize),
-    #[error("{0} controllers wait to be admitted, no more are taken")]
+    #[error("{0} controllers wait for admission; no more are queued")]
     Queue(usize),
-    #[error("the controller connected again")]
+    #[error("the controller opened another connection")]
     Replaced,
-    #[error("nothing was heard, or what was sent was not acknowledged, in time")]
+    #[error("no message was received, or an update was not acknowledged, in time")]
     Silent,
-    #[error("messages came faster than they are taken")]
+    #[error("messages arrived faster than the rate limit")]
     Flood,
-    #[error("a message that does not fit the state of the connection")]
+    #[error("a message that is invalid in the state of the connection")]
     Protocol,
 }
--- a/crates/distribution/src/control/peers.rs
+++ b/crates/distribution/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Which control machines are heard.
+//! Which control machines are reachable, and the rate of their requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,49 +6,50 @@
 use crate::token_bucket::TokenBucket;
 use crate::MachineId;
 
-/// A machine is taken to be there this long after it was heard. An acceptor answers each machine's requests for a lease
-/// some four times in it.
-const HEARD_FOR: Duration = Duration::from_secs(3);
+/// A machine counts as reachable for this long after its last message. An acceptor answers the lease requests
+/// of each machine about four times in this period.
+const REACHABLE_FOR: Duration = Duration::from_secs(3);
 
-/// Requests of a peer that cost a signature, or much to send: a relay's roots of nonces are four a second.
+/// The rate of requests of a peer that cost a signature or a large reply: a relay requests grants for four
+/// roots of nonces a second.
 const REQUESTS_PER_SECOND: f64 = 32.0;
-const REQUESTS_AT_ONCE: f64 = 128.0;
+const REQUEST_BURST: f64 = 128.0;
 
 struct Peer {
     heard_at: Duration,
-    /// Requests that cost a signature or much to send.
+    /// Limits requests that cost a signature or a large reply.
     requests: TokenBucket,
 }
 
-/// Which control machines are heard.
+/// The control machines that were heard from.
 #[derive(Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<MachineId, Peer>,
 }
 
 impl Peers {
-    pub fn heard(&mut self, now: Duration, from: MachineId) {
-        let fresh =
-            || Peer { heard_at: now, requests: TokenBucket::new(REQUESTS_PER_SECOND, REQUESTS_AT_ONCE, now) };
-        self.peers.entry(from).or_insert_with(fresh).heard_at = now;
+    pub fn on_message(&mut self, now: Duration, from: MachineId) {
+        let new_peer =
+            || Peer { heard_at: now, requests: TokenBucket::new(REQUESTS_PER_SECOND, REQUEST_BURST, now) };
+        self.peers.entry(from).or_insert_with(new_peer).heard_at = now;
     }
 
-    pub fn down(&mut self, peer: MachineId) {
+    pub fn on_down(&mut self, peer: MachineId) {
         self.peers.remove(&peer);
     }
 
-    /// Whether a peer may ask for something that costs much.
-    pub fn may_ask(&mut self, now: Duration, peer: MachineId) -> bool {
+    /// Whether a peer may make an expensive request now.
+    pub fn try_request(&mut self, now: Duration, peer: MachineId) -> bool {
         self.peers.get_mut(&peer).is_some_and(|peer| peer.requests.try_spend_one(now))
     }
 
-    pub fn is_heard(&self, now: Duration, peer: MachineId) -> bool {
-        self.peers.get(&peer).is_some_and(|peer| now < peer.heard_at + HEARD_FOR)
+    pub fn is_reachable(&self, now: Duration, peer: MachineId) -> bool {
+        self.peers.get(&peer).is_some_and(|peer| now < peer.heard_at + REACHABLE_FOR)
     }
 
-    /// Those of these machines that are heard, this one among them, in order.
-    pub fn heard_of(&self, now: Duration, me: MachineId, machines: &[MachineId]) -> Vec<MachineId> {
-        let there = |machine: &MachineId| *machine == me || self.is_heard(now, *machine);
-        machines.iter().copied().filter(there).collect()
+    /// The reachable ones of these machines, in order; this machine counts as reachable.
+    pub fn reachable(&self, now: Duration, local_id: MachineId, machines: &[MachineId]) -> Vec<MachineId> {
+        let is_reachable = |machine: &MachineId| *machine == local_id || self.is_reachable(now, *machine);
+        machines.iter().copied().filter(is_reachable).collect()
     }
 }
--- a/crates/distribution/src/control/serving.rs
+++ b/crates/distribution/src/control/serving.rs
@@ -1,4 +1,4 @@
-//! Gives other control machines batches and states.
+//! Serves batches and states to other control machines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 use crate::state::{BUCKETS, GROUPS};
 use crate::{Digest, MachineId, Number, Signer};
 
-/// Parts of a state that are asked for in one message at most.
-const MOST_PARTS: usize = 128;
+/// The maximum number of parts of a state in one request.
+const MAX_PARTS: usize = 128;
 
-/// The states that other machines were offered as snapshots. A state shares what did not change with later ones.
+/// The revisions offered to other machines as snapshots. A state shares unchanged parts with later ones.
 #[derive(Default)]
 pub(crate) struct Serving {
     offers: BTreeMap<MachineId, Arc<Revision>>,
 }
 
 impl Serving {
-    pub fn down(&mut self, peer: MachineId) {
+    pub fn on_peer_down(&mut self, peer: MachineId) {
         self.offers.remove(&peer);
     }
 }
@@ -29,18 +29,18 @@
     pub(super) fn serve_batch(
         &mut self, now: Duration, from: MachineId, text: &Digest, out: &mut Vec<ControlOutput>,
     ) {
-        let Some(held) = self.batches.get(text) else { return };
-        let message = PeerMessage::Batch { summary: held.summary, bytes: held.bytes.clone() };
-        if self.peers.may_ask(now, from) {
+        let Some(record) = self.batches.get(text) else { return };
+        let message = PeerMessage::Batch { summary: record.summary, bytes: record.bytes.clone() };
+        if self.peers.try_request(now, from) {
             out.push(ControlOutput::ToPeer(from, message));
         }
     }
 
-    /// Gives a machine what leads from its state to the latest here.
+    /// Sends a machine a delta from its state to the latest one here, or a snapshot.
     pub(super) fn serve_state(
         &mut self, now: Duration, from: MachineId, held: Number, root: &Digest, out: &mut Vec<ControlOutput>,
     ) {
-        if self.ledger.number() <= held || !self.peers.may_ask(now, from) {
+        if self.ledger.number() <= held || !self.peers.try_request(now, from) {
             return;
         }
         let latest = self.ledger.latest().clone();
@@ -57,7 +57,7 @@
         out: &mut Vec<ControlOutput>,
     ) {
         let Some(offer) = self.serving.offers.get(&from) else { return };
-        if groups.len() + buckets.len() > MOST_PARTS || !self.peers.may_ask(now, from) {
+        if groups.len() + buckets.len() > MAX_PARTS || !self.peers.try_request(now, from) {
             return;
         }
         let groups = groups.iter().filter(|group| **group < GROUPS).map(|group| offer.group(*group));
--- a/crates/distribution/src/control/stored.rs
+++ b/crates/distribution/src/control/stored.rs
@@ -1,4 +1,5 @@
-//! What a control machine stores, and how it is encoded. The driver seals each record, so that a torn one is none.
+//! The items that a control machine stores, and their encoding. The driver seals each record with a digest,
+//! so that a partially record one is ignored.
 
 use badgerledge_revisions::AcceptorState;
 use serde::{Deserialize, Serialize};
@@ -8,15 +9,15 @@
 use crate::state::{State, StateFault};
 use crate::{Certified, Number};
 
-/// Something that must outlive the process.
+/// An item that must survive a restart of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoredItem {
-    /// The agreement's own state; takes the place of the one before.
+    /// The state of consensus; replaces the previous one.
     Agreement(Vec<u8>),
-    /// A batch that this machine may vote for, or that was certified; appended. Those of numbers up to that of the last
-    /// checkpoint may be dropped.
+    /// A batch that this machine may vote for, or that was certified; appended. Batches with numbers up to
+    /// that of the last checkpoint may be dropped.
     Batch { number: Number, summary: Summary, bytes: Vec<u8> },
-    /// The whole state of a certified revision; takes the place of the one before, and comes rarely.
+    /// The whole state of a certified revision; replaces the previous one, and is rare.
     Checkpoint(Box<Checkpoint>),
 }
 
@@ -25,34 +26,35 @@
 pub struct Checkpoint {
     pub certificate: Certified,
     pub summary: Summary,
-    /// A clone shares its parts with the machine's own; writing it out takes a while, and may be done beside it.
+    /// A clone that shares its parts with the machine's own state. Writing it takes long, and may be done
+    /// concurrently.
     pub state: State,
 }
 
-/// What a machine finds of what it stored, each part as far as it is whole.
+/// The valid stored items that a machine finds when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stored {
     /// The last [`StoredItem::Agreement`].
     pub agreement: Option<Vec<u8>>,
     /// The last [`StoredItem::Checkpoint`].
     pub checkpoint: Option<Checkpoint>,
-    /// All [`StoredItem::Batch`] since.
+    /// All [`StoredItem::Batch`] since the checkpoint.
     pub batches: Vec<StoredItem>,
 }
 
-/// Why bytes are no stored item: it is as if it were not there.
+/// Why bytes are not a stored item. The item is treated as missing.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoredFault {
-    #[error("they can't be decoded")]
+    #[error("the bytes cannot be decoded")]
     Form,
-    #[error("{0} bytes are left over behind an item")]
+    #[error("{0} extra bytes after the item")]
     Trailing(usize),
-    #[error("a checkpoint: {0}")]
+    #[error("the state of a checkpoint is invalid: {0}")]
     State(#[from] StateFault),
 }
 
 #[derive(Serialize, Deserialize)]
-enum Written {
+enum StoredRecord {
     Agreement(Vec<u8>),
     Batch { number: Number, summary: Summary, bytes: Vec<u8> },
     Checkpoint { certificate: Certified, summary: Summary, state: Vec<u8> },
@@ -61,31 +63,31 @@
 impl StoredItem {
     /// Encodes an item.
     pub fn encode(&self) -> Vec<u8> {
-        let written = match self.clone() {
-            Self::Agreement(bytes) => Written::Agreement(bytes),
-            Self::Batch { number, summary, bytes } => Written::Batch { number, summary, bytes },
+        let record = match self.clone() {
+            Self::Agreement(bytes) => StoredRecord::Agreement(bytes),
+            Self::Batch { number, summary, bytes } => StoredRecord::Batch { number, summary, bytes },
             Self::Checkpoint(checkpoint) => {
                 let Checkpoint { certificate, summary, state } = *checkpoint;
-                Written::Checkpoint { certificate, summary, state: state.write() }
+                StoredRecord::Checkpoint { certificate, summary, state: state.write() }
             }
         };
-        // The types hold nothing that the encoding can't express.
-        postcard::to_stdvec(&written).unwrap_or_default()
+        // These types contain nothing that the encoding cannot express.
+        postcard::to_stdvec(&record).unwrap_or_default()
     }
 
     /// Decodes what [`StoredItem::encode`] made.
     ///
     /// # Errors
-    /// Where the bytes are no item, or one out of bounds.
+    /// If the bytes are not an item, or its state exceeds the limits.
     pub fn decode(bytes: &[u8]) -> Result<Self, StoredFault> {
-        let (written, left) = postcard::take_from_bytes(bytes).map_err(|_| StoredFault::Form)?;
-        if !left.is_empty() {
-            return Err(StoredFault::Trailing(left.len()));
+        let (record, trailing) = postcard::take_from_bytes(bytes).map_err(|_| StoredFault::Form)?;
+        if !trailing.is_empty() {
+            return Err(StoredFault::Trailing(trailing.len()));
         }
-        Ok(match written {
-            Written::Agreement(bytes) => Self::Agreement(bytes),
-            Written::Batch { number, summary, bytes } => Self::Batch { number, summary, bytes },
-            Written::Checkpoint { certificate, summary, state } => {
+        Ok(match record {
+            StoredRecord::Agreement(bytes) => Self::Agreement(bytes),
+            StoredRecord::Batch { number, summary, bytes } => Self::Batch { number, summary, bytes },
+            StoredRecord::Checkpoint { certificate, summary, state } => {
                 let state = State::read(&state)?;
                 Self::Checkpoint(Box::new(Checkpoint { certificate, summary, state }))
             }
@@ -94,25 +96,25 @@
 }
 
 impl Stored {
-    /// What an acceptor is given once, when the tier is set up: it has signed nothing so far. With [`Stored::default`] it
-    /// counts as one that lost its disk, and asks the others before it votes.
+    /// The items for an acceptor when the control tier is founded: it has signed nothing so far. With
+    /// [`Stored::default`] it counts as an acceptor that lost its disk, and asks the others before it votes.
     pub fn founding() -> Self {
-        let kept = badgerledge_revisions::StoredState {
+        let agreement = badgerledge_revisions::StoredState {
             acceptor: Some(AcceptorState::default()),
             ..Default::default()
         };
-        Self { agreement: Some(kept.write()), ..Self::default() }
+        Self { agreement: Some(agreement.write()), ..Self::default() }
     }
 
-    /// Puts an item where it belongs, as a file of items would.
+    /// Applies an item as reading a file of items would.
     pub fn take(&mut self, item: StoredItem) {
         match item {
             StoredItem::Agreement(bytes) => self.agreement = Some(bytes),
             StoredItem::Checkpoint(checkpoint) => {
-                let floor = checkpoint.certificate.number();
-                let later =
-                    |item: &StoredItem| matches!(item, StoredItem::Batch { number, .. } if *number > floor);
-                self.batches.retain(later);
+                let last = checkpoint.certificate.number();
+                let is_later =
+                    |item: &StoredItem| matches!(item, StoredItem::Batch { number, .. } if *number > last);
+                self.batches.retain(is_later);
                 self.checkpoint = Some(*checkpoint);
             }
             batch @ StoredItem::Batch { .. } => self.batches.push(batch),
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -1,47 +1,49 @@
-//! The edits of the last revisions, from which a relay makes one merged delta for a watcher.
+//! The edits of recent revisions, from which a relay builds one merged delta for a watcher.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::state::Edit;
 use crate::Number;
 
-/// What an edit counts beside its key and value: more than its encoding adds, and about what it takes in memory.
-const BESIDE_KEY_AND_VALUE: usize = 64;
+/// Bytes counted for an edit in addition to its key and value: more than its encoding adds, and about its
+/// overhead in memory.
+const EDIT_OVERHEAD_BYTES: usize = 64;
 
-/// Bounds of a log.
+/// The limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub revisions: usize,
-    /// Bytes of the keys and values of all edits, and 64 for each edit.
+    /// Bytes of the keys and values of all edits, plus 64 for each edit.
     pub bytes: usize,
 }
 
-/// What is merged from such a log fits in one frame of [`crate::message::MAX_RELAY_BODY_BYTES`], with its certificate.
+/// A delta merged from a log of these limits fits, with its certificate, in one frame of
+/// [`crate::message::MAX_RELAY_BODY_BYTES`].
 impl Default for Limits {
     fn default() -> Self {
         Self { revisions: 4096, bytes: 768 * 1024 }
     }
 }
 
-/// The edits of the last revisions.
+/// The edits of recent revisions.
 #[derive(Clone, Debug)]
 pub struct DeltaLog {
     floor: Number,
     limits: Limits,
     /// The edits of each revision after the floor.
     revisions: VecDeque<Vec<Edit>>,
-    /// What all edits count.
+    /// The total of all edits as counted for the limit.
     bytes: usize,
 }
 
 impl DeltaLog {
-    /// A log that reaches back to revision `start`, of which it knows nothing but the number.
+    /// An empty log whose newest revision is `start`.
     pub fn new(start: Number, limits: Limits) -> Self {
         Self { floor: start, limits, revisions: VecDeque::new(), bytes: 0 }
     }
 
-    /// Adds the edits that lead to a revision from the one before it. Where it is not the next one, all before it is
-    /// forgotten.
+    /// Appends the edits from the previous revision to this one. If `number` does not follow the newest
+    /// revision, the edits before it are dropped.
     pub fn push(&mut self, number: Number, edits: Vec<Edit>) {
         if self.top().checked_add(1) != Some(number) {
             *self = Self::new(number.saturating_sub(1), self.limits);
@@ -49,10 +51,10 @@
         if number == 0 {
             return;
         }
-        self.bytes += size(&edits);
+        self.bytes += counted_bytes(&edits);
         self.revisions.push_back(edits);
         while self.revisions.len() > self.limits.revisions || self.bytes > self.limits.bytes {
-            self.forget_oldest();
+            self.drop_oldest();
         }
     }
 
@@ -66,8 +68,8 @@
         self.floor.saturating_add(self.revisions.len() as Number)
     }
 
-    /// What leads from revision `base` to the newest one: the last edit of each key, by key. None where the log does not
-    /// reach back to `base`, or `base` is above the newest one.
+    /// The edits from revision `base` to the newest one: the last edit of each key, sorted by key. `None` if
+    /// the log does not reach back to `base`, or `base` is above the newest revision.
     pub fn since(&self, base: Number) -> Option<Vec<Edit>> {
         let skipped = base.checked_sub(self.floor)? as usize;
         if skipped > self.revisions.len() {
@@ -78,16 +80,16 @@
         Some(last_of_key.into_values().cloned().collect())
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(edits) = self.revisions.pop_front() else { return };
         self.floor += 1;
-        self.bytes -= size(&edits);
+        self.bytes -= counted_bytes(&edits);
     }
 }
 
-fn size(edits: &[Edit]) -> usize {
+fn counted_bytes(edits: &[Edit]) -> usize {
     edits
         .iter()
-        .map(|edit| edit.key.len() + edit.value.as_ref().map_or(0, Vec::len) + BESIDE_KEY_AND_VALUE)
+        .map(|edit| edit.key.len() + edit.value.as_ref().map_or(0, Vec::len) + EDIT_OVERHEAD_BYTES)
         .sum()
 }
--- a/crates/distribution/src/relay/admission.rs
+++ b/crates/distribution/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! How many watchers are let in at once: a zone's, which all start at one time, come one after another.
+//! Limits the rate at which watchers are admitted, for instance when all watchers of a zone start at once.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,52 +8,53 @@
 use crate::control::ConnectionId;
 use crate::token_bucket::TokenBucket;
 
-/// Watchers that are let in a second, and at once.
-const PER_SECOND: f64 = 100.0;
-const AT_ONCE: f64 = 100.0;
-/// Watchers that wait to be let in at most: a watcher goes on to its next relay after a second without an answer, so
-/// those behind would wait in vain. They are told at once to come back.
-const MOST_WAITING: usize = 80;
-/// Who is sent away comes back at the earliest after this, and within as long again for each full queue.
-const COME_BACK: Duration = Duration::from_secs(4);
+/// The number of watchers admitted per second, and in a burst.
+const ADMISSIONS_PER_SECOND: f64 = 100.0;
+const ADMISSION_BURST: f64 = 100.0;
+/// The maximum number of watchers in the queue. A watcher tries its next relay after a second without an
+/// answer, so further ones would wait in vain; they are rejected immediately with a time to retry after.
+const MAX_WAITING: usize = 80;
+/// The shortest time after which a rejected watcher retries. A random delay of at most the same length is
+/// added.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// What becomes of one that wants to be let in.
-pub(crate) enum Admitted {
+/// The decision on a watcher that asks to be admitted.
+pub(crate) enum AdmissionDecision {
     Now,
     Queued,
-    /// So many wait already.
-    No(usize),
+    /// Rejected: this many are waiting already.
+    Rejected(usize),
 }
 
-/// Lets watchers in by tokens.
+/// Admits watchers at a limited rate.
 pub(crate) struct Admission {
     tokens: TokenBucket,
     waiting: VecDeque<ConnectionId>,
-    /// Those sent away lately, whose return is spread.
-    sent_away: TokenBucket,
+    /// Spreads the retries of watchers that were rejected recently.
+    rejected: TokenBucket,
 }
 
 impl Admission {
     pub fn new(now: Duration) -> Self {
         Self {
-            tokens: TokenBucket::new(PER_SECOND, AT_ONCE, now),
+            tokens: TokenBucket::new(ADMISSIONS_PER_SECOND, ADMISSION_BURST, now),
             waiting: VecDeque::new(),
-            sent_away: TokenBucket::new(PER_SECOND, 1.0, now),
+            rejected: TokenBucket::new(ADMISSIONS_PER_SECOND, 1.0, now),
         }
     }
 
-    pub fn ask(&mut self, now: Duration, id: ConnectionId) -> Admitted {
+    pub fn request(&mut self, now: Duration, id: ConnectionId) -> AdmissionDecision {
         if self.waiting.is_empty() && self.tokens.try_spend_one(now) {
-            return Admitted::Now;
+            return AdmissionDecision::Now;
         }
-        if self.waiting.len() >= MOST_WAITING {
-            return Admitted::No(self.waiting.len());
+        if self.waiting.len() >= MAX_WAITING {
+            return AdmissionDecision::Rejected(self.waiting.len());
         }
         self.waiting.push_back(id);
-        Admitted::Queued
+        AdmissionDecision::Queued
     }
 
-    /// The next one that waits, if it may come in now.
+    /// The next waiting watcher, if it may be admitted now.
     pub fn next(&mut self, now: Duration) -> Option<ConnectionId> {
         if self.waiting.is_empty() || !self.tokens.try_spend_one(now) {
             return None;
@@ -61,15 +62,15 @@
         self.waiting.pop_front()
     }
 
-    pub fn forget(&mut self, id: ConnectionId) {
-        self.waiting.retain(|held| *held != id);
+    pub fn remove(&mut self, id: ConnectionId) {
+        self.waiting.retain(|waiting| *waiting != id);
     }
 
-    /// When one that is sent away is to come back: in its turn behind those sent away before it, and by chance, so that they
-    /// don't come back together.
-    pub fn retry_after(&mut self, now: Duration, chance: &mut Rng) -> Duration {
-        self.sent_away.spend(now, 1.0);
-        let turn = self.sent_away.next_at(now).saturating_sub(now);
-        COME_BACK + turn + chance.random_duration(COME_BACK)
+    /// When a rejected watcher is to retry: after those rejected before it, plus a random delay, so that they
+    /// do not retry at the same time.
+    pub fn retry_after(&mut self, now: Duration, rng: &mut Rng) -> Duration {
+        self.rejected.spend(now, 1.0);
+        let queue_delay = self.rejected.next_at(now).saturating_sub(now);
+        MIN_RETRY_AFTER + queue_delay + rng.random_duration(MIN_RETRY_AFTER)
     }
 }
--- a/crates/distribution/src/relay/lease_rounds.rs
+++ b/crates/distribution/src/relay/lease_rounds.rs
@@ -1,4 +1,4 @@
-//! Gathers watchers' nonces into trees, and acceptors' grants over their roots.
+//! Collects the nonces of watchers into trees, and the grants of acceptors over their roots.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,21 +8,23 @@
 use crate::regional::{RegionalGrant, RegionalProof, VOUCHERS};
 use crate::{ControllerId, Digest, MachineId, Number};
 
-/// Acceptors that have not answered are asked again after this: a round trip between regions, and some more.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-/// Acceptors that have allowed a later revision than a watcher acts on are waited out by this much for others.
+/// Acceptors that have not answered are asked again after this time: a round trip between regions, and a
+/// margin.
+const REQUEST_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// If acceptors have allowed a later revision than a watcher acts on, the answers of others are waited for
+/// this long before the lease is refused.
 const REFUSE_AFTER: Duration = Duration::from_millis(750);
-/// Where no quorum of acceptors answered in this time, other machines are asked to vouch.
+/// If no quorum of acceptors answered in this time, other machines are asked to vouch.
 const REGIONAL_AFTER: Duration = Duration::from_millis(750);
-/// A round is given up after this: its watchers have asked anew.
-const GIVE_UP: Duration = Duration::from_millis(2500);
+/// A round is dropped after this time: its watchers have sent new requests by then.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(2500);
 
 struct Request {
     connection: ConnectionId,
     nonce: Nonce,
-    /// The revision that the watcher acts on.
+    /// The active revision of the watcher.
     active: Number,
-    /// It takes a regional lease.
+    /// Whether the watcher accepts a regional lease.
     regional: bool,
     answered: bool,
 }
@@ -33,74 +35,75 @@
     requests: Vec<Request>,
     grants: BTreeMap<MachineId, Grant>,
     vouchers: BTreeMap<MachineId, RegionalGrant>,
-    begun_at: Duration,
-    ask_at: Duration,
-    /// When machines are asked to vouch next.
+    started_at: Duration,
+    request_at: Duration,
+    /// When machines are next asked to vouch.
     regional_at: Duration,
 }
 
-/// A request that waits for the next round.
-struct Gathered {
+/// A request that is collected for the next round.
+struct CollectedRequest {
     controller: ControllerId,
     nonce: Nonce,
     active: Number,
     regional: bool,
 }
 
-/// Nonces that are gathered, and rounds that wait for grants: as many as begin until the first is given up.
+/// The requests collected for the next round, and the rounds that wait for grants. The number of rounds is
+/// bounded, since each is dropped after [`ROUND_TIMEOUT`].
 #[derive(Default)]
 pub(crate) struct LeaseRounds {
-    gathered: BTreeMap<ConnectionId, Gathered>,
+    collected: BTreeMap<ConnectionId, CollectedRequest>,
     rounds: VecDeque<Round>,
 }
 
 impl LeaseRounds {
-    /// A watcher's request; it takes the place of an earlier one that is not under way.
-    pub fn gather(
+    /// Collects a watcher's request; it replaces an earlier one that is not in a round yet.
+    pub fn collect_request(
         &mut self, connection: ConnectionId, controller: ControllerId, (nonce, active): (Nonce, Number),
     ) {
-        self.gathered.insert(connection, Gathered { controller, nonce, active, regional: false });
+        self.collected.insert(connection, CollectedRequest { controller, nonce, active, regional: false });
     }
 
-    /// The watcher that asked last on this connection takes a regional lease as well.
-    pub fn takes_regional(&mut self, connection: ConnectionId) {
-        if let Some(gathered) = self.gathered.get_mut(&connection) {
-            gathered.regional = true;
+    /// The watcher that last sent a request on this connection also accepts a regional lease.
+    pub fn accept_regional(&mut self, connection: ConnectionId) {
+        if let Some(collected) = self.collected.get_mut(&connection) {
+            collected.regional = true;
         }
     }
 
-    pub fn forget(&mut self, connection: ConnectionId) {
-        self.gathered.remove(&connection);
+    pub fn remove(&mut self, connection: ConnectionId) {
+        self.collected.remove(&connection);
     }
 
     pub fn is_busy(&self) -> bool {
-        !self.gathered.is_empty() || !self.rounds.is_empty()
+        !self.collected.is_empty() || !self.rounds.is_empty()
     }
 
-    /// Begins a round with what was gathered. Gives the roots that acceptors are to be asked for, with those that have
-    /// granted.
-    pub fn tend(&mut self, now: Duration) -> Vec<(Digest, Vec<MachineId>)> {
-        self.rounds.retain(|round| now < round.begun_at + GIVE_UP);
-        if !self.gathered.is_empty() {
+    /// Begins a round with the collected requests. Returns the roots to request grants for, each with the
+    /// acceptors that have granted.
+    pub fn poll(&mut self, now: Duration) -> Vec<(Digest, Vec<MachineId>)> {
+        self.rounds.retain(|round| now < round.started_at + ROUND_TIMEOUT);
+        if !self.collected.is_empty() {
             self.begin(now);
         }
-        let mut asks = Vec::new();
-        for round in self.rounds.iter_mut().filter(|round| now >= round.ask_at) {
-            round.ask_at = now + ASK_AGAIN;
-            asks.push((round.root, round.grants.keys().copied().collect()));
+        let mut requests = Vec::new();
+        for round in self.rounds.iter_mut().filter(|round| now >= round.request_at) {
+            round.request_at = now + REQUEST_RETRY_INTERVAL;
+            requests.push((round.root, round.grants.keys().copied().collect()));
         }
-        asks
+        requests
     }
 
     fn begin(&mut self, now: Duration) {
-        let gathered = std::mem::take(&mut self.gathered);
-        let leaves = gathered.values().map(|asked| leaf(asked.controller, &asked.nonce)).collect();
+        let collected = std::mem::take(&mut self.collected);
+        let leaves = collected.values().map(|request| leaf(request.controller, &request.nonce)).collect();
         let tree = NonceTree::new(leaves);
-        let request = |(connection, asked): (ConnectionId, Gathered)| {
-            let Gathered { nonce, active, regional, .. } = asked;
+        let request = |(connection, collected): (ConnectionId, CollectedRequest)| {
+            let CollectedRequest { nonce, active, regional, .. } = collected;
             Request { connection, nonce, active, regional, answered: false }
         };
-        let requests = gathered.into_iter().map(request).collect();
+        let requests = collected.into_iter().map(request).collect();
         let grants = BTreeMap::new();
         self.rounds.push_back(Round {
             root: tree.root(),
@@ -108,55 +111,62 @@
             requests,
             grants,
             vouchers: BTreeMap::new(),
-            begun_at: now,
-            ask_at: now,
+            started_at: now,
+            request_at: now,
             regional_at: now + REGIONAL_AFTER,
         });
     }
 
     /// Whether a round waits for this grant.
     pub fn awaits(&self, grant: &Grant) -> bool {
-        let waits = |round: &Round| round.root == grant.root && !round.grants.contains_key(&grant.acceptor);
-        self.rounds.iter().any(waits)
+        let is_waiting =
+            |round: &Round| round.root == grant.root && !round.grants.contains_key(&grant.acceptor);
+        self.rounds.iter().any(is_waiting)
     }
 
-    /// An acceptor's grant, which was checked. Gives the proofs that it completes: a quorum for what the watcher acts on.
-    pub fn granted(&mut self, grant: Grant, quorum: usize) -> Vec<(ConnectionId, LeaseProof)> {
-        let Some(at) = self.rounds.iter().position(|round| round.root == grant.root) else {
+    /// Adds an acceptor's grant, which the caller has verified. Returns the proofs that it completes: those
+    /// with a quorum of grants for the watcher's active revision.
+    pub fn on_grant(&mut self, grant: Grant, quorum: usize) -> Vec<(ConnectionId, LeaseProof)> {
+        let Some(index) = self.rounds.iter().position(|round| round.root == grant.root) else {
             return Vec::new();
         };
-        let round = &mut self.rounds[at];
+        let round = &mut self.rounds[index];
         round.grants.insert(grant.acceptor, grant);
         let proofs = round.proofs(|grants, active| {
-            let fits = grants.values().filter(|grant| grant.allowed <= active);
-            let fits: Vec<Grant> = fits.take(quorum).copied().collect();
-            (fits.len() >= quorum).then_some(fits)
+            let eligible = grants.values().filter(|grant| grant.allowed <= active);
+            let eligible: Vec<Grant> = eligible.take(quorum).copied().collect();
+            (eligible.len() >= quorum).then_some(eligible)
         });
         if round.requests.iter().all(|request| request.answered) {
-            self.rounds.remove(at);
+            self.rounds.remove(index);
         }
         proofs
     }
 
-    /// Roots over which machines are to be asked to vouch now, with those that did: of rounds that no quorum of acceptors
-    /// answered.
-    pub fn regional_asks(&mut self, now: Duration, quorum: usize) -> Vec<(Digest, Vec<MachineId>)> {
-        let mut asks = Vec::new();
-        for round in self.rounds.iter_mut().filter(|round| round.lacks(quorum) && now >= round.regional_at) {
-            round.regional_at = now + ASK_AGAIN;
-            asks.push((round.root, round.vouchers.keys().copied().collect()));
+    /// The roots for which machines must be asked to vouch now, each with those that did. These are the roots
+    /// of rounds that no quorum of acceptors answered.
+    pub fn regional_requests(&mut self, now: Duration, quorum: usize) -> Vec<(Digest, Vec<MachineId>)> {
+        let mut requests = Vec::new();
+        for round in self
+            .rounds
+            .iter_mut()
+            .filter(|round| round.needs_regional_grants(quorum) && now >= round.regional_at)
+        {
+            round.regional_at = now + REQUEST_RETRY_INTERVAL;
+            requests.push((round.root, round.vouchers.keys().copied().collect()));
         }
-        asks
+        requests
     }
 
     /// Whether a round waits for this regional grant.
     pub fn awaits_regional(&self, grant: &RegionalGrant) -> bool {
-        let waits = |round: &Round| round.root == grant.root && !round.vouchers.contains_key(&grant.machine);
-        self.rounds.iter().any(waits)
+        let is_waiting =
+            |round: &Round| round.root == grant.root && !round.vouchers.contains_key(&grant.machine);
+        self.rounds.iter().any(is_waiting)
     }
 
-    /// A machine's regional grant, which was checked. Gives the proofs that it completes.
-    pub fn vouched(&mut self, grant: RegionalGrant) -> Vec<(ConnectionId, RegionalProof)> {
+    /// Adds a machine's regional grant, which the caller has verified. Returns the proofs that it completes.
+    pub fn on_regional_grant(&mut self, grant: RegionalGrant) -> Vec<(ConnectionId, RegionalProof)> {
         let Some(round) = self.rounds.iter_mut().find(|round| round.root == grant.root) else {
             return Vec::new();
         };
@@ -164,27 +174,28 @@
         round.regional_proofs()
     }
 
-    /// Answers to watchers that were not granted a lease for what they act on: they learn that others act on a later one.
-    pub fn refused(&mut self, now: Duration, quorum: usize) -> Vec<(ConnectionId, LeaseProof)> {
-        let late = self.rounds.iter_mut().filter(|round| now >= round.begun_at + REFUSE_AFTER);
-        let enough = late.filter(|round| round.grants.len() >= quorum);
+    /// Proofs for watchers that were refused a lease for their active revision. The grants show them that the
+    /// activation of a later revision was allowed.
+    pub fn refusals(&mut self, now: Duration, quorum: usize) -> Vec<(ConnectionId, LeaseProof)> {
+        let overdue = self.rounds.iter_mut().filter(|round| now >= round.started_at + REFUSE_AFTER);
+        let enough = overdue.filter(|round| round.grants.len() >= quorum);
         enough.flat_map(|round| round.proofs(|grants, _| Some(grants.values().copied().collect()))).collect()
     }
 }
 
 impl Round {
-    /// Whether somebody who takes a regional lease waits, and no quorum of acceptors answered.
-    fn lacks(&self, quorum: usize) -> bool {
-        let waits = |request: &Request| request.regional && !request.answered;
-        self.grants.len() < quorum && self.requests.iter().any(waits)
+    /// Whether a request that accepts a regional lease is unanswered, and no quorum of acceptors answered.
+    fn needs_regional_grants(&self, quorum: usize) -> bool {
+        let is_waiting = |request: &Request| request.regional && !request.answered;
+        self.grants.len() < quorum && self.requests.iter().any(is_waiting)
     }
 
     fn regional_proofs(&mut self) -> Vec<(ConnectionId, RegionalProof)> {
         let mut proofs = Vec::new();
-        let waits = |(_, request): &(usize, &mut Request)| request.regional && !request.answered;
-        for (index, request) in self.requests.iter_mut().enumerate().filter(waits) {
-            let fits = self.vouchers.values().filter(|grant| grant.allowed <= request.active);
-            let grants: Vec<RegionalGrant> = fits.take(VOUCHERS).copied().collect();
+        let is_waiting = |(_, request): &(usize, &mut Request)| request.regional && !request.answered;
+        for (index, request) in self.requests.iter_mut().enumerate().filter(is_waiting) {
+            let eligible = self.vouchers.values().filter(|grant| grant.allowed <= request.active);
+            let grants: Vec<RegionalGrant> = eligible.take(VOUCHERS).copied().collect();
             if grants.len() < VOUCHERS {
                 continue;
             }
@@ -196,7 +207,7 @@
         proofs
     }
 
-    /// Proofs with grants that are chosen by what a watcher acts on, for those that have none yet.
+    /// Proofs for the unanswered requests, with the grants that `choose` selects for each active revision.
     fn proofs(
         &mut self, choose: impl Fn(&BTreeMap<MachineId, Grant>, Number) -> Option<Vec<Grant>>,
     ) -> Vec<(ConnectionId, LeaseProof)> {
--- a/crates/distribution/src/relay/session.rs
+++ b/crates/distribution/src/relay/session.rs
@@ -1,4 +1,4 @@
-//! What a relay knows of one watcher, and what goes out to it.
+//! The state of one watcher's connection, and the messages sent on it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,18 +14,20 @@
 use crate::token_bucket::TokenBucket;
 use crate::{ControllerId, Digest, Number};
 
-/// Bytes of snapshots and large deltas a second for one watcher, below its budget of 10 kB, and at once: what a controller that
-/// lost its disk needs of settings and a few thousand titles, so that it is current within the plan's 18 s.
+/// The rate of snapshots and large deltas to one watcher, below its budget of 10 kB/s.
 const BYTES_PER_SECOND: f64 = 8.0 * 1024.0;
-const BYTES_AT_ONCE: f64 = 256.0 * 1024.0;
-/// A delta of so many bytes goes out at once, whatever was sent before.
-const SMALL_DELTA: usize = 16 * 1024;
-/// Parts that a watcher has asked for and not been sent, at most: more than it asks for at once.
-const MOST_PARTS: usize = 128;
-/// The word to act is said again to one that asks for a lease on an older revision so long after it was sent.
-const ACTIVATE_AGAIN: Duration = Duration::from_secs(1);
-/// What the encoding adds to an entry or a digest, at most.
-const BESIDE: usize = 8;
+/// The burst: the settings and a few thousand titles, so that a controller that lost its disk is current
+/// within the planned 18 s.
+const BURST_BYTES: f64 = 256.0 * 1024.0;
+/// A delta of at most this many bytes is sent immediately, regardless of the rate limit.
+const SMALL_DELTA_BYTES: usize = 16 * 1024;
+/// The maximum number of requested parts that are not sent yet: more than a watcher requests at a time.
+const MAX_QUEUED_PARTS: usize = 128;
+/// If a watcher requests a lease for an older revision this long after an activation was sent, it is sent
+/// again.
+const ACTIVATION_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The maximum number of bytes that the encoding adds to an entry or a digest.
+const ENCODING_OVERHEAD_BYTES: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
 enum Part {
@@ -36,45 +38,46 @@
 struct Outstanding {
     number: Number,
     root: Digest,
-    /// What parts are asked of, for a snapshot. A state shares what did not change with later ones.
+    /// For a snapshot, the revision whose parts are requested. A state shares unchanged parts with later
+    /// ones.
     offer: Option<Arc<Revision>>,
-    /// When it was sent, or something of it was asked for or sent last.
-    moved_at: Duration,
+    /// When it was sent, or a part of it was last requested or sent.
+    last_activity_at: Duration,
 }
 
 /// A watcher that was admitted.
 pub(crate) struct Session {
     controller: ControllerId,
     active: Number,
-    held: Number,
+    prepared: Number,
     root: Digest,
     outstanding: Option<Outstanding>,
     parts: VecDeque<Part>,
     bytes: TokenBucket,
     unfit: Option<Number>,
-    /// The last word to act that was sent, and when.
+    /// The last activation that was sent, and when.
     activated: (Number, Duration),
 }
 
 impl Session {
     pub fn new(hello: Hello, now: Duration) -> Self {
-        let Hello { controller, active, held, root } = hello;
+        let Hello { controller, active, prepared, root } = hello;
         Self {
             controller,
             active,
-            held,
+            prepared,
             root,
             outstanding: None,
             parts: VecDeque::new(),
-            bytes: TokenBucket::new(BYTES_PER_SECOND, BYTES_AT_ONCE, now),
+            bytes: TokenBucket::new(BYTES_PER_SECOND, BURST_BYTES, now),
             unfit: None,
             activated: (0, Duration::ZERO),
         }
     }
 
-    /// The watcher says anew what it holds; what it may be sent a second stays.
-    pub fn begin_again(&mut self, hello: Hello) {
-        (self.active, self.held, self.root) = (hello.active, hello.held, hello.root);
+    /// The watcher sent `Hello` again on the same connection; its rate limit is not reset.
+    pub fn restart(&mut self, hello: Hello) {
+        (self.active, self.prepared, self.root) = (hello.active, hello.prepared, hello.root);
         (self.outstanding, self.unfit) = (None, None);
         self.parts.clear();
         self.activated = (0, Duration::ZERO);
@@ -84,134 +87,147 @@
         self.controller
     }
 
-    /// Where it still acts on an older one some time after the word to act was sent, it is said again.
-    pub fn acts_on(&mut self, now: Duration, active: Number) {
+    /// Records the active revision. If it is still an older one some time after an activation was sent, the
+    /// activation is sent again.
+    pub fn on_active_revision(&mut self, now: Duration, active: Number) {
         self.active = active;
-        let (number, at) = self.activated;
-        if active < number && now >= at + ACTIVATE_AGAIN {
+        let (number, sent_at) = self.activated;
+        if active < number && now >= sent_at + ACTIVATION_RETRY_INTERVAL {
             self.activated = (0, now);
         }
     }
 
-    pub fn has(&self, number: Number) -> bool {
-        self.held >= number
+    pub fn has_prepared(&self, number: Number) -> bool {
+        self.prepared >= number
     }
 
-    /// Whether nothing more is to be waited for.
-    pub fn is_done_with(&self, number: Number) -> bool {
-        self.has(number) || self.unfit >= Some(number)
+    /// Whether the relay need not wait for the watcher to prepare this revision.
+    pub fn is_finished_with(&self, number: Number) -> bool {
+        self.has_prepared(number) || self.unfit >= Some(number)
     }
 
-    /// Whether an update is not acknowledged, nor parts of it asked for, for so long.
-    pub fn is_stuck(&self, now: Duration, silence: Duration) -> bool {
-        let stuck = |held: &Outstanding| self.parts.is_empty() && now >= held.moved_at + silence;
-        self.outstanding.as_ref().is_some_and(stuck)
+    /// Whether for this long an update was not acknowledged, and no parts of it were requested.
+    pub fn is_stalled(&self, now: Duration, silence: Duration) -> bool {
+        let is_stalled = |outstanding: &Outstanding| {
+            self.parts.is_empty() && now >= outstanding.last_activity_at + silence
+        };
+        self.outstanding.as_ref().is_some_and(is_stalled)
     }
 
-    pub fn prepared(&mut self, number: Number, ledger: &Ledger) {
-        if let Some(held) = self.outstanding.take_if(|held| held.number <= number) {
+    pub fn on_prepared(&mut self, number: Number, ledger: &Ledger) {
+        if let Some(outstanding) = self.outstanding.take_if(|outstanding| outstanding.number <= number) {
             self.parts.clear();
-            if held.number == number {
-                (self.held, self.root) = (number, held.root);
+            if outstanding.number == number {
+                (self.prepared, self.root) = (number, outstanding.root);
                 return;
             }
         }
-        if number > self.held {
-            // From another relay, say.
-            (self.held, self.root) = (number, ledger.root_of(number).unwrap_or_default());
+        if number > self.prepared {
+            // It came from another relay, for example.
+            (self.prepared, self.root) = (number, ledger.root_of(number).unwrap_or_default());
         }
     }
 
-    pub fn unfit(&mut self, number: Number) {
+    pub fn on_unfit(&mut self, number: Number) {
         self.unfit = Some(number);
         self.outstanding = None;
         self.parts.clear();
     }
 
     /// # Errors
-    /// Where there are no such parts, or too many are asked for.
-    pub fn ask_parts(&mut self, now: Duration, groups: &[u8], buckets: &[u16]) -> Result<(), CloseReason> {
+    /// If there are no such parts, or too many are requested.
+    pub fn queue_parts(&mut self, now: Duration, groups: &[u8], buckets: &[u16]) -> Result<(), CloseReason> {
         if groups.iter().any(|group| *group >= GROUPS) || buckets.iter().any(|bucket| *bucket >= BUCKETS) {
             return Err(CloseReason::Protocol);
         }
-        // Where nothing is offered any more, they were asked for before that was known.
-        let Some(held) = self.outstanding.as_mut().filter(|held| held.offer.is_some()) else { return Ok(()) };
-        if self.parts.len() + groups.len() + buckets.len() > MOST_PARTS {
+        // If no snapshot is offered any more, the request was sent before the watcher knew that.
+        let Some(outstanding) = self.outstanding.as_mut().filter(|outstanding| outstanding.offer.is_some())
+        else {
+            return Ok(());
+        };
+        if self.parts.len() + groups.len() + buckets.len() > MAX_QUEUED_PARTS {
             return Err(CloseReason::Flood);
         }
-        held.moved_at = now;
+        outstanding.last_activity_at = now;
         self.parts.extend(groups.iter().copied().map(Part::Group));
         self.parts.extend(buckets.iter().copied().map(Part::Bucket));
         Ok(())
     }
 
-    /// Sends the latest revision, if none is outstanding, and parts of what is, as far as the bytes go.
+    /// Sends the latest revision if none is outstanding, and requested parts as far as the rate limits allow.
     pub fn update(
-        &mut self, now: Duration, ledger: &Ledger, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>,
+        &mut self, now: Duration, ledger: &Ledger, shared_bytes: &mut TokenBucket, out: &mut Vec<ToWatcher>,
     ) {
-        let behind = ledger.number() > self.held && self.unfit < Some(ledger.number());
+        let behind = ledger.number() > self.prepared && self.unfit < Some(ledger.number());
         if self.outstanding.is_none() && behind {
-            self.offer(now, ledger, of_all, out);
+            self.offer(now, ledger, shared_bytes, out);
         }
-        self.send_parts(now, of_all, out);
+        self.send_parts(now, shared_bytes, out);
     }
 
-    fn offer(&mut self, now: Duration, ledger: &Ledger, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>) {
-        let allowed = ledger.allowed_before(self.active, self.held);
+    fn offer(
+        &mut self, now: Duration, ledger: &Ledger, shared_bytes: &mut TokenBucket, out: &mut Vec<ToWatcher>,
+    ) {
+        let allowed = ledger.allowed_for(self.active, self.prepared);
         let latest = allowed.unwrap_or(ledger.latest());
-        let delta = ledger.delta(self.held, &self.root).filter(|_| allowed.is_none());
+        let delta = ledger.delta(self.prepared, &self.root).filter(|_| allowed.is_none());
         let offer = delta.is_none().then(|| latest.clone());
         let Some(message) = delta.or_else(|| latest.snapshot()) else { return };
-        let bytes = size(&message);
-        if bytes > SMALL_DELTA && !(self.bytes.has_tokens(now) && of_all.has_tokens(now)) {
+        let bytes = message_bytes(&message);
+        if bytes > SMALL_DELTA_BYTES && !(self.bytes.has_tokens(now) && shared_bytes.has_tokens(now)) {
             return;
         }
-        self.spend(now, bytes, of_all);
+        self.spend(now, bytes, shared_bytes);
         let (number, root) = (latest.number, latest.state.root());
-        self.outstanding = Some(Outstanding { number, root, offer, moved_at: now });
+        self.outstanding = Some(Outstanding { number, root, offer, last_activity_at: now });
         out.push(message);
     }
 
-    fn spend(&mut self, now: Duration, bytes: usize, of_all: &mut TokenBucket) {
+    fn spend(&mut self, now: Duration, bytes: usize, shared_bytes: &mut TokenBucket) {
         self.bytes.spend(now, bytes as f64);
-        of_all.spend(now, bytes as f64);
+        shared_bytes.spend(now, bytes as f64);
     }
 
-    fn send_parts(&mut self, now: Duration, of_all: &mut TokenBucket, out: &mut Vec<ToWatcher>) {
-        let Some(offer) = self.outstanding.as_ref().and_then(|held| held.offer.clone()) else { return };
-        while self.bytes.has_tokens(now) && of_all.has_tokens(now) {
+    fn send_parts(&mut self, now: Duration, shared_bytes: &mut TokenBucket, out: &mut Vec<ToWatcher>) {
+        let Some(offer) = self.outstanding.as_ref().and_then(|outstanding| outstanding.offer.clone()) else {
+            return;
+        };
+        while self.bytes.has_tokens(now) && shared_bytes.has_tokens(now) {
             let message = match self.parts.pop_front() {
                 None => return,
                 Some(Part::Group(group)) => offer.group(group),
                 Some(Part::Bucket(bucket)) => offer.bucket(bucket),
             };
-            self.spend(now, size(&message), of_all);
-            self.outstanding.iter_mut().for_each(|held| held.moved_at = now);
+            self.spend(now, message_bytes(&message), shared_bytes);
+            self.outstanding.iter_mut().for_each(|outstanding| outstanding.last_activity_at = now);
             out.push(message);
         }
     }
 
-    /// The word to act, if the watcher has that revision and acts on an older one.
-    pub fn activate(&mut self, now: Duration, number: Number, goes: &[ActivationGrant]) -> Option<ToWatcher> {
-        if number <= self.activated.0 || self.active >= number || !self.has(number) {
+    /// The activation of a revision, if the watcher has prepared it and acts on an older one.
+    pub fn activate(
+        &mut self, now: Duration, number: Number, activation_grants: &[ActivationGrant],
+    ) -> Option<ToWatcher> {
+        if number <= self.activated.0 || self.active >= number || !self.has_prepared(number) {
             return None;
         }
         self.activated = (number, now);
-        Some(ToWatcher::Activate { number, activation_grants: goes.to_vec() })
+        Some(ToWatcher::Activate { number, activation_grants: activation_grants.to_vec() })
     }
 }
 
-/// About the bytes of a message that carries state.
-fn size(message: &ToWatcher) -> usize {
+/// The approximate size in bytes of a message that carries state.
+fn message_bytes(message: &ToWatcher) -> usize {
     match message {
         ToWatcher::Delta { edits, .. } => {
-            let edit = |value: &Option<Vec<u8>>| value.as_ref().map_or(0, Vec::len) + BESIDE;
-            edits.iter().map(|of| of.key.len() + edit(&of.value)).sum()
+            let edit_bytes =
+                |value: &Option<Vec<u8>>| value.as_ref().map_or(0, Vec::len) + ENCODING_OVERHEAD_BYTES;
+            edits.iter().map(|edit| edit.key.len() + edit_bytes(&edit.value)).sum()
         }
         ToWatcher::Snapshot { groups, .. } => groups.len() * size_of::<Digest>(),
-        ToWatcher::Group { buckets, .. } => buckets.len() * (size_of::<Digest>() + BESIDE),
+        ToWatcher::Group { buckets, .. } => buckets.len() * (size_of::<Digest>() + ENCODING_OVERHEAD_BYTES),
         ToWatcher::Bucket { entries, .. } => {
-            entries.iter().map(|entry| entry.key.len() + entry.value.len() + BESIDE).sum()
+            entries.iter().map(|entry| entry.key.len() + entry.value.len() + ENCODING_OVERHEAD_BYTES).sum()
         }
         _ => 0,
     }
