--- a/crates/distribution/src/tests/change.rs
+++ b/crates/distribution/src/tests/change.rs
@@ -4,8 +4,8 @@
 use quickcheck::{Gen, QuickCheck};
 
 use super::edits::{plain, put, removal, titles, AnyEdit};
-use super::hand::DigestHand;
 use super::sample::change;
+use super::signer::DigestSigner;
 use crate::change::{
     admit, author_key, last_sequence, Batch, BatchFault, BuiltBatch, Change, ChangeId, History, Limits,
     Rejection, Summary, MAX_BATCH_BYTES, MAX_CHANGES, MAX_CHANGE_BYTES, MAX_EDITS, MAX_KEYS, SUMMARY_BYTES,
@@ -59,12 +59,12 @@
     }
 }
 
-fn signer() -> DigestHand {
-    DigestHand::new(0, 7)
+fn signer() -> DigestSigner {
+    DigestSigner::new(0, 7)
 }
 
-fn without_author(author: u16) -> DigestHand {
-    DigestHand { revoked: [author].into(), ..signer() }
+fn without_author(author: u16) -> DigestSigner {
+    DigestSigner { revoked: [author].into(), ..signer() }
 }
 
 fn id(author: u16, sequence: u64) -> ChangeId {
--- a/crates/distribution/src/tests/control/acceptor.rs
+++ b/crates/distribution/src/tests/control/acceptor.rs
@@ -1,5 +1,5 @@
-//! What an acceptor votes for: only a batch that it holds, all changes of which are admitted, and that leads to the root that is
-//! named.
+//! Tests of what an acceptor votes for: only a batch that it has, whose changes are all admitted, and that
+//! results in the root of its summary.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use badgerledge_revisions::{Ballot, Head};
 
 use super::super::edits::{entry, put};
-use super::super::hand::DigestHand;
 use super::super::sample::change;
+use super::super::signer::DigestSigner;
 use crate::change::{Batch, Change, Summary};
 use crate::control::{Config, ControlMachine, ControlOutput, Stored, StoredItem};
 use crate::message::PeerMessage;
@@ -24,40 +24,40 @@
 }
 
 struct Acceptor {
-    machine: ControlMachine<DigestHand>,
+    machine: ControlMachine<DigestSigner>,
     now: Duration,
 }
 
 impl Acceptor {
     fn new() -> Self {
         let now = Duration::from_secs(1000);
-        let hand = DigestHand::new(0, ACCEPTORS);
-        let machine = ControlMachine::new(Config::new(0, 1), hand, Stored::founding(), genesis(), 1, now);
+        let signer = DigestSigner::new(0, ACCEPTORS);
+        let machine = ControlMachine::new(Config::new(0, 1), signer, Stored::founding(), genesis(), 1, now);
         Self { machine, now }
     }
 
-    fn hear(&mut self, message: PeerMessage) -> Vec<ControlOutput> {
+    fn receive(&mut self, message: PeerMessage) -> Vec<ControlOutput> {
         let mut out = Vec::new();
         self.machine.peer_message(self.now, PROPOSER, message, &mut out);
         out
     }
 
-    fn hear_word(&mut self, word: Message) -> Vec<ControlOutput> {
-        self.hear(PeerMessage::Agreement(word.write()))
+    fn receive_agreement(&mut self, message: Message) -> Vec<ControlOutput> {
+        self.receive(PeerMessage::Agreement(message.write()))
     }
 
-    /// Proposes a summary as the next revision's, and gives what the acceptor does about it.
+    /// Proposes a summary as the next revision, and returns the acceptor's outputs.
     fn propose(&mut self, round: u32, summary: &Summary) -> Vec<ControlOutput> {
         let head = Head::new(1, [0; 32], PROPOSER, &summary.text());
-        let signature = DigestHand::new(PROPOSER, ACCEPTORS).sign(&head.signed_bytes());
+        let signature = DigestSigner::new(PROPOSER, ACCEPTORS).sign(&head.signed_bytes());
         let ballot = Ballot { round, proposer: PROPOSER, incarnation: 1 };
-        self.hear_word(Message::Prepare { number: 1, ballot });
-        self.hear_word(Message::Head(Signed { head, signature }));
-        self.hear_word(Message::Accept { number: 1, ballot, digest: head.digest() })
+        self.receive_agreement(Message::Prepare { number: 1, ballot });
+        self.receive_agreement(Message::Head(Signed { head, signature }));
+        self.receive_agreement(Message::Accept { number: 1, ballot, digest: head.digest() })
     }
 }
 
-fn votes(out: &[ControlOutput]) -> bool {
+fn has_vote(out: &[ControlOutput]) -> bool {
     out.iter().any(|output| match output {
         ControlOutput::ToPeer(_, PeerMessage::Agreement(bytes)) => {
             matches!(Message::read(bytes), Some(Message::Vote(_)))
@@ -66,11 +66,11 @@
     })
 }
 
-fn asks_for_batch(out: &[ControlOutput]) -> bool {
+fn requests_batch(out: &[ControlOutput]) -> bool {
     out.iter().any(|output| matches!(output, ControlOutput::ToPeer(PROPOSER, PeerMessage::GetBatch { .. })))
 }
 
-/// A batch of these changes as its proposer sends it.
+/// The summary and encoding of a batch of these changes, as its proposer sends them.
 fn batch_of(number: u32, previous: &State, changes: Vec<Change>) -> (Summary, Vec<u8>) {
     let batch = Batch { number, previous_root: previous.root(), changes };
     let mut state = previous.clone();
@@ -85,71 +85,75 @@
 }
 
 #[test]
-fn it_votes_once_it_holds_a_batch_in_order_and_stores_it_before() {
+fn it_stores_a_valid_batch_and_then_votes_for_it() {
     let (summary, bytes) = batch_of(1, &genesis(), vec![change(1, 1, 0, vec![put("title 1", "new")])]);
     let mut acceptor = Acceptor::new();
-    let without = acceptor.propose(1, &summary);
-    assert!(!votes(&without) && asks_for_batch(&without));
-    let out = acceptor.hear(PeerMessage::Batch { summary, bytes: bytes.clone() });
+    let without_batch = acceptor.propose(1, &summary);
+    assert!(!has_vote(&without_batch) && requests_batch(&without_batch));
+    let out = acceptor.receive(PeerMessage::Batch { summary, bytes: bytes.clone() });
     let stored = StoredItem::Batch { number: 1, summary, bytes };
     assert!(out.contains(&ControlOutput::Store(stored)));
-    let with = acceptor.propose(2, &summary);
-    assert!(votes(&with));
-    let vote = with.iter().position(|output| votes(std::slice::from_ref(output)));
+    let with_batch = acceptor.propose(2, &summary);
+    assert!(has_vote(&with_batch));
+    let vote = with_batch.iter().position(|output| has_vote(std::slice::from_ref(output)));
     let agreement = |output: &ControlOutput| matches!(output, ControlOutput::Store(StoredItem::Agreement(_)));
-    assert!(with.iter().position(agreement) < vote, "what it signed is on its disk before");
+    assert!(with_batch.iter().position(agreement) < vote, "its vote must be stored before it is sent");
 }
 
 #[test]
-fn it_votes_for_no_batch_that_is_not_in_order() {
-    let good = || change(1, 1, 0, vec![put("title 1", "new")]);
-    let mut forged = good();
+fn it_votes_for_no_invalid_batch() {
+    let valid = || change(1, 1, 0, vec![put("title 1", "new")]);
+    let mut forged = valid();
     forged.signature[5] ^= 1;
     let mut reserved = vec![put("title 1", "new")];
     reserved[0].key = "\0author/1".to_owned();
     let other = State::from_entries([entry("title 1", b"other")]).unwrap();
-    let (mut wrong_root, bytes) = batch_of(1, &genesis(), vec![good()]);
+    let (mut wrong_root, bytes) = batch_of(1, &genesis(), vec![valid()]);
     wrong_root.root[0] ^= 1;
     let cases = [
         ("a forged change", batch_of(1, &genesis(), vec![forged])),
-        ("a base that there is not", batch_of(1, &genesis(), vec![change(1, 1, 5, good().edits)])),
-        ("the protocol's own key", batch_of(1, &genesis(), vec![change(1, 1, 0, reserved)])),
-        ("a change twice", batch_of(1, &genesis(), vec![good(), good()])),
-        ("two of one key", batch_of(1, &genesis(), vec![good(), change(2, 1, 0, good().edits)])),
+        ("a base that does not exist", batch_of(1, &genesis(), vec![change(1, 1, 5, valid().edits)])),
+        ("a reserved key", batch_of(1, &genesis(), vec![change(1, 1, 0, reserved)])),
+        ("a change twice", batch_of(1, &genesis(), vec![valid(), valid()])),
+        ("two changes of one key", batch_of(1, &genesis(), vec![valid(), change(2, 1, 0, valid().edits)])),
         ("no changes", batch_of(1, &genesis(), vec![])),
-        ("another state", batch_of(1, &other, vec![good()])),
-        ("another number", batch_of(2, &genesis(), vec![good()])),
+        ("another state", batch_of(1, &other, vec![valid()])),
+        ("another number", batch_of(2, &genesis(), vec![valid()])),
         ("another root", (wrong_root, bytes)),
     ];
     for (case, (summary, bytes)) in cases {
         let mut acceptor = Acceptor::new();
-        acceptor.hear(PeerMessage::Batch { summary, bytes });
-        assert!(!votes(&acceptor.propose(1, &summary)), "{case}");
+        acceptor.receive(PeerMessage::Batch { summary, bytes });
+        assert!(!has_vote(&acceptor.propose(1, &summary)), "{case}");
         acceptor.now += Duration::from_secs(1);
-        assert!(!votes(&acceptor.propose(2, &summary)), "{case}, asked again");
-        // It goes on with a good one.
-        let (summary, bytes) = batch_of(1, &genesis(), vec![good()]);
-        acceptor.hear(PeerMessage::Batch { summary, bytes });
-        assert!(votes(&acceptor.propose(3, &summary)), "after {case}");
+        assert!(!has_vote(&acceptor.propose(2, &summary)), "{case}, second proposal");
+        // It still votes for a valid batch.
+        let (summary, bytes) = batch_of(1, &genesis(), vec![valid()]);
+        acceptor.receive(PeerMessage::Batch { summary, bytes });
+        assert!(has_vote(&acceptor.propose(3, &summary)), "after {case}");
     }
 }
 
-/// A head that another machine signed is none of the proposer's; bytes that are not the batch that a summary names are
-/// none.
+/// A head signed by another machine than its proposer is rejected, and so are bytes that do not match the
+/// summary.
 #[test]
-fn it_takes_no_head_or_batch_that_is_not_what_it_says() {
+fn it_rejects_heads_and_batches_that_do_not_match() {
     let (summary, bytes) = batch_of(1, &genesis(), vec![change(1, 1, 0, vec![put("title 1", "new")])]);
     let mut acceptor = Acceptor::new();
-    let mut torn = bytes.clone();
-    torn.pop();
-    acceptor.hear(PeerMessage::Batch { summary, bytes: torn });
-    assert!(!votes(&acceptor.propose(1, &summary)));
-    acceptor.hear(PeerMessage::Batch { summary, bytes });
+    let mut truncated = bytes.clone();
+    truncated.pop();
+    acceptor.receive(PeerMessage::Batch { summary, bytes: truncated });
+    assert!(!has_vote(&acceptor.propose(1, &summary)));
+    acceptor.receive(PeerMessage::Batch { summary, bytes });
     let head = Head::new(1, [0; 32], PROPOSER, &summary.text());
-    let signature = DigestHand::new(2, ACCEPTORS).sign(&head.signed_bytes());
+    let signature = DigestSigner::new(2, ACCEPTORS).sign(&head.signed_bytes());
     let ballot = Ballot { round: 9, proposer: PROPOSER, incarnation: 1 };
-    let mut fresh = Acceptor::new();
-    fresh.hear_word(Message::Prepare { number: 1, ballot });
-    fresh.hear_word(Message::Head(Signed { head, signature }));
-    assert!(!votes(&fresh.hear_word(Message::Accept { number: 1, ballot, digest: head.digest() })));
+    let mut other_acceptor = Acceptor::new();
+    other_acceptor.receive_agreement(Message::Prepare { number: 1, ballot });
+    other_acceptor.receive_agreement(Message::Head(Signed { head, signature }));
+    assert!(!has_vote(&other_acceptor.receive_agreement(Message::Accept {
+        number: 1,
+        ballot,
+        digest: head.digest()
+    })));
 }
--- a/crates/distribution/src/tests/control/changes.rs
+++ b/crates/distribution/src/tests/control/changes.rs
@@ -1,76 +1,82 @@
-//! What becomes of changes.
+//! Tests of the outcomes of changes.
 
 use super::super::edits::put;
 use super::super::net::{region_of, Net, Node};
-use super::{acted_on_in_time, settled, IN_FORCE_WITHIN};
+use super::{assert_active_in_time, settled_network, MAX_ACTIVATION_S};
 use crate::change::Rejection;
 
-/// Ten changes in 8.64 s, ten times the plan's mean, with 1 in 100 lost and 80 ms between regions.
+/// Ten changes in 8.64 s, ten times the planned mean rate, with 1 % loss and 80 ms between regions.
 #[test]
-fn changes_at_ten_times_the_mean_are_in_force_in_time() {
+fn changes_at_ten_times_the_mean_rate_are_active_in_time() {
     let mut net = Net::new(25, 7, 50, 1);
     net.run_for(10.0);
-    let begun = net.now;
+    let started_at = net.now;
     let mut pushes = Vec::new();
     for change in 0..10u16 {
         let at = change * 7 % 25;
         pushes.push((net.now, net.push(at, 1 + change % 3, vec![put(&format!("title {change}"), "new")])));
         net.run_for(0.864);
     }
-    let mut worst = 0.0f64;
+    let mut worst_s = 0.0f64;
     for (pushed_at, push) in pushes {
-        while net.seen.outcome(push).is_none() {
+        while net.observed.outcome(push).is_none() {
             net.run_for(0.05);
         }
-        let outcome = net.seen.outcome(push).cloned();
+        let outcome = net.observed.outcome(push).cloned();
         let Some(Ok(number)) = outcome else { panic!("{outcome:?}") };
-        let by_all = net.seen.acted_by_all(number, 50);
-        while net.seen.acted_by_all(number, 50).is_none() {
+        let by_all = net.observed.active_at_all(number, 50);
+        while net.observed.active_at_all(number, 50).is_none() {
             net.run_for(0.05);
-            assert!((net.now - pushed_at).as_secs_f64() < IN_FORCE_WITHIN, "{:?}", net.active());
+            assert!((net.now - pushed_at).as_secs_f64() < MAX_ACTIVATION_S, "{:?}", net.active());
         }
-        let at = by_all.or(net.seen.acted_by_all(number, 50)).expect("all act");
-        worst = worst.max((at - pushed_at).as_secs_f64());
+        let at = by_all.or(net.observed.active_at_all(number, 50)).expect("all act");
+        worst_s = worst_s.max((at - pushed_at).as_secs_f64());
     }
-    println!("the last of 50 watchers acts {worst:.2} s after a push, {:?} in all", net.now - begun);
-    assert!(worst < IN_FORCE_WITHIN);
+    println!(
+        "the last of 50 watchers is active {worst_s:.2} s after a push, {:?} in all",
+        net.now - started_at
+    );
+    assert!(worst_s < MAX_ACTIVATION_S);
     net.check("ten times the mean");
 }
 
-/// On the side without a quorum of acceptors nothing is taken, and its author learns that it is not known; on the other side the
-/// other author's change is taken. When the split is over the two states are one.
+/// On the side of a partition without a quorum of acceptors no change is accepted, and the author gets the
+/// outcome unknown; on the other side the other author's change is accepted. After the partition both sides
+/// have the same state.
 #[test]
 fn two_authors_on_both_sides_of_a_split() {
-    let mut net = settled(6, 5, 18, 13);
+    let mut net = settled_network(6, 5, 18, 13);
     net.split(|node| region_of(node) == 2);
-    let alone = net.push(2, 1, vec![put("title 1", "alone")]);
-    let most = net.push(0, 2, vec![put("title 1", "most")]);
+    let minority = net.push(2, 1, vec![put("title 1", "minority")]);
+    let majority = net.push(0, 2, vec![put("title 1", "majority")]);
     net.run_for(14.0);
-    assert_eq!(net.seen.outcome(most), Some(&Ok(2)));
-    assert_eq!(net.seen.outcome(alone), Some(&Err(Rejection::Unknown)));
+    assert_eq!(net.observed.outcome(majority), Some(&Ok(2)));
+    assert_eq!(net.observed.outcome(minority), Some(&Err(Rejection::Unknown)));
     net.cut.clear();
     net.run_for(40.0);
-    assert_eq!(net.machine(2).state().get("title 1"), Some(&b"most"[..]));
+    assert_eq!(net.machine(2).state().get("title 1"), Some(&b"majority"[..]));
     net.check("split");
 }
 
-/// Changes of one key against one base: one is taken, the other one's author learns which revision changed the key.
+/// Of two changes of one key with the same base one is accepted. The author of the other is told which
+/// revision changed the key.
 #[test]
 fn of_two_changes_of_a_key_one_is_rejected_and_others_go_in_one_batch() {
-    let mut net = settled(5, 3, 6, 14);
+    let mut net = settled_network(5, 3, 6, 14);
     let pushes = [(1, "title 1"), (2, "title 1"), (3, "title 2")]
         .map(|(author, key)| net.push(author, author, vec![put(key, "new")]));
     net.run_for(6.0);
-    let outcomes = pushes.map(|push| net.seen.outcome(push).cloned());
+    let outcomes = pushes.map(|push| net.observed.outcome(push).cloned());
     let conflict = Err(Rejection::Conflict { key: "title 1".to_owned(), base: 1, changed_in: 2 });
     assert_eq!(outcomes, [Some(Ok(2)), Some(conflict), Some(Ok(2))]);
     net.check("one key");
 }
 
-/// The same change pushed at several machines, and again later, is applied once, and its author hears the same.
+/// The same change is pushed to several machines, and again later: it is applied once, and each push gets the
+/// same outcome.
 #[test]
 fn a_change_that_is_pushed_again_is_applied_once() {
-    let mut net = settled(5, 3, 6, 15);
+    let mut net = settled_network(5, 3, 6, 15);
     let first = net.push(1, 1, vec![put("title 1", "new")]);
     let change = net.changes.last().cloned().unwrap();
     let second = net.push_change(4, change.clone());
@@ -79,48 +85,49 @@
     net.push(2, 1, vec![put("title 1", "newer")]);
     net.run_for(6.0);
     for push in [first, second, later] {
-        assert_eq!(net.seen.outcome(push), Some(&Ok(2)));
+        assert_eq!(net.observed.outcome(push), Some(&Ok(2)));
     }
-    assert_eq!(net.seen.highest(), 3);
+    assert_eq!(net.observed.highest(), 3);
     net.check("pushed again");
 }
 
-/// A change of an author whose key was revoked is rejected; one that an acceptor had voted for may still be certified, and stops
-/// nothing.
+/// A change by an author whose key was revoked is rejected. One that an acceptor had voted for before may
+/// still be certified, and blocks no later change.
 #[test]
 fn an_authors_key_is_revoked_in_the_middle_of_a_change() {
     for after in [0.0, 0.2, 0.3, 0.4, 0.5] {
-        let mut net = settled(5, 3, 6, 16);
+        let mut net = settled_network(5, 3, 6, 16);
         net.push(4, 1, vec![put("title 1", "stolen")]);
         net.run_for(after);
         net.revoke(1);
         let other = net.push(3, 2, vec![put("title 2", "new")]);
         net.run_for(16.0);
-        assert!(matches!(net.seen.outcome(other), Some(Ok(2 | 3))), "{:?}", net.seen.outcome(other));
+        assert!(matches!(net.observed.outcome(other), Some(Ok(2 | 3))), "{:?}", net.observed.outcome(other));
         let after_it = net.push(3, 1, vec![put("title 3", "stolen")]);
         net.run_for(2.0);
-        assert_eq!(net.seen.outcome(after_it), Some(&Err(Rejection::Author(1))));
+        assert_eq!(net.observed.outcome(after_it), Some(&Err(Rejection::Author(1))));
         net.check("revoked");
     }
 }
 
-/// A change against a revision that its relay does not know yet waits for it; against one that there is not, it is rejected.
+/// A change whose base revision is not yet known to its relay waits for it; if there is no such revision, it
+/// is rejected.
 #[test]
 fn a_change_against_a_later_revision_waits_for_it() {
-    let mut net = settled(5, 3, 6, 17);
+    let mut net = settled_network(5, 3, 6, 17);
     let early = net.push_on(4, 2, 2, vec![put("title 5", "early")]);
     net.push(0, 1, vec![put("title 1", "new")]);
     let never = net.push_on(4, 3, 40, vec![put("title 5", "never")]);
     net.run_for(12.0);
-    assert_eq!(net.seen.outcome(early), Some(&Ok(3)));
-    assert_eq!(net.seen.outcome(never), Some(&Err(Rejection::BaseAhead(40, 3))));
+    assert_eq!(net.observed.outcome(early), Some(&Ok(3)));
+    assert_eq!(net.observed.outcome(never), Some(&Err(Rejection::BaseAhead(40, 3))));
     net.check("a later revision");
 }
 
-/// Two acceptors that both take themselves for the one that makes batches, since they don't hear each other.
+/// Two acceptors that cannot reach each other both build batches: all changes are still accepted.
 #[test]
-fn two_sequencers_at_once_get_on() {
-    let mut net = settled(5, 5, 10, 18);
+fn two_sequencers_at_once_make_progress() {
+    let mut net = settled_network(5, 5, 10, 18);
     net.cut.extend([(Node::Machine(0), Node::Machine(1)), (Node::Machine(1), Node::Machine(0))]);
     net.run_for(4.0);
     let mut pushes = Vec::new();
@@ -130,22 +137,22 @@
         net.run_for(2.0);
     }
     net.run_for(20.0);
-    let taken = pushes.iter().filter(|push| matches!(net.seen.outcome(**push), Some(Ok(_)))).count();
-    assert_eq!(taken, 12);
+    let accepted = pushes.iter().filter(|push| matches!(net.observed.outcome(**push), Some(Ok(_)))).count();
+    assert_eq!(accepted, 12);
     net.cut.clear();
-    let highest = net.seen.highest();
-    acted_on_in_time(&mut net, highest);
+    let highest = net.observed.highest();
+    assert_active_in_time(&mut net, highest);
     net.check("two sequencers");
 }
 
-/// Has all machines refuse a state in which titles 1 and 2 are both new.
+/// Makes all machines reject a state in which titles 1 and 2 are both new.
 fn refuse_titles_1_and_2_together(net: &mut Net) {
-    for me in 0..5 {
-        net.with_machine(me, |machine, _, _| {
+    for node_id in 0..5 {
+        net.with_machine(node_id, |machine, _, _| {
             machine.set_state_check(Box::new(|_, after| {
                 let is_new = |key: &str| after.get(key) == Some(b"new");
                 match is_new("title 1") && is_new("title 2") {
-                    true => Err("titles 1 and 2 can't both be new".to_owned()),
+                    true => Err("titles 1 and 2 cannot both be new".to_owned()),
                     false => Ok(()),
                 }
             }));
@@ -153,11 +160,11 @@
     }
 }
 
-/// Two changes that fit alone and not together, pushed at once: one is taken, the other one is rejected with the reason, and
-/// those that have nothing to do with them are taken.
+/// Two changes that are valid alone but not together are pushed at the same time: one is accepted, the other
+/// is rejected with the reason, and unrelated changes are accepted.
 #[test]
-fn of_two_changes_that_do_not_fit_together_one_is_rejected() {
-    let mut net = settled(5, 3, 6, 23);
+fn of_two_changes_that_are_invalid_together_one_is_rejected() {
+    let mut net = settled_network(5, 3, 6, 23);
     refuse_titles_1_and_2_together(&mut net);
     let pushes = [
         net.push(0, 1, vec![put("title 1", "new")]),
@@ -166,11 +173,11 @@
         net.push(3, 4, vec![put("title 4", "new")]),
     ];
     net.run_for(15.0);
-    let outcomes = pushes.map(|push| net.seen.outcome(push).cloned());
+    let outcomes = pushes.map(|push| net.observed.outcome(push).cloned());
     let refused = |outcome: &&Option<_>| matches!(outcome, Some(Err(Rejection::State(_))));
-    let taken = |outcome: &&Option<_>| matches!(outcome, Some(Ok(_)));
+    let accepted = |outcome: &&Option<_>| matches!(outcome, Some(Ok(_)));
     assert_eq!(outcomes[..2].iter().filter(refused).count(), 1, "{outcomes:?}");
-    assert_eq!(outcomes.iter().filter(taken).count(), 3, "{outcomes:?}");
+    assert_eq!(outcomes.iter().filter(accepted).count(), 3, "{outcomes:?}");
     net.run_for(20.0);
-    net.check("changes that don't fit together");
+    net.check("changes that are invalid together");
 }
--- a/crates/distribution/src/tests/control/watchers.rs
+++ b/crates/distribution/src/tests/control/watchers.rs
@@ -1,73 +1,76 @@
-//! Watchers that change their relay, are slow, or start at once.
+//! Tests of watchers that change their relay, are slow, or restart at the same time.
 
 use std::time::Duration;
 
 use super::super::edits::put;
 use super::super::net::{region_of, Node};
-use super::{acted_on_in_time, settled};
+use super::{assert_active_in_time, settled_network};
 use crate::MachineId;
 
-/// Between hearing of a revision and acting on it a watcher loses its relay.
+/// A watcher loses its relay between receiving a revision and activating it.
 #[test]
 fn a_watcher_changes_its_relay_in_the_middle_of_a_change() {
     for after in [0.2, 0.4, 0.5, 0.6, 0.8] {
-        let mut net = settled(5, 3, 12, 20);
+        let mut net = settled_network(5, 3, 12, 20);
         net.push(0, 1, vec![put("title 1", "new")]);
         net.run_for(after);
-        // Its relay is the only one that it can't reach any more.
-        let serving = (0..5 as MachineId).max_by_key(|me| net.machine(*me).status(net.now).watchers).unwrap();
+        // Only the connection to the watcher's current relay is cut.
+        let serving =
+            (0..5 as MachineId).max_by_key(|node_id| net.machine(*node_id).status(net.now).watchers).unwrap();
         net.cut.insert((Node::Watcher(4), Node::Machine(serving)));
         net.cut.insert((Node::Machine(serving), Node::Watcher(4)));
-        acted_on_in_time(&mut net, 2);
+        assert_active_in_time(&mut net, 2);
         net.check("another relay");
     }
 }
 
-/// One that stands still is waited for a bounded time, holds back when it wakes, and is then given the newest in one step.
+/// A stalled watcher is waited for a limited time, must not act when it resumes, and then gets the newest
+/// revision in one step.
 #[test]
-fn a_slow_watcher_is_given_the_newest() {
-    let mut net = settled(5, 3, 12, 21);
+fn a_slow_watcher_gets_the_newest_revision() {
+    let mut net = settled_network(5, 3, 12, 21);
     net.watchers[5].stalled_until = net.now + Duration::from_secs(25);
     for revision in 2..5 {
         net.push(0, 1, vec![put("title 1", &revision.to_string())]);
-        let begun = net.now;
-        while net.behind() != [5] || net.seen.highest() < revision {
+        let started_at = net.now;
+        while net.lagging() != [5] || net.observed.highest() < revision {
             net.run_for(0.05);
-            assert!(net.now < begun + Duration::from_secs(8), "{:?}", net.active());
+            assert!(net.now < started_at + Duration::from_secs(8), "{:?}", net.active());
         }
     }
-    let deltas = net.seen.deltas;
-    acted_on_in_time(&mut net, 4);
-    assert!(net.seen.deltas - deltas <= 3, "{} deltas", net.seen.deltas - deltas);
+    let deltas = net.observed.deltas;
+    assert_active_in_time(&mut net, 4);
+    assert!(net.observed.deltas - deltas <= 3, "{} deltas", net.observed.deltas - deltas);
     net.check("slow watcher");
 }
 
-/// Half of a zone's watchers restart at once, half of them without disks, in the middle of a change.
+/// Half of a zone's watchers restart at once in the middle of a change, half of these without their disks.
 #[test]
 fn half_of_a_zone_restarts_at_once() {
-    let mut net = settled(6, 3, 60, 22);
-    let half: Vec<u32> = (0..60).filter(|me| region_of(Node::Watcher(*me)) == 0 && me % 2 == 0).collect();
+    let mut net = settled_network(6, 3, 60, 22);
+    let half: Vec<u32> =
+        (0..60).filter(|node_id| region_of(Node::Watcher(*node_id)) == 0 && node_id % 2 == 0).collect();
     net.push(1, 1, vec![put("title 1", "new")]);
     net.run_for(0.3);
-    half.iter().for_each(|me| net.kill_watcher(*me, me % 4 == 0));
-    half.iter().for_each(|me| net.start_watcher(*me));
-    acted_on_in_time(&mut net, 2);
+    half.iter().for_each(|node_id| net.kill_watcher(*node_id, node_id % 4 == 0));
+    half.iter().for_each(|node_id| net.start_watcher(*node_id));
+    assert_active_in_time(&mut net, 2);
     net.check("half a zone");
 }
 
-/// A watcher without a disk whose stream breaks again and again while it gets a snapshot goes on where it was.
+/// A watcher without its disk continues a snapshot where it was, although its stream breaks again and again.
 #[test]
-fn a_snapshot_is_cut_off_halfway() {
-    let mut net = settled(5, 3, 4, 23);
-    // The log no longer reaches the program's own file.
+fn an_interrupted_snapshot_is_continued() {
+    let mut net = settled_network(5, 3, 4, 23);
+    // The machines' logs no longer reach back to revision 0, which the watcher starts from.
     let many = (0..1000).map(|n| put(&format!("big {n}"), &"x".repeat(100))).collect::<Vec<_>>();
     for (round, chunk) in many.chunks(250).enumerate() {
         net.push(0, 1, chunk.to_vec());
-        acted_on_in_time(&mut net, 2 + round as u32);
+        assert_active_in_time(&mut net, 2 + round as u32);
     }
-    (0..5).for_each(|me| net.kill_machine(me, false));
+    (0..5).for_each(|node_id| net.kill_machine(node_id, false));
     net.forget_logs();
-    (0..5).for_each(|me| net.start_machine(me));
+    (0..5).for_each(|node_id| net.start_machine(node_id));
     net.run_for(10.0);
     net.kill_watcher(2, true);
     net.start_watcher(2);
@@ -75,10 +78,10 @@
         net.run_for(2.0);
         net.break_streams_of(Node::Watcher(2));
     }
-    let buckets = net.seen.buckets;
+    let buckets = net.observed.buckets;
     assert!(buckets > 0, "it was cut off before anything came");
     net.run_until_acting(5, 60.0);
     let distinct = 1000;
-    assert!(net.seen.buckets <= distinct + 150, "{} buckets were sent", net.seen.buckets);
+    assert!(net.observed.buckets <= distinct + 150, "{} buckets were sent", net.observed.buckets);
     net.check("a snapshot cut off");
 }
--- a/crates/distribution/src/tests/lease.rs
+++ b/crates/distribution/src/tests/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::certified::{good_proof, hand, proof};
+use super::certified::{good_proof, proof, signer};
 use crate::lease::{
     contradiction_bound, leaf, root_of_path, Grant, LeaseFault, NonceTree, LEASE, MAX_DEPTH, MAX_GRANTS,
 };
@@ -72,7 +72,7 @@
 }
 
 fn check_grants(grants: &[(MachineId, Number)]) -> Result<(), LeaseFault> {
-    proof(&[(1, [1; 16]), (2, [2; 16])], 1, grants).check(2, 10, &hand(0))
+    proof(&[(1, [1; 16]), (2, [2; 16])], 1, grants).check(2, 10, &signer(0))
 }
 
 #[test]
@@ -102,24 +102,24 @@
     for forge in forgeries {
         let mut forged = valid.clone();
         forge(&mut forged.grants[1]);
-        assert_eq!(forged.check(2, 10, &hand(0)), Err(LeaseFault::Unsigned(1, 2, 3)));
+        assert_eq!(forged.check(2, 10, &signer(0)), Err(LeaseFault::Unsigned(1, 2, 3)));
     }
     let mut replayed = valid.clone();
     replayed.grants = other_tree.grants;
-    assert_eq!(replayed.check(2, 10, &hand(0)), Err(LeaseFault::Unsigned(3, 0, 3)));
+    assert_eq!(replayed.check(2, 10, &signer(0)), Err(LeaseFault::Unsigned(3, 0, 3)));
     // The lease of another watcher is not valid for this one.
-    assert_eq!(valid.check(3, 10, &hand(0)), Err(LeaseFault::Unsigned(3, 0, 3)));
-    assert_eq!(valid.check(2, 10, &hand(0)), Ok(()));
+    assert_eq!(valid.check(3, 10, &signer(0)), Err(LeaseFault::Unsigned(3, 0, 3)));
+    assert_eq!(valid.check(2, 10, &signer(0)), Ok(()));
 }
 
 #[test]
 fn a_proof_out_of_bounds_is_refused() {
     let mut too_long = good_proof(2, [2; 16], 10);
     too_long.grants = vec![too_long.grants[0]; MAX_GRANTS + 1];
-    assert_eq!(too_long.check(2, 10, &hand(0)), Err(LeaseFault::TooMany(MAX_GRANTS + 1)));
+    assert_eq!(too_long.check(2, 10, &signer(0)), Err(LeaseFault::TooMany(MAX_GRANTS + 1)));
     let mut too_deep = good_proof(2, [2; 16], 10);
     too_deep.path = vec![[0; 32]; MAX_DEPTH + 1];
-    assert_eq!(too_deep.check(2, 10, &hand(0)), Err(LeaseFault::Path(MAX_DEPTH + 1, 1)));
+    assert_eq!(too_deep.check(2, 10, &signer(0)), Err(LeaseFault::Path(MAX_DEPTH + 1, 1)));
 }
 
 #[test]
--- a/crates/distribution/src/tests/log.rs
+++ b/crates/distribution/src/tests/log.rs
@@ -1,4 +1,4 @@
-//! The delta log: its bounds, its gaps, and that what it merges is what its edits do one by one.
+//! Tests of the delta log: its limits, gaps, and that a merged delta equals its edits applied one by one.
 
 use quickcheck::{Gen, QuickCheck};
 
@@ -8,11 +8,11 @@
 use crate::message::{encode, ToWatcher, MAX_RELAY_BODY_BYTES};
 use crate::state::{Edit, State};
 
-const ROOMY: Limits = Limits { revisions: 100, bytes: 1 << 20 };
+const LARGE_LIMITS: Limits = Limits { revisions: 100, bytes: 1 << 20 };
 
 #[test]
-fn the_last_edit_of_each_key_is_left() {
-    let mut log = DeltaLog::new(5, ROOMY);
+fn a_delta_has_the_last_edit_of_each_key() {
+    let mut log = DeltaLog::new(5, LARGE_LIMITS);
     assert_eq!((log.floor(), log.top(), log.since(5), log.since(4)), (5, 5, Some(vec![]), None));
     log.push(6, vec![put("b", "1"), put("a", "1")]);
     log.push(7, vec![put("b", "2"), put("c", "1")]);
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn a_gap_clears_it() {
+fn a_gap_clears_the_log() {
     for (number, floor, top) in [(9, 8, 9), (6, 5, 6), (1, 0, 1), (0, 0, 0)] {
-        let mut log = DeltaLog::new(5, ROOMY);
+        let mut log = DeltaLog::new(5, LARGE_LIMITS);
         log.push(6, vec![put("a", "1")]);
         log.push(7, vec![put("b", "1")]);
         log.push(number, vec![put("c", "1")]);
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn it_is_bounded_by_revisions_and_bytes() {
+fn the_log_is_limited_by_revisions_and_bytes() {
     let mut log = DeltaLog::new(0, Limits { revisions: 3, bytes: 1 << 20 });
     (1..=10).for_each(|number| log.push(number, vec![put("a", "1")]));
     assert_eq!((log.floor(), log.top()), (7, 10));
 
-    // Each of these counts 100 bytes: three fit.
+    // Each edit counts 100 bytes, so three fit.
     let mut log = DeltaLog::new(0, Limits { revisions: 100, bytes: 399 });
     (1..=10).for_each(|number| log.push(number, vec![put("a", &"v".repeat(35))]));
     assert_eq!((log.floor(), log.top()), (7, 10));
@@ -48,7 +48,7 @@
     assert_eq!((log.floor(), log.top(), log.since(11), log.since(10)), (11, 11, Some(vec![]), None));
 }
 
-/// What is merged from a log of the usual bounds goes into one frame, also where it has nothing but small edits.
+/// A delta merged from a log of the default limits fits in one frame, even if it has only small edits.
 #[test]
 fn a_delta_fits_in_a_frame() {
     let mut log = DeltaLog::new(0, Limits::default());
@@ -67,12 +67,12 @@
     assert!(encode(&delta).len() < MAX_RELAY_BODY_BYTES);
 }
 
-/// A delta on another base than the one that it is of gives another root, by which whoever takes it sees that.
+/// Applying a delta to another base than its own results in another root, so the receiver detects it.
 #[test]
-fn a_delta_on_another_base_gives_another_root() {
+fn a_delta_on_another_base_results_in_another_root() {
     let revisions =
         [vec![put("a", "1")], vec![put("b", "1")], vec![put("a", "2"), removal("b")], vec![put("c", "1")]];
-    let mut log = DeltaLog::new(0, ROOMY);
+    let mut log = DeltaLog::new(0, LARGE_LIMITS);
     let mut states = vec![State::new()];
     for (number, edits) in (1..).zip(&revisions) {
         let mut state = states[number as usize - 1].clone();
@@ -81,20 +81,21 @@
         log.push(number, edits.clone());
     }
     let delta = log.since(3).unwrap();
-    let on = |base: usize| {
+    let state_from = |base: usize| {
         let mut state = states[base].clone();
         state.apply(&delta).unwrap();
         state
     };
-    assert!(on(3) == states[4] && on(4) == states[4], "on its base, and doubled");
-    assert!((0..3).all(|base| on(base) != states[4]));
+    assert!(state_from(3) == states[4] && state_from(4) == states[4], "on its base, and applied twice");
+    assert!((0..3).all(|base| state_from(base) != states[4]));
 }
 
-/// The merged delta from any revision that the log reaches leads to the same state as all edits one by one.
+/// The merged delta from any revision in the log results in the same state as all edits applied one by one.
 #[test]
-fn a_merged_delta_does_what_its_edits_do() {
-    fn holds(revisions: Vec<Vec<AnyEdit>>, most: u8) -> bool {
-        let mut log = DeltaLog::new(0, Limits { revisions: usize::from(most % 16) + 1, bytes: 1 << 20 });
+fn a_merged_delta_equals_its_edits_one_by_one() {
+    fn equals_single_edits(revisions: Vec<Vec<AnyEdit>>, max_revisions: u8) -> bool {
+        let mut log =
+            DeltaLog::new(0, Limits { revisions: usize::from(max_revisions % 16) + 1, bytes: 1 << 20 });
         let mut states = vec![State::new()];
         for (revision, edits) in revisions.iter().enumerate() {
             let edits: Vec<Edit> = plain(edits);
@@ -113,5 +114,8 @@
         })
     }
     let random = Gen::from_size_and_seed(20, 6);
-    QuickCheck::new().rng(random).tests(60).quickcheck(holds as fn(Vec<Vec<AnyEdit>>, u8) -> bool);
+    QuickCheck::new()
+        .rng(random)
+        .tests(60)
+        .quickcheck(equals_single_edits as fn(Vec<Vec<AnyEdit>>, u8) -> bool);
 }
--- a/crates/distribution/src/tests/net.rs
+++ b/crates/distribution/src/tests/net.rs
@@ -1,5 +1,6 @@
-//! Control machines and watchers in simulated time: machines on a network that cuts, loses, doubles and delays, watchers on
-//! streams, and disks that are lost. What holds at any time is looked at after each event.
+//! A simulated network of control machines and watchers, in simulated time. Messages between machines are
+//! cut, lost, duplicated and delayed, watchers use streams, and disks can be lost. Invariants are checked
+//! after each event.
 
 mod checks;
 mod streams;
@@ -10,7 +11,7 @@
 use badgerledge_core::random::Rng;
 
 use super::edits::entry;
-use super::hand::{sign_as_author, DigestHand};
+use super::signer::{sign_as_author, DigestSigner};
 use crate::change::{Change, Rejection};
 use crate::control::{Checkpoint, Config, ConnectionId, ControlMachine, ControlOutput, Stored, StoredItem};
 use crate::lease::Grant;
@@ -19,99 +20,99 @@
 use crate::state::{Edit, State};
 use crate::watcher::{self, relay_order, StoreRequest, Watcher, WatcherConfig, WatcherOutput};
 use crate::{Author, ControllerId, MachineId, Number};
-use checks::Seen;
+use checks::Observations;
 use streams::Streams;
 
-/// How long what a watcher decided takes to go out here.
-pub const LATE: Duration = Duration::from_millis(50);
-/// Machines and watchers are spread over so many regions.
+/// The activation delay of watchers in the simulation.
+pub const ACTIVATION_DELAY: Duration = Duration::from_millis(50);
+/// The number of regions over which machines and watchers are spread.
 const REGIONS: u32 = 3;
 
-/// Somebody on the network.
+/// A node of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     Machine(MachineId),
     Watcher(ControllerId),
-    /// A tool beside a machine.
+    /// An operator's tool that runs at a machine.
     Tool(MachineId),
 }
 
-/// What the checks are shown to bite by.
+/// Mechanisms that a test disables, to show that the checks detect it.
 #[derive(Clone, Copy, Default)]
-pub struct Broken {
-    /// Watchers act without a lease.
+pub struct DisabledMechanisms {
+    /// Watchers count as acting even without a lease.
     pub no_lease: bool,
-    /// Acceptors' grants name no revision that they have allowed.
-    pub blind_grants: bool,
-    /// Acceptors that lost their disks go on as if they had signed nothing.
-    pub forgets: bool,
-    /// Nothing of a certified revision gets to watchers.
+    /// Grants of acceptors do not name the revision that they have allowed.
+    pub grants_without_revision: bool,
+    /// Acceptors that lost their disks continue as if they had signed nothing.
+    pub forgets_votes: bool,
+    /// Relays send no updates to watchers.
     pub no_updates: bool,
-    /// Tools take each rejection for unknown, and each outcome unknown for a rejection.
-    pub twisted_outcomes: bool,
-    /// Machines take no revision for exclusive.
+    /// Tools record an accepted change, and one with an unknown outcome, as rejected.
+    pub wrong_outcomes: bool,
+    /// Machines classify no revision as exclusive.
     pub nothing_exclusive: bool,
-    /// Machines vouch for revision 0 for whoever asks, also two of one region.
-    pub vouches_always: bool,
+    /// Machines vouch for revision 0 whenever they are asked, also two of one region.
+    pub always_vouches: bool,
 }
 
-/// Keys that begin so are exclusive; all others are free.
+/// Keys with this prefix are exclusive; all others are not.
 pub const EXCLUSIVE: &str = "exclusive ";
 
-pub struct MachineSeat {
-    pub machine: Option<ControlMachine<DigestHand>>,
+pub struct MachineSlot {
+    pub machine: Option<ControlMachine<DigestSigner>>,
     pub disk: Stored,
-    /// What a checkpoint of its state would hold.
+    /// The checkpoint of its current state.
     checkpoint: Option<Checkpoint>,
-    pub life: u32,
+    pub incarnation: u32,
     pub stalled_until: Duration,
     due: Duration,
 }
 
-pub struct WatcherSeat {
-    pub watcher: Option<Watcher<DigestHand>>,
-    /// What it stored, while it has a disk.
+pub struct WatcherSlot {
+    pub watcher: Option<Watcher<DigestSigner>>,
+    /// The stored bytes.
     disk: Vec<u8>,
-    /// Machines in its order of preference.
+    /// The machines in the watcher's order of preference.
     relays: Vec<MachineId>,
     pub connections: BTreeMap<usize, ConnectionId>,
-    pub life: u32,
+    pub incarnation: u32,
     pub stalled_until: Duration,
     due: Duration,
-    /// Its clock goes at this pace.
-    pace: f64,
+    /// The rate of its clock, relative to simulated time.
+    clock_rate: f64,
 }
 
 enum Event {
     Peer {
         from: MachineId,
-        life: u32,
+        incarnation: u32,
         to: MachineId,
         frame: Vec<u8>,
     },
-    TendMachine(MachineId, u32),
-    TendWatcher(ControllerId, u32),
-    /// Something may have come on a stream.
+    PollMachine(MachineId, u32),
+    PollWatcher(ControllerId, u32),
+    /// Something may have arrived on a stream.
     Stream(ConnectionId),
 }
 
 pub struct Net {
     pub now: Duration,
     pub loss: f64,
-    /// One way between regions, at most.
+    /// The maximum one-way delay between regions.
     pub delay: Duration,
     pub cut: BTreeSet<(Node, Node)>,
-    pub machines: Vec<MachineSeat>,
-    pub watchers: Vec<WatcherSeat>,
-    pub chance: Rng,
-    pub broken: Broken,
-    /// Machines that say to be ready for their watchers, and send them nothing.
-    pub liars: BTreeSet<MachineId>,
-    /// Machines that vouch for revision 0 whenever they are asked.
+    pub machines: Vec<MachineSlot>,
+    pub watchers: Vec<WatcherSlot>,
+    pub rng: Rng,
+    pub disabled: DisabledMechanisms,
+    /// Faulty machines that report their watchers as ready, and send them nothing.
+    pub faulty_relays: BTreeSet<MachineId>,
+    /// Faulty machines that vouch for revision 0 whenever they are asked.
     pub false_vouchers: BTreeSet<MachineId>,
-    /// How long cut-off regions go on; zero: they hold back.
-    pub apart: Duration,
-    pub seen: Seen,
+    /// How long partitioned regions continue with their configuration; zero: they stop acting.
+    pub max_partition: Duration,
+    pub observed: Observations,
     pub acceptors: MachineId,
     genesis: State,
     revoked: BTreeSet<Author>,
@@ -119,62 +120,62 @@
     events: BTreeMap<(Duration, u64), Event>,
     sequence: u64,
     sequences: BTreeMap<Author, u64>,
-    /// All that were made.
+    /// All changes that were pushed.
     pub changes: Vec<Change>,
 }
 
 impl Net {
-    /// So many machines, the first of which are acceptors, and so many watchers, all just started.
+    /// A network of this many machines, the first of which are acceptors, and watchers, all just started.
     pub fn new(machines: MachineId, acceptors: MachineId, watchers: ControllerId, seed: u64) -> Self {
-        Self::with_apart(machines, acceptors, watchers, seed, Duration::ZERO)
+        Self::with_max_partition(machines, acceptors, watchers, seed, Duration::ZERO)
     }
 
-    /// The same, where cut-off regions go on for that long.
-    pub fn with_apart(
-        machines: MachineId, acceptors: MachineId, watchers: ControllerId, seed: u64, apart: Duration,
+    /// Like [`Net::new`], with the time for which partitioned regions continue.
+    pub fn with_max_partition(
+        machines: MachineId, acceptors: MachineId, watchers: ControllerId, seed: u64, max_partition: Duration,
     ) -> Self {
-        let founding = |machine| if machine < acceptors { Stored::founding() } else { Stored::default() };
-        let machine_seat = |machine| MachineSeat {
+        let initial_disk = |machine| if machine < acceptors { Stored::founding() } else { Stored::default() };
+        let machine_slot = |machine| MachineSlot {
             machine: None,
-            disk: founding(machine),
+            disk: initial_disk(machine),
             checkpoint: None,
-            life: 0,
+            incarnation: 0,
             stalled_until: Duration::ZERO,
             due: Duration::MAX,
         };
-        let mut chance = Rng(seed);
+        let mut rng = Rng(seed);
         let relays: Vec<(MachineId, bool)> = (0..machines).map(|machine| (machine, false)).collect();
-        let mut watcher_seat = |controller| {
-            let near = |(machine, _): &(MachineId, bool)| {
+        let mut watcher_slot = |controller| {
+            let with_region = |(machine, _): &(MachineId, bool)| {
                 (*machine, region(u32::from(*machine)) == region(controller))
             };
-            let order: Vec<(MachineId, bool)> = relays.iter().map(near).collect();
-            WatcherSeat {
+            let order: Vec<(MachineId, bool)> = relays.iter().map(with_region).collect();
+            WatcherSlot {
                 watcher: None,
                 disk: Vec::new(),
                 relays: relay_order(controller, &order).into_iter().map(|at| order[at].0).collect(),
                 connections: BTreeMap::new(),
-                life: 0,
+                incarnation: 0,
                 stalled_until: Duration::ZERO,
                 due: Duration::MAX,
-                pace: 1.0 - 0.0095 * chance.unit_interval(),
+                clock_rate: 1.0 - 0.0095 * rng.unit_interval(),
             }
         };
-        let watchers = (0..watchers).map(&mut watcher_seat).collect();
+        let watchers = (0..watchers).map(&mut watcher_slot).collect();
         let titles = (0..200).map(|n| entry(&format!("title {n}"), &[n as u8; 40]));
         let mut net = Self {
             now: Duration::from_secs(1000),
             loss: 0.01,
             delay: Duration::from_millis(80),
             cut: BTreeSet::new(),
-            machines: (0..machines).map(machine_seat).collect(),
+            machines: (0..machines).map(machine_slot).collect(),
             watchers,
-            chance,
-            broken: Broken::default(),
-            liars: BTreeSet::new(),
+            rng,
+            disabled: DisabledMechanisms::default(),
+            faulty_relays: BTreeSet::new(),
             false_vouchers: BTreeSet::new(),
-            apart,
-            seen: Seen::new(!apart.is_zero()),
+            max_partition,
+            observed: Observations::new(!max_partition.is_zero()),
             acceptors,
             genesis: State::from_entries(titles).expect("a state"),
             revoked: BTreeSet::new(),
@@ -189,239 +190,246 @@
         net
     }
 
-    fn hand(&self, me: MachineId) -> DigestHand {
-        DigestHand {
-            me,
+    fn signer(&self, node_id: MachineId) -> DigestSigner {
+        DigestSigner {
+            local_id: node_id,
             machines: (0..self.machines.len() as MachineId).collect(),
             acceptors: (0..self.acceptors).collect(),
             revoked: self.revoked.clone(),
         }
     }
 
-    /// Has the machines start again with what is broken in them.
-    pub fn set_broken(&mut self, broken: Broken) {
-        self.broken = broken;
-        if broken.nothing_exclusive {
+    /// Disables mechanisms; machines restart if they are affected.
+    pub fn disable(&mut self, disabled: DisabledMechanisms) {
+        self.disabled = disabled;
+        if disabled.nothing_exclusive {
             let machines = 0..self.machines.len() as MachineId;
-            machines.clone().for_each(|me| self.kill_machine(me, false));
-            machines.for_each(|me| self.start_machine(me));
+            machines.clone().for_each(|node_id| self.kill_machine(node_id, false));
+            machines.for_each(|node_id| self.start_machine(node_id));
         }
     }
 
-    fn put(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
         self.events.insert((at, self.sequence), event);
     }
 
-    pub fn start_machine(&mut self, me: MachineId) {
-        let hand = self.hand(me);
+    pub fn start_machine(&mut self, node_id: MachineId) {
+        let signer = self.signer(node_id);
         let seed = self.seed();
         let (genesis, now) = (self.genesis.clone(), self.now);
-        let seat = &mut self.machines[usize::from(me)];
-        seat.life += 1;
-        seat.due = Duration::MAX;
-        let config = Config { late: LATE, apart: self.apart, ..Config::new(me, seat.life) };
-        let nothing = self.broken.nothing_exclusive;
-        let mut machine = ControlMachine::new(config, hand, seat.disk.clone(), genesis, seed, now);
+        let slot = &mut self.machines[usize::from(node_id)];
+        slot.incarnation += 1;
+        slot.due = Duration::MAX;
+        let config = Config {
+            late: ACTIVATION_DELAY,
+            apart: self.max_partition,
+            ..Config::new(node_id, slot.incarnation)
+        };
+        let none_exclusive = self.disabled.nothing_exclusive;
+        let mut machine = ControlMachine::new(config, signer, slot.disk.clone(), genesis, seed, now);
         let is_exclusive = |edit: &Edit| edit.key.starts_with(EXCLUSIVE);
-        machine.set_exclusive_check(Box::new(move |_, edits| !nothing && edits.iter().any(is_exclusive)));
-        seat.machine = Some(machine);
-        self.with_machine(me, |_, _, _| {});
+        machine
+            .set_exclusive_check(Box::new(move |_, edits| !none_exclusive && edits.iter().any(is_exclusive)));
+        slot.machine = Some(machine);
+        self.with_machine(node_id, |_, _, _| {});
     }
 
-    /// Kills a machine, with or without its disk.
-    pub fn kill_machine(&mut self, me: MachineId, wiped: bool) {
-        let forgets = self.broken.forgets && me < self.acceptors;
-        let seat = &mut self.machines[usize::from(me)];
-        seat.machine = None;
+    /// Stops a machine, and erases its disk if `wiped`.
+    pub fn kill_machine(&mut self, node_id: MachineId, wiped: bool) {
+        let forgets_votes = self.disabled.forgets_votes && node_id < self.acceptors;
+        let slot = &mut self.machines[usize::from(node_id)];
+        slot.machine = None;
         if wiped {
-            seat.disk = if forgets { Stored::founding() } else { Stored::default() };
+            slot.disk = if forgets_votes { Stored::founding() } else { Stored::default() };
         }
-        self.break_streams_of(Node::Machine(me));
+        self.break_streams_of(Node::Machine(node_id));
     }
 
-    /// Machines that are off have a checkpoint of their state in the place of the batches that led there: they know nothing of
-    /// earlier revisions when they start again.
+    /// Replaces the stored batches of stopped machines by a checkpoint, so that they know nothing of earlier
+    /// revisions when they restart.
     pub fn forget_logs(&mut self) {
-        for seat in &mut self.machines {
-            seat.disk.checkpoint = seat.checkpoint.clone();
-            seat.disk.batches.clear();
+        for slot in &mut self.machines {
+            slot.disk.checkpoint = slot.checkpoint.clone();
+            slot.disk.batches.clear();
         }
     }
 
-    pub fn start_watcher(&mut self, me: ControllerId) {
-        let hand = self.hand(MachineId::MAX);
+    pub fn start_watcher(&mut self, node_id: ControllerId) {
+        let signer = self.signer(MachineId::MAX);
         let seed = self.seed();
         let mut nonces = Rng(self.seed());
-        let own = self.genesis.clone();
-        let seat = &mut self.watchers[me as usize];
-        seat.life += 1;
-        seat.due = Duration::MAX;
-        seat.connections.clear();
+        let initial_state = self.genesis.clone();
+        let slot = &mut self.watchers[node_id as usize];
+        slot.incarnation += 1;
+        slot.due = Duration::MAX;
+        slot.connections.clear();
         let config = WatcherConfig {
-            controller: me,
-            relays: seat.relays.len(),
-            activation_delay: LATE,
-            regional: !self.apart.is_zero(),
+            controller: node_id,
+            relays: slot.relays.len(),
+            activation_delay: ACTIVATION_DELAY,
+            regional: !self.max_partition.is_zero(),
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
         };
-        let stored = watcher::Stored::read(&seat.disk).ok();
-        let now = self.now.mul_f64(seat.pace);
-        seat.watcher = Some(Watcher::new(hand, config, own, stored, seed, now));
-        self.with_watcher(me, |watcher, now, out| watcher.poll(now, out));
+        let stored = watcher::Stored::read(&slot.disk).ok();
+        let now = self.now.mul_f64(slot.clock_rate);
+        slot.watcher = Some(Watcher::new(signer, config, initial_state, stored, seed, now));
+        self.with_watcher(node_id, |watcher, now, out| watcher.poll(now, out));
     }
 
-    /// Kills a watcher, with or without its disk.
-    pub fn kill_watcher(&mut self, me: ControllerId, wiped: bool) {
-        let seat = &mut self.watchers[me as usize];
-        seat.watcher = None;
+    /// Stops a watcher, and erases its disk if `wiped`.
+    pub fn kill_watcher(&mut self, node_id: ControllerId, wiped: bool) {
+        let slot = &mut self.watchers[node_id as usize];
+        slot.watcher = None;
         if wiped {
-            seat.disk.clear();
+            slot.disk.clear();
         }
-        self.break_streams_of(Node::Watcher(me));
+        self.break_streams_of(Node::Watcher(node_id));
     }
 
     fn seed(&mut self) -> u64 {
-        (self.chance.unit_interval() * f64::from(u32::MAX)) as u64
+        (self.rng.unit_interval() * f64::from(u32::MAX)) as u64
     }
 
-    /// Cuts all between two sets of nodes, both ways.
+    /// Cuts all connections between the nodes inside and those outside, in both directions.
     pub fn split(&mut self, inside: impl Fn(Node) -> bool) {
         let machines = (0..self.machines.len() as MachineId).map(Node::Machine);
         let tools = (0..self.machines.len() as MachineId).map(Node::Tool);
         let watchers = (0..self.watchers.len() as ControllerId).map(Node::Watcher);
         let all: Vec<Node> = machines.chain(tools).chain(watchers).collect();
         for from in &all {
-            let apart = all.iter().filter(|to| inside(*from) != inside(**to));
-            self.cut.extend(apart.map(|to| (*from, *to)));
+            let across = all.iter().filter(|to| inside(*from) != inside(**to));
+            self.cut.extend(across.map(|to| (*from, *to)));
         }
     }
 
     pub fn with_machine(
-        &mut self, me: MachineId,
-        act: impl FnOnce(&mut ControlMachine<DigestHand>, Duration, &mut Vec<ControlOutput>),
+        &mut self, node_id: MachineId,
+        act: impl FnOnce(&mut ControlMachine<DigestSigner>, Duration, &mut Vec<ControlOutput>),
     ) {
         let (now, mut out) = (self.now, Vec::new());
-        let Some(machine) = &mut self.machines[usize::from(me)].machine else { return };
+        let Some(machine) = &mut self.machines[usize::from(node_id)].machine else { return };
         act(machine, now, &mut out);
         let checkpoint = machine.checkpoint();
-        self.machines[usize::from(me)].checkpoint = checkpoint;
+        self.machines[usize::from(node_id)].checkpoint = checkpoint;
         for output in out {
             match output {
-                ControlOutput::Store(item) => self.store(me, item),
-                ControlOutput::ToPeer(to, message) => self.send_peer(me, to, message),
+                ControlOutput::Store(item) => self.store(node_id, item),
+                ControlOutput::ToPeer(to, message) => self.send_peer(node_id, to, message),
                 ControlOutput::ToWatcher(connection, message) => self.send_down(connection, *message),
                 ControlOutput::CloseWatcher(connection, _) => {
-                    self.close_stream(connection, Node::Machine(me))
+                    self.close_stream(connection, Node::Machine(node_id))
                 }
             }
         }
-        self.look_at_machine(me);
-        let seat = &mut self.machines[usize::from(me)];
-        let Some(due) = seat.machine.as_ref().map(ControlMachine::next_due) else { return };
-        if due < seat.due {
-            seat.due = due.max(self.now + Duration::from_millis(1));
-            let (at, life) = (seat.due, seat.life);
-            self.put(at, Event::TendMachine(me, life));
+        self.observe_machine(node_id);
+        let slot = &mut self.machines[usize::from(node_id)];
+        let Some(due) = slot.machine.as_ref().map(ControlMachine::next_due) else { return };
+        if due < slot.due {
+            slot.due = due.max(self.now + Duration::from_millis(1));
+            let (at, incarnation) = (slot.due, slot.incarnation);
+            self.schedule(at, Event::PollMachine(node_id, incarnation));
         }
     }
 
-    fn store(&mut self, me: MachineId, item: StoredItem) {
+    fn store(&mut self, node_id: MachineId, item: StoredItem) {
         if let StoredItem::Batch { summary, bytes, .. } = &item {
-            self.seen.batch(summary, bytes);
+            self.observed.batch(summary, bytes);
         }
         let item = StoredItem::decode(&item.encode()).expect("what was encoded");
-        self.machines[usize::from(me)].disk.take(item);
+        self.machines[usize::from(node_id)].disk.take(item);
     }
 
     fn send_peer(&mut self, from: MachineId, to: MachineId, message: PeerMessage) {
         let message = match message {
-            PeerMessage::Grant(grant) if self.broken.blind_grants => {
-                PeerMessage::Grant(Grant::sign(&self.hand(from), from, grant.root, 0))
+            PeerMessage::Grant(grant) if self.disabled.grants_without_revision => {
+                PeerMessage::Grant(Grant::sign(&self.signer(from), from, grant.root, 0))
             }
             message => message,
         };
-        self.seen.sent_to_peer(&message);
+        self.observed.sent_to_peer(&message);
         if let PeerMessage::RequestRegionalGrant { root } = message {
-            self.vouch_falsely(to, from, root);
+            self.send_false_grant(to, from, root);
         }
         let frame = message::encode(&message);
-        let life = self.machines[usize::from(from)].life;
-        for _ in 0..if self.chance.unit_interval() < 0.02 { 2 } else { 1 } {
-            if self.is_cut(Node::Machine(from), Node::Machine(to)) || self.chance.unit_interval() < self.loss
-            {
+        let incarnation = self.machines[usize::from(from)].incarnation;
+        for _ in 0..if self.rng.unit_interval() < 0.02 { 2 } else { 1 } {
+            if self.is_cut(Node::Machine(from), Node::Machine(to)) || self.rng.unit_interval() < self.loss {
                 continue;
             }
-            let at = self.now + self.way(Node::Machine(from), Node::Machine(to));
-            self.put(at, Event::Peer { from, life, to, frame: frame.clone() });
+            let at = self.now + self.random_delay(Node::Machine(from), Node::Machine(to));
+            self.schedule(at, Event::Peer { from, incarnation, to, frame: frame.clone() });
         }
     }
 
-    /// A machine that lies vouches for a revision that is over.
-    fn vouch_falsely(&mut self, liar: MachineId, to: MachineId, root: crate::Digest) {
-        let cut = self.is_cut(Node::Machine(liar), Node::Machine(to));
-        if cut || !(self.broken.vouches_always || self.false_vouchers.contains(&liar)) {
+    /// A faulty machine vouches for an outdated revision.
+    fn send_false_grant(&mut self, faulty: MachineId, to: MachineId, root: crate::Digest) {
+        let cut = self.is_cut(Node::Machine(faulty), Node::Machine(to));
+        if cut || !(self.disabled.always_vouches || self.false_vouchers.contains(&faulty)) {
             return;
         }
-        let grant = RegionalGrant::sign(&self.hand(liar), liar, root, 0);
+        let grant = RegionalGrant::sign(&self.signer(faulty), faulty, root, 0);
         let frame = message::encode(&PeerMessage::RegionalGrant(grant));
-        let life = self.machines[usize::from(liar)].life;
-        let at = self.now + self.way(Node::Machine(liar), Node::Machine(to));
-        self.put(at, Event::Peer { from: liar, life, to, frame });
+        let incarnation = self.machines[usize::from(faulty)].incarnation;
+        let at = self.now + self.random_delay(Node::Machine(faulty), Node::Machine(to));
+        self.schedule(at, Event::Peer { from: faulty, incarnation, to, frame });
     }
 
     fn is_cut(&self, from: Node, to: Node) -> bool {
         self.cut.contains(&(from, to))
     }
 
-    /// How long something takes.
-    fn way(&mut self, from: Node, to: Node) -> Duration {
-        let near = region_of(from) == region_of(to);
-        let longest = if near { self.delay / 20 } else { self.delay };
-        longest.mul_f64(0.7 + 0.3 * self.chance.unit_interval())
+    /// A random one-way delay between two nodes.
+    fn random_delay(&mut self, from: Node, to: Node) -> Duration {
+        let same_region = region_of(from) == region_of(to);
+        let max_delay = if same_region { self.delay / 20 } else { self.delay };
+        max_delay.mul_f64(0.7 + 0.3 * self.rng.unit_interval())
     }
 
     pub fn with_watcher(
-        &mut self, me: ControllerId,
-        act: impl FnOnce(&mut Watcher<DigestHand>, Duration, &mut Vec<WatcherOutput>),
+        &mut self, node_id: ControllerId,
+        act: impl FnOnce(&mut Watcher<DigestSigner>, Duration, &mut Vec<WatcherOutput>),
     ) {
-        let seat = &mut self.watchers[me as usize];
-        let (now, pace, mut out) = (self.now.mul_f64(seat.pace), seat.pace, Vec::new());
-        let Some(watcher) = &mut seat.watcher else { return };
+        let slot = &mut self.watchers[node_id as usize];
+        let (now, clock_rate, mut out) = (self.now.mul_f64(slot.clock_rate), slot.clock_rate, Vec::new());
+        let Some(watcher) = &mut slot.watcher else { return };
         act(watcher, now, &mut out);
         for output in out {
             match output {
-                WatcherOutput::Connect(relay) => self.connect(me, relay),
-                WatcherOutput::Close(relay) => self.close_from_watcher(me, relay),
-                WatcherOutput::Send(relay, message) => self.send_up(me, relay, message),
-                WatcherOutput::Store(StoreRequest::Replace(bytes)) => self.watchers[me as usize].disk = bytes,
+                WatcherOutput::Connect(relay) => self.connect(node_id, relay),
+                WatcherOutput::Close(relay) => self.close_from_watcher(node_id, relay),
+                WatcherOutput::Send(relay, message) => self.send_up(node_id, relay, message),
+                WatcherOutput::Store(StoreRequest::Replace(bytes)) => {
+                    self.watchers[node_id as usize].disk = bytes
+                }
                 WatcherOutput::Store(StoreRequest::Append(bytes)) => {
-                    self.watchers[me as usize].disk.extend(bytes);
+                    self.watchers[node_id as usize].disk.extend(bytes);
                 }
                 WatcherOutput::Changed | WatcherOutput::Unfit { .. } => {}
             }
         }
-        self.look_at_watcher(me);
-        let seat = &mut self.watchers[me as usize];
-        let Some(due) = seat.watcher.as_ref().map(|watcher| watcher.next_poll_at().div_f64(pace)) else {
+        self.observe_watcher(node_id);
+        let slot = &mut self.watchers[node_id as usize];
+        let Some(due) = slot.watcher.as_ref().map(|watcher| watcher.next_poll_at().div_f64(clock_rate))
+        else {
             return;
         };
-        if due < seat.due {
-            seat.due = due.max(self.now + Duration::from_millis(1));
-            let (at, life) = (seat.due, seat.life);
-            self.put(at, Event::TendWatcher(me, life));
+        if due < slot.due {
+            slot.due = due.max(self.now + Duration::from_millis(1));
+            let (at, incarnation) = (slot.due, slot.incarnation);
+            self.schedule(at, Event::PollWatcher(node_id, incarnation));
         }
     }
 
-    /// Whether each acceptor runs and votes: the next one may lose its disk. Two that lost theirs before some more were
-    /// certified are the stated limit.
+    /// Whether each acceptor runs and votes, so that one of them may lose its disk. The stated limit is that
+    /// no second acceptor loses its disk before some more revisions were certified.
     pub fn all_acceptors_vote(&self) -> bool {
         let acceptors = &self.machines[..usize::from(self.acceptors)];
-        acceptors.iter().all(|seat| seat.machine.as_ref().is_some_and(ControlMachine::votes))
+        acceptors.iter().all(|slot| slot.machine.as_ref().is_some_and(ControlMachine::votes))
     }
 
-    /// Pushes a change of these edits at a machine, against the highest revision that this machine knows.
+    /// Pushes a change with these edits to a machine, based on the highest revision that this machine knows.
     pub fn push(&mut self, at: MachineId, author: Author, edits: Vec<Edit>) -> Option<ConnectionId> {
         let base = self.machines[usize::from(at)]
             .machine
@@ -442,47 +450,47 @@
     }
 
     pub fn push_change(&mut self, at: MachineId, change: Change) -> Option<ConnectionId> {
-        let seat = &self.machines[usize::from(at)];
-        let life = seat.machine.as_ref().map(|_| seat.life)?;
+        let slot = &self.machines[usize::from(at)];
+        let incarnation = slot.machine.as_ref().map(|_| slot.incarnation)?;
         let connection = self.open_tool(at);
-        self.seen.pushed(connection, change.id, (at, life));
+        self.observed.pushed(connection, change.id, (at, incarnation));
         self.send_tool(connection, ToRelay::Push(change));
         Some(connection)
     }
 
-    /// A tool heard what became of a change.
-    fn told(&mut self, connection: ConnectionId, outcome: Result<Number, Rejection>) {
+    /// A tool received the outcome of a change.
+    fn on_outcome(&mut self, connection: ConnectionId, outcome: Result<Number, Rejection>) {
         let outcome = match outcome {
-            Err(Rejection::Unknown) if self.broken.twisted_outcomes => Err(Rejection::Empty),
-            Ok(_) if self.broken.twisted_outcomes => Err(Rejection::Empty),
+            Err(Rejection::Unknown) if self.disabled.wrong_outcomes => Err(Rejection::Empty),
+            Ok(_) if self.disabled.wrong_outcomes => Err(Rejection::Empty),
             outcome => outcome,
         };
-        self.seen.told(connection, outcome);
+        self.observed.on_outcome(connection, outcome);
     }
 
-    /// An author's key holds no more: all machines read the ring, one after another.
+    /// Revokes an author's key; all machines read the new ring, one after another.
     pub fn revoke(&mut self, author: Author) {
         self.revoked.insert(author);
-        for me in 0..self.machines.len() as MachineId {
-            let hand = self.hand(me);
-            self.with_machine(me, |machine, now, out| machine.take_hand(now, hand, out));
+        for node_id in 0..self.machines.len() as MachineId {
+            let signer = self.signer(node_id);
+            self.with_machine(node_id, |machine, now, out| machine.take_hand(now, signer, out));
         }
     }
 
-    /// Goes on until that time.
+    /// Runs until that time.
     pub fn run(&mut self, until: Duration) {
-        let mut look = self.now;
+        let mut next_observation = self.now;
         while let Some((at, _)) =
             self.events.first_key_value().map(|(key, _)| *key).filter(|key| key.0 <= until)
         {
-            while look <= at {
-                self.now = self.now.max(look);
-                (0..self.watchers.len() as ControllerId).for_each(|me| self.look_at_watcher(me));
-                look += Duration::from_millis(100);
+            while next_observation <= at {
+                self.now = self.now.max(next_observation);
+                (0..self.watchers.len() as ControllerId).for_each(|node_id| self.observe_watcher(node_id));
+                next_observation += Duration::from_millis(100);
             }
             let Some((_, event)) = self.events.pop_first() else { return };
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
@@ -491,61 +499,61 @@
         self.run(self.now + Duration::from_secs_f64(seconds));
     }
 
-    /// Goes on until all that is reachable acts on the last certified revision, which is this one at least, and tells how
-    /// long that took; no longer than so many seconds.
+    /// Runs until all reachable watchers have activated the last certified revision, which must be at least
+    /// `number`, or for at most `seconds`. Returns how long it ran.
     pub fn run_until_acting(&mut self, number: Number, seconds: f64) -> Duration {
-        let begun = self.now;
-        let acting = |net: &Self| net.seen.highest() >= number && net.is_settled();
-        while !acting(self) && self.now < begun + Duration::from_secs_f64(seconds) {
+        let started_at = self.now;
+        let is_settled = |net: &Self| net.observed.highest() >= number && net.is_settled();
+        while !is_settled(self) && self.now < started_at + Duration::from_secs_f64(seconds) {
             self.run_for(0.05);
         }
-        self.now - begun
+        self.now - started_at
     }
 
     fn stalled_until(&self, event: &Event) -> Duration {
         match event {
-            Event::Peer { to, .. } | Event::TendMachine(to, _) => {
+            Event::Peer { to, .. } | Event::PollMachine(to, _) => {
                 self.machines[usize::from(*to)].stalled_until
             }
-            Event::TendWatcher(me, _) => self.watchers[*me as usize].stalled_until,
+            Event::PollWatcher(node_id, _) => self.watchers[*node_id as usize].stalled_until,
             Event::Stream(_) => Duration::ZERO,
         }
     }
 
-    fn happen(&mut self, event: Event) {
-        let stalled = self.stalled_until(&event);
-        if stalled > self.now {
-            return self.put(stalled, event);
+    fn handle_event(&mut self, event: Event) {
+        let stalled_until = self.stalled_until(&event);
+        if stalled_until > self.now {
+            return self.schedule(stalled_until, event);
         }
         match event {
-            Event::Peer { from, life, to, frame } => {
-                // What a machine's former life said on a connection is lost with it.
-                if life < self.machines[usize::from(from)].life {
+            Event::Peer { from, incarnation, to, frame } => {
+                // Messages of an earlier incarnation are lost with its connections.
+                if incarnation < self.machines[usize::from(from)].incarnation {
                     return;
                 }
                 let message = decoded(&frame, message::MAX_RELAY_BODY_BYTES);
                 self.with_machine(to, |machine, now, out| machine.peer_message(now, from, message, out));
             }
-            Event::TendMachine(me, life) => {
-                if self.machines[usize::from(me)].life == life {
-                    self.machines[usize::from(me)].due = Duration::MAX;
-                    self.with_machine(me, ControlMachine::tend);
+            Event::PollMachine(node_id, incarnation) => {
+                if self.machines[usize::from(node_id)].incarnation == incarnation {
+                    self.machines[usize::from(node_id)].due = Duration::MAX;
+                    self.with_machine(node_id, ControlMachine::tend);
                 }
             }
-            Event::TendWatcher(me, life) => {
-                if self.watchers[me as usize].life == life {
-                    self.watchers[me as usize].due = Duration::MAX;
-                    self.with_watcher(me, Watcher::poll);
+            Event::PollWatcher(node_id, incarnation) => {
+                if self.watchers[node_id as usize].incarnation == incarnation {
+                    self.watchers[node_id as usize].due = Duration::MAX;
+                    self.with_watcher(node_id, Watcher::poll);
                 }
             }
-            Event::Stream(connection) => self.pump(connection),
+            Event::Stream(connection) => self.deliver_due(connection),
         }
     }
 }
 
-/// The message of one whole frame.
-fn decoded<M: serde::de::DeserializeOwned>(frame: &[u8], longest: usize) -> M {
-    let decoded = message::decode(frame, longest).expect("a frame");
+/// Decodes the message of one complete frame.
+fn decoded<M: serde::de::DeserializeOwned>(frame: &[u8], max_bytes: usize) -> M {
+    let decoded = message::decode(frame, max_bytes).expect("a frame");
     decoded.expect("a whole frame").0
 }
 
--- a/crates/distribution/src/tests/net/checks.rs
+++ b/crates/distribution/src/tests/net/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in each play, noted as it goes.
+//! The invariants of each simulation, recorded while it runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,30 +12,31 @@
 use crate::message::{PeerMessage, ToWatcher};
 use crate::{digest, ControllerId, Digest, MachineId, Number};
 
-use super::{EXCLUSIVE, LATE};
+use super::{ACTIVATION_DELAY, EXCLUSIVE};
 
-/// What was seen.
+/// What was observed in a simulation.
 #[derive(Default)]
-pub struct Seen {
-    /// Heads that were ever known certified, by number, with the text that each names.
+pub struct Observations {
+    /// Heads that were known to be certified at any time, by number, with the text digest of each.
     certified: BTreeMap<Number, BTreeSet<(Digest, Digest)>>,
-    /// Roots that machines had by number.
+    /// The roots of the states that machines had, by number.
     roots: BTreeMap<Number, BTreeSet<Digest>>,
-    /// Batches by what names them in a head.
+    /// Batches by the text digest of their head.
     batches: BTreeMap<Digest, Batch>,
-    /// Only exclusive revisions contradict others: regions apart go on with older ones.
+    /// Only exclusive revisions contradict others, since partitioned regions continue with older ones.
     only_exclusive: bool,
-    /// Messages between machines of regions apart, and words on relay leases.
-    pub apart_messages: usize,
-    /// Regional leases that relays handed down.
+    /// Messages between machines about regional grants and relay leases.
+    pub regional_messages: usize,
+    /// Regional leases that relays sent.
     pub regional_leases: usize,
-    /// When a revision was first acted on by a watcher.
-    acted: BTreeMap<Number, Duration>,
+    /// When a watcher first acted on each revision.
+    first_active: BTreeMap<Number, Duration>,
     /// When each watcher first acted on each revision.
-    acted_by: BTreeMap<ControllerId, BTreeMap<Number, Duration>>,
-    /// The longest that any acted on an older one after that.
-    pub longest: Duration,
-    /// Pushes by their connections, with the machine and its life.
+    first_active_by: BTreeMap<ControllerId, BTreeMap<Number, Duration>>,
+    /// The longest time for which a watcher acted on a revision after another one acted on a contradicting
+    /// one.
+    pub longest_contradiction: Duration,
+    /// Pushes by their connections, with the machine and its incarnation.
     pushes: BTreeMap<ConnectionId, (ChangeId, MachineId, u32)>,
     outcomes: BTreeMap<ConnectionId, Vec<Result<Number, Rejection>>>,
     pub snapshots: usize,
@@ -43,8 +44,8 @@
     pub buckets: usize,
 }
 
-impl Seen {
-    /// Nothing was seen yet.
+impl Observations {
+    /// Nothing has been observed yet.
     pub fn new(only_exclusive: bool) -> Self {
         Self { only_exclusive, ..Self::default() }
     }
@@ -54,11 +55,13 @@
         self.batches.insert(digest(&summary.text()), batch);
     }
 
-    pub fn pushed(&mut self, connection: ConnectionId, id: ChangeId, (machine, life): (MachineId, u32)) {
-        self.pushes.insert(connection, (id, machine, life));
+    pub fn pushed(
+        &mut self, connection: ConnectionId, id: ChangeId, (machine, incarnation): (MachineId, u32),
+    ) {
+        self.pushes.insert(connection, (id, machine, incarnation));
     }
 
-    pub fn told(&mut self, connection: ConnectionId, outcome: Result<Number, Rejection>) {
+    pub fn on_outcome(&mut self, connection: ConnectionId, outcome: Result<Number, Rejection>) {
         self.outcomes.entry(connection).or_default().push(outcome);
     }
 
@@ -73,19 +76,19 @@
     }
 
     pub fn sent_to_peer(&mut self, message: &PeerMessage) {
-        let word = match message {
+        let message = match message {
             PeerMessage::Agreement(bytes) => Message::read(bytes),
             PeerMessage::RequestRegionalGrant { .. } | PeerMessage::RegionalGrant(_) => {
-                self.apart_messages += 1;
+                self.regional_messages += 1;
                 None
             }
             _ => None,
         };
         if let Some(
             Message::RelayLeaseRequest { .. } | Message::RelayLease { .. } | Message::ReadyToActivate { .. },
-        ) = word
+        ) = message
         {
-            self.apart_messages += 1;
+            self.regional_messages += 1;
         }
     }
 
@@ -102,49 +105,51 @@
         }
     }
 
-    /// Since when somebody acts on what contradicts a revision.
+    /// Since when a watcher has acted on a revision that contradicts this one.
     fn contradicted_since(&self, active: Number) -> Option<Duration> {
-        let later = self.acted.range(active + 1..);
+        let later = self.first_active.range(active + 1..);
         let exclusive = (active + 1..=self.highest()).find(|number| self.is_exclusive(*number));
         let first = if self.only_exclusive { exclusive? } else { active + 1 };
         later.filter(|(number, _)| **number >= first).map(|(_, at)| *at).min()
     }
 
-    /// What became of a push, as its tool heard.
+    /// The outcome of a push that its tool received.
     pub fn outcome(&self, push: Option<ConnectionId>) -> Option<&Result<Number, Rejection>> {
         self.outcomes.get(&push?).and_then(|outcomes| outcomes.first())
     }
 
-    /// When the last of so many watchers began to act on a revision or a later one.
-    pub fn acted_by_all(&self, number: Number, watchers: usize) -> Option<Duration> {
-        let began = |acted: &BTreeMap<Number, Duration>| acted.range(number..).map(|(_, at)| *at).min();
-        let all: Vec<Duration> = self.acted_by.values().filter_map(began).collect();
+    /// When the last of `watchers` watchers began to act on a revision or a later one.
+    pub fn active_at_all(&self, number: Number, watchers: usize) -> Option<Duration> {
+        let first_active_at =
+            |first_active: &BTreeMap<Number, Duration>| first_active.range(number..).map(|(_, at)| *at).min();
+        let all: Vec<Duration> = self.first_active_by.values().filter_map(first_active_at).collect();
         (all.len() == watchers).then(|| all.into_iter().max()).flatten()
     }
 
-    /// How many pushes were taken, rejected, of unknown outcome, and without an answer.
-    pub fn tally(&self) -> [usize; 4] {
-        let mut tally = [0; 4];
+    /// The numbers of pushes that were accepted, rejected, of unknown outcome, and without an answer.
+    pub fn count_outcomes(&self) -> [usize; 4] {
+        let mut counts = [0; 4];
         for push in self.pushes.keys() {
-            let at = match self.outcome(Some(*push)) {
+            let kind = match self.outcome(Some(*push)) {
                 Some(Ok(_)) => 0,
                 Some(Err(Rejection::Unknown)) => 2,
                 Some(Err(_)) => 1,
                 None => 3,
             };
-            tally[at] += 1;
+            counts[kind] += 1;
         }
-        tally
+        counts
     }
 
     pub fn highest(&self) -> Number {
         self.certified.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// In which certified revisions each change stands: one where all is well.
+    /// The certified revisions in which each change was applied; there must be at most one.
     fn applied(&self) -> BTreeMap<ChangeId, Vec<Number>> {
         let mut applied: BTreeMap<ChangeId, Vec<Number>> = BTreeMap::new();
-        // Where two were certified in one step, nobody was seen to have the lower one: the higher one's batch names its root.
+        // If two revisions were certified in one step, no machine was observed with the lower one. The batch
+        // of the higher one names its root.
         let mut next_root = None;
         for number in (1..=self.highest()).rev() {
             let named = self.certified.get(&number).and_then(|heads| heads.first()).map(|(_, text)| *text);
@@ -165,7 +170,7 @@
         applied
     }
 
-    /// What does not hold.
+    /// The invariants that were violated.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for (number, heads) in self.certified.iter().filter(|(_, heads)| heads.len() > 1) {
@@ -174,134 +179,147 @@
         for (number, roots) in self.roots.iter().filter(|(_, roots)| roots.len() > 1) {
             faults.push(format!("{} states of revision {number}", roots.len()));
         }
-        if self.longest > contradiction_bound(LATE) {
-            faults.push(format!("contradicting for {:?} of {:?}", self.longest, contradiction_bound(LATE)));
+        if self.longest_contradiction > contradiction_bound(ACTIVATION_DELAY) {
+            faults.push(format!(
+                "contradicting for {:?}, maximum {:?}",
+                self.longest_contradiction,
+                contradiction_bound(ACTIVATION_DELAY)
+            ));
         }
         let applied = self.applied();
         for (id, numbers) in applied.iter().filter(|(_, numbers)| numbers.len() > 1) {
             faults.push(format!("{id:?} was applied in revisions {numbers:?}"));
         }
-        let again = |id: &ChangeId| self.pushes.values().filter(|(pushed, ..)| pushed == id).count() > 1;
+        let pushed_again =
+            |id: &ChangeId| self.pushes.values().filter(|(pushed, ..)| pushed == id).count() > 1;
         for (push, outcomes) in &self.outcomes {
             let Some((id, ..)) = self.pushes.get(push) else { continue };
-            let taken = applied.get(id);
-            let fits = match &outcomes[..] {
-                [Ok(number)] => taken.is_some_and(|numbers| numbers[0] <= *number),
+            let applied_in = applied.get(id);
+            let consistent = match &outcomes[..] {
+                [Ok(number)] => applied_in.is_some_and(|numbers| numbers[0] <= *number),
                 [Err(Rejection::Unknown)] => true,
-                // What a machine lacks says nothing of others, where the same change was pushed at one of them as well.
-                [Err(Rejection::BaseTooOld(..) | Rejection::BaseAhead(..))] => taken.is_none() || again(id),
-                [Err(_)] => taken.is_none(),
+                // One machine may lack the base while another, to which the same change was pushed, has it.
+                [Err(Rejection::BaseTooOld(..) | Rejection::BaseAhead(..))] => {
+                    applied_in.is_none() || pushed_again(id)
+                }
+                [Err(_)] => applied_in.is_none(),
                 _ => false,
             };
-            if !fits {
-                faults.push(format!("{id:?}: told {outcomes:?}, and it stands in revisions {taken:?}"));
+            if !consistent {
+                faults
+                    .push(format!("{id:?}: reported {outcomes:?}, but applied in revisions {applied_in:?}"));
             }
         }
         faults
     }
 
-    /// Changes of which nothing was heard from machines that live on.
-    pub fn silent(&self, lives: impl Fn(MachineId) -> u32) -> Vec<ChangeId> {
+    /// Changes without an outcome from machines that did not restart.
+    pub fn unanswered(&self, incarnation_of: impl Fn(MachineId) -> u32) -> Vec<ChangeId> {
         let unanswered = self.pushes.iter().filter(|(push, _)| !self.outcomes.contains_key(push));
-        let alive = unanswered.filter(|(_, (_, machine, life))| lives(*machine) == *life);
-        alive.map(|(_, (id, ..))| *id).collect()
+        let running =
+            unanswered.filter(|(_, (_, machine, incarnation))| incarnation_of(*machine) == *incarnation);
+        running.map(|(_, (id, ..))| *id).collect()
     }
 }
 
 impl Net {
-    pub(super) fn look_at_machine(&mut self, me: MachineId) {
-        let Some(machine) = &self.machines[usize::from(me)].machine else { return };
-        if let Some(top) = machine.certificate() {
-            let of = (top.digest(), top.signed.head.text);
-            self.seen.certified.entry(top.number()).or_default().insert(of);
+    pub(super) fn observe_machine(&mut self, node_id: MachineId) {
+        let Some(machine) = &self.machines[usize::from(node_id)].machine else { return };
+        if let Some(certified) = machine.certificate() {
+            let head = (certified.digest(), certified.signed.head.text);
+            self.observed.certified.entry(certified.number()).or_default().insert(head);
         }
-        self.seen.roots.entry(machine.number()).or_default().insert(machine.state().root());
+        self.observed.roots.entry(machine.number()).or_default().insert(machine.state().root());
     }
 
-    /// What a watcher acts on now, held against all others' acting.
-    pub(super) fn look_at_watcher(&mut self, me: ControllerId) {
-        let seat = &self.watchers[me as usize];
-        let Some(watcher) = &seat.watcher else { return };
-        // One that stands still decides nothing.
-        if seat.stalled_until > self.now {
+    /// Records the active revision of a watcher, and how long it has contradicted those of others.
+    pub(super) fn observe_watcher(&mut self, node_id: ControllerId) {
+        let slot = &self.watchers[node_id as usize];
+        let Some(watcher) = &slot.watcher else { return };
+        // A stalled watcher makes no decisions.
+        if slot.stalled_until > self.now {
             return;
         }
-        let acting = watcher.acting(self.now.mul_f64(seat.pace));
-        if acting.hold_reason.is_some() && !self.broken.no_lease {
+        let acting = watcher.acting(self.now.mul_f64(slot.clock_rate));
+        if acting.hold_reason.is_some() && !self.disabled.no_lease {
             return;
         }
-        self.seen.acted.entry(acting.active).or_insert(self.now);
-        self.seen.acted_by.entry(me).or_default().entry(acting.active).or_insert(self.now);
-        let newer = self.seen.contradicted_since(acting.active);
-        let span = newer.map_or(Duration::ZERO, |at| self.now.saturating_sub(at));
-        self.seen.longest = self.seen.longest.max(span);
+        self.observed.first_active.entry(acting.active).or_insert(self.now);
+        self.observed.first_active_by.entry(node_id).or_default().entry(acting.active).or_insert(self.now);
+        let newer = self.observed.contradicted_since(acting.active);
+        let contradiction = newer.map_or(Duration::ZERO, |at| self.now.saturating_sub(at));
+        self.observed.longest_contradiction = self.observed.longest_contradiction.max(contradiction);
     }
 
-    pub fn machine(&self, me: MachineId) -> &ControlMachine<crate::tests::hand::DigestHand> {
-        self.machines[usize::from(me)].machine.as_ref().expect("a machine that runs")
+    pub fn machine(&self, node_id: MachineId) -> &ControlMachine<crate::tests::signer::DigestSigner> {
+        self.machines[usize::from(node_id)].machine.as_ref().expect("a machine that runs")
     }
 
-    /// What each watcher that runs acts on, if it does not hold back.
+    /// The active revision of each running watcher; `None` for one that must not act.
     pub fn active(&self) -> Vec<Option<Number>> {
-        let acting = |seat: &super::WatcherSeat| {
-            let acting = seat.watcher.as_ref()?.acting(self.now.mul_f64(seat.pace));
+        let acting = |slot: &super::WatcherSlot| {
+            let acting = slot.watcher.as_ref()?.acting(self.now.mul_f64(slot.clock_rate));
             acting.hold_reason.is_none().then_some(acting.active)
         };
         self.watchers.iter().map(acting).collect()
     }
 
     /// Whether all watchers outside a region have prepared the last certified revision.
-    pub fn has_prepared(&self, but_region: u32) -> bool {
-        let prepared = |seat: &super::WatcherSeat| {
-            let watcher = seat.watcher.as_ref()?;
-            watcher.acting(self.now.mul_f64(seat.pace)).prepared
+    pub fn has_prepared(&self, excluded_region: u32) -> bool {
+        let prepared = |slot: &super::WatcherSlot| {
+            let watcher = slot.watcher.as_ref()?;
+            watcher.acting(self.now.mul_f64(slot.clock_rate)).prepared
         };
-        let outside = |me: &ControllerId| super::region_of(Node::Watcher(*me)) != but_region;
+        let outside = |node_id: &ControllerId| super::region_of(Node::Watcher(*node_id)) != excluded_region;
         let mut all = (0..self.watchers.len() as ControllerId).filter(outside);
-        all.all(|me| prepared(&self.watchers[me as usize]) == Some(self.seen.highest()))
+        all.all(|node_id| prepared(&self.watchers[node_id as usize]) == Some(self.observed.highest()))
     }
 
-    /// Whether a watcher reaches a machine that runs, both ways.
-    fn is_reachable(&self, me: ControllerId) -> bool {
+    /// Whether a watcher is connected to a running machine in both directions.
+    fn is_reachable(&self, node_id: ControllerId) -> bool {
         let runs = |machine: &MachineId| self.machines[usize::from(*machine)].machine.is_some();
         let open = |machine: &MachineId| {
-            let ends = (Node::Watcher(me), Node::Machine(*machine));
-            !self.is_cut(ends.0, ends.1) && !self.is_cut(ends.1, ends.0)
+            let link = (Node::Watcher(node_id), Node::Machine(*machine));
+            !self.is_cut(link.0, link.1) && !self.is_cut(link.1, link.0)
         };
         (0..self.machines.len() as MachineId).any(|machine| runs(&machine) && open(&machine))
     }
 
-    /// Watchers that are reachable and don't act on the last certified revision.
-    pub fn behind(&self) -> Vec<ControllerId> {
-        let highest = self.seen.highest();
+    /// Reachable watchers that do not act on the last certified revision.
+    pub fn lagging(&self) -> Vec<ControllerId> {
+        let highest = self.observed.highest();
         let active = self.active();
-        let runs = |me: &ControllerId| self.watchers[*me as usize].watcher.is_some();
+        let runs = |node_id: &ControllerId| self.watchers[*node_id as usize].watcher.is_some();
         let all = 0..self.watchers.len() as ControllerId;
-        all.filter(|me| runs(me) && self.is_reachable(*me) && active[*me as usize] != Some(highest)).collect()
+        all.filter(|node_id| {
+            runs(node_id) && self.is_reachable(*node_id) && active[*node_id as usize] != Some(highest)
+        })
+        .collect()
     }
 
     pub fn is_settled(&self) -> bool {
-        self.behind().is_empty()
+        self.lagging().is_empty()
     }
 
-    /// What does not hold now that the network is whole and some time went by.
-    pub fn faults_at_the_end(&self) -> Vec<String> {
-        let mut faults = self.seen.faults();
-        let behind = self.behind();
-        if !behind.is_empty() {
-            let highest = self.seen.highest();
-            faults.push(format!("watchers {behind:?} don't act on {highest}: {:?}", self.active()));
+    /// The violated invariants, including those that must hold once the network has been healed for some
+    /// time.
+    pub fn final_faults(&self) -> Vec<String> {
+        let mut faults = self.observed.faults();
+        let lagging = self.lagging();
+        if !lagging.is_empty() {
+            let highest = self.observed.highest();
+            faults.push(format!("watchers {lagging:?} don't act on {highest}: {:?}", self.active()));
         }
-        let silent = self.seen.silent(|machine| self.machines[usize::from(machine)].life);
-        if !silent.is_empty() {
-            faults.push(format!("no outcome of {silent:?}"));
+        let unanswered = self.observed.unanswered(|machine| self.machines[usize::from(machine)].incarnation);
+        if !unanswered.is_empty() {
+            faults.push(format!("no outcome for {unanswered:?}"));
         }
         faults
     }
 
-    /// Fails where something does not hold.
-    pub fn check(&self, play: &str) {
-        let faults = self.faults_at_the_end();
-        assert!(faults.is_empty(), "{play}: {faults:?}");
+    /// Fails if an invariant is violated.
+    pub fn check(&self, test: &str) {
+        let faults = self.final_faults();
+        assert!(faults.is_empty(), "{test}: {faults:?}");
     }
 }
--- a/crates/distribution/src/tests/net/streams.rs
+++ b/crates/distribution/src/tests/net/streams.rs
@@ -1,5 +1,5 @@
-//! Streams between watchers, or tools, and relays: what is lost is sent again, in its order. A stream that is cut for some
-//! time breaks at both ends.
+//! Streams between relays and watchers or tools. Lost items are retransmitted in order. A stream that is cut
+//! for some time breaks at both ends.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use crate::message::{self, ToRelay, ToWatcher};
 use crate::{ControllerId, MachineId};
 
-/// What is lost is sent again after this.
-const AGAIN: Duration = Duration::from_millis(200);
-/// A stream on which something is held up for so long breaks.
-const BREAKS_AFTER: Duration = Duration::from_secs(8);
+/// A lost item is retransmitted after this time.
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
+/// A stream whose items are blocked for this long breaks.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Direction {
     Up,
     Down,
 }
@@ -27,21 +27,21 @@
 }
 
 #[derive(Default)]
-struct Pipe {
+struct Channel {
     items: VecDeque<(Duration, Item)>,
     last_at: Duration,
-    held_up_since: Option<Duration>,
-    /// When it is looked at again after it was held up: one event at a time.
-    again_at: Duration,
+    blocked_since: Option<Duration>,
+    /// When a blocked direction is next retried; at most one event is scheduled.
+    retry_at: Duration,
 }
 
 struct Stream {
     client: Node,
-    /// The place of the relay in a watcher's order.
+    /// The index of the relay in a watcher's order.
     relay: usize,
     machine: MachineId,
-    up: Pipe,
-    down: Pipe,
+    up: Channel,
+    down: Channel,
 }
 
 #[derive(Default)]
@@ -54,17 +54,17 @@
     fn open(&mut self, client: Node, relay: usize, machine: MachineId) -> ConnectionId {
         self.streams.next += 1;
         let id = self.streams.next;
-        let (up, down) = (Pipe::default(), Pipe::default());
+        let (up, down) = (Channel::default(), Channel::default());
         self.streams.streams.insert(id, Stream { client, relay, machine, up, down });
-        self.enqueue(id, Way::Up, Item::Open);
+        self.enqueue(id, Direction::Up, Item::Open);
         id
     }
 
-    pub(super) fn connect(&mut self, me: ControllerId, relay: usize) {
-        let machine = self.watchers[me as usize].relays[relay];
-        self.close_from_watcher(me, relay);
-        let id = self.open(Node::Watcher(me), relay, machine);
-        self.watchers[me as usize].connections.insert(relay, id);
+    pub(super) fn connect(&mut self, node_id: ControllerId, relay: usize) {
+        let machine = self.watchers[node_id as usize].relays[relay];
+        self.close_from_watcher(node_id, relay);
+        let id = self.open(Node::Watcher(node_id), relay, machine);
+        self.watchers[node_id as usize].connections.insert(relay, id);
     }
 
     pub(super) fn open_tool(&mut self, machine: MachineId) -> ConnectionId {
@@ -72,12 +72,12 @@
     }
 
     pub(super) fn send_tool(&mut self, id: ConnectionId, message: ToRelay) {
-        self.enqueue(id, Way::Up, Item::Frame(message::encode(&message)));
+        self.enqueue(id, Direction::Up, Item::Frame(message::encode(&message)));
     }
 
-    pub(super) fn send_up(&mut self, me: ControllerId, relay: usize, message: ToRelay) {
-        if let Some(id) = self.watchers[me as usize].connections.get(&relay).copied() {
-            self.enqueue(id, Way::Up, Item::Frame(message::encode(&message)));
+    pub(super) fn send_up(&mut self, node_id: ControllerId, relay: usize, message: ToRelay) {
+        if let Some(id) = self.watchers[node_id as usize].connections.get(&relay).copied() {
+            self.enqueue(id, Direction::Up, Item::Frame(message::encode(&message)));
         }
     }
 
@@ -90,133 +90,134 @@
         };
         let Some(machine) = self.streams.streams.get(&id).map(|stream| stream.machine) else { return };
         match update {
-            Some(_) if self.broken.no_updates => {}
-            // It takes its watcher to have what it never sent.
-            Some(number) if self.liars.contains(&machine) => {
-                self.enqueue(id, Way::Up, Item::Frame(message::encode(&ToRelay::Prepared { number })));
+            Some(_) if self.disabled.no_updates => {}
+            // The faulty relay assumes that its watcher has prepared an update that it never sent.
+            Some(number) if self.faulty_relays.contains(&machine) => {
+                self.enqueue(id, Direction::Up, Item::Frame(message::encode(&ToRelay::Prepared { number })));
             }
             _ => {
-                self.seen.sent_down(&message);
-                self.enqueue(id, Way::Down, Item::Frame(message::encode(&message)));
+                self.observed.sent_down(&message);
+                self.enqueue(id, Direction::Down, Item::Frame(message::encode(&message)));
             }
         }
     }
 
-    /// One end closes: the other one hears of it behind all else.
-    pub(super) fn close_stream(&mut self, id: ConnectionId, by: Node) {
+    /// One end closes: the other one is notified after all queued items.
+    pub(super) fn close_stream(&mut self, id: ConnectionId, closed_by: Node) {
         let Some(stream) = self.streams.streams.get(&id) else { return };
-        let way = if by == stream.client { Way::Up } else { Way::Down };
-        self.enqueue(id, way, Item::Close);
+        let direction = if closed_by == stream.client { Direction::Up } else { Direction::Down };
+        self.enqueue(id, direction, Item::Close);
     }
 
-    pub(super) fn close_from_watcher(&mut self, me: ControllerId, relay: usize) {
-        if let Some(id) = self.watchers[me as usize].connections.remove(&relay) {
-            self.close_stream(id, Node::Watcher(me));
+    pub(super) fn close_from_watcher(&mut self, node_id: ControllerId, relay: usize) {
+        if let Some(id) = self.watchers[node_id as usize].connections.remove(&relay) {
+            self.close_stream(id, Node::Watcher(node_id));
         }
     }
 
-    /// A node is gone: what hung on it hears so, if the way is open, or when the stream breaks.
+    /// A node stopped: the other ends of its streams are notified if the network allows, or when the streams
+    /// break.
     pub fn break_streams_of(&mut self, node: Node) {
         let of_node = |stream: &Stream| stream.client == node || Node::Machine(stream.machine) == node;
         let ids = self.streams.streams.iter().filter(|(_, stream)| of_node(stream)).map(|(id, _)| *id);
         for id in ids.collect::<Vec<_>>() {
             self.close_stream(id, node);
         }
-        // A watcher that lives on hears so itself.
-        if let Node::Watcher(me) = node {
-            let relays: Vec<usize> = self.watchers[me as usize].connections.keys().copied().collect();
+        // A watcher that still runs is notified directly.
+        if let Node::Watcher(node_id) = node {
+            let relays: Vec<usize> = self.watchers[node_id as usize].connections.keys().copied().collect();
             for relay in relays {
-                self.watchers[me as usize].connections.remove(&relay);
-                self.with_watcher(me, |watcher, now, out| watcher.on_closed(now, relay, out));
+                self.watchers[node_id as usize].connections.remove(&relay);
+                self.with_watcher(node_id, |watcher, now, out| watcher.on_closed(now, relay, out));
             }
         }
     }
 
-    fn enqueue(&mut self, id: ConnectionId, way: Way, item: Item) {
+    fn enqueue(&mut self, id: ConnectionId, direction: Direction, item: Item) {
         let Some(stream) = self.streams.streams.get(&id) else { return };
-        let ends = (stream.client, Node::Machine(stream.machine));
-        let (from, to) = if way == Way::Up { ends } else { (ends.1, ends.0) };
-        let mut at = self.now + self.way(from, to);
-        while self.chance.unit_interval() < self.loss {
-            at += AGAIN;
+        let link = (stream.client, Node::Machine(stream.machine));
+        let (from, to) = if direction == Direction::Up { link } else { (link.1, link.0) };
+        let mut at = self.now + self.random_delay(from, to);
+        while self.rng.unit_interval() < self.loss {
+            at += RETRANSMIT_DELAY;
         }
         let Some(stream) = self.streams.streams.get_mut(&id) else { return };
-        let pipe = if way == Way::Up { &mut stream.up } else { &mut stream.down };
-        pipe.last_at = pipe.last_at.max(at);
-        let at = pipe.last_at;
-        pipe.items.push_back((at, item));
-        self.put(at, Event::Stream(id));
+        let channel = if direction == Direction::Up { &mut stream.up } else { &mut stream.down };
+        channel.last_at = channel.last_at.max(at);
+        let at = channel.last_at;
+        channel.items.push_back((at, item));
+        self.schedule(at, Event::Stream(id));
     }
 
-    /// Delivers what has come on a stream.
-    pub(super) fn pump(&mut self, id: ConnectionId) {
-        for way in [Way::Up, Way::Down] {
-            while let Some(item) = self.take_next(id, way) {
-                self.deliver(id, way, item);
+    /// Delivers the items that have arrived on a stream.
+    pub(super) fn deliver_due(&mut self, id: ConnectionId) {
+        for direction in [Direction::Up, Direction::Down] {
+            while let Some(item) = self.take_next(id, direction) {
+                self.deliver(id, direction, item);
             }
         }
     }
 
-    fn take_next(&mut self, id: ConnectionId, way: Way) -> Option<Item> {
+    fn take_next(&mut self, id: ConnectionId, direction: Direction) -> Option<Item> {
         let now = self.now;
         let stream = self.streams.streams.get(&id)?;
         let (client, machine) = (stream.client, Node::Machine(stream.machine));
-        let (from, to) = if way == Way::Up { (client, machine) } else { (machine, client) };
-        // A stream whose acknowledgements don't come back delivers for a while, which is all the same here.
+        let (from, to) = if direction == Direction::Up { (client, machine) } else { (machine, client) };
+        // A stream whose acknowledgements are lost still delivers for a while; this makes no difference here.
         let cut = self.is_cut(from, to);
-        let stalled = match to {
-            Node::Machine(me) => self.machines[usize::from(me)].stalled_until,
-            Node::Watcher(me) => self.watchers[me as usize].stalled_until,
+        let stalled_until = match to {
+            Node::Machine(node_id) => self.machines[usize::from(node_id)].stalled_until,
+            Node::Watcher(node_id) => self.watchers[node_id as usize].stalled_until,
             Node::Tool(_) => Duration::ZERO,
         };
         let stream = self.streams.streams.get_mut(&id)?;
-        let pipe = if way == Way::Up { &mut stream.up } else { &mut stream.down };
-        let (at, _) = pipe.items.front()?;
+        let channel = if direction == Direction::Up { &mut stream.up } else { &mut stream.down };
+        let (at, _) = channel.items.front()?;
         if *at > now {
             return None;
         }
-        if stalled > now {
-            if pipe.again_at <= now {
-                pipe.again_at = stalled;
-                self.put(stalled, Event::Stream(id));
+        if stalled_until > now {
+            if channel.retry_at <= now {
+                channel.retry_at = stalled_until;
+                self.schedule(stalled_until, Event::Stream(id));
             }
             return None;
         }
         if !cut {
-            pipe.held_up_since = None;
-            return pipe.items.pop_front().map(|(_, item)| item);
+            channel.blocked_since = None;
+            return channel.items.pop_front().map(|(_, item)| item);
         }
-        let since = *pipe.held_up_since.get_or_insert(now);
-        if now >= since + BREAKS_AFTER {
-            self.both_ends_closed(id);
-        } else if pipe.again_at <= now {
-            pipe.again_at = now + AGAIN;
-            self.put(now + AGAIN, Event::Stream(id));
+        let since = *channel.blocked_since.get_or_insert(now);
+        if now >= since + STREAM_TIMEOUT {
+            self.close_both_ends(id);
+        } else if channel.retry_at <= now {
+            channel.retry_at = now + RETRANSMIT_DELAY;
+            self.schedule(now + RETRANSMIT_DELAY, Event::Stream(id));
         }
         None
     }
 
-    fn both_ends_closed(&mut self, id: ConnectionId) {
-        self.deliver(id, Way::Up, Item::Close);
-        self.deliver(id, Way::Down, Item::Close);
+    fn close_both_ends(&mut self, id: ConnectionId) {
+        self.deliver(id, Direction::Up, Item::Close);
+        self.deliver(id, Direction::Down, Item::Close);
         self.streams.streams.remove(&id);
     }
 
-    fn deliver(&mut self, id: ConnectionId, way: Way, item: Item) {
+    fn deliver(&mut self, id: ConnectionId, direction: Direction, item: Item) {
         let Some(stream) = self.streams.streams.get(&id) else { return };
         let (client, relay, machine) = (stream.client, stream.relay, stream.machine);
         if matches!(item, Item::Close) {
             self.streams.streams.remove(&id);
         }
-        match (way, client) {
-            (Way::Up, _) => self.deliver_up(id, machine, item, (client, relay)),
-            (Way::Down, Node::Watcher(me)) => self.deliver_down(id, me, relay, item),
-            (Way::Down, _) => {
+        match (direction, client) {
+            (Direction::Up, _) => self.deliver_up(id, machine, item, (client, relay)),
+            (Direction::Down, Node::Watcher(node_id)) => self.deliver_down(id, node_id, relay, item),
+            (Direction::Down, _) => {
                 if let Item::Frame(frame) = item {
                     if let ToWatcher::PushOutcome { outcome, .. } =
                         decoded(&frame, message::MAX_RELAY_BODY_BYTES)
                     {
-                        self.told(id, outcome);
+                        self.on_outcome(id, outcome);
                     }
                 }
             }
@@ -226,17 +227,17 @@
     fn deliver_up(
         &mut self, id: ConnectionId, machine: MachineId, item: Item, (client, relay): (Node, usize),
     ) {
-        let alive = self.machines[usize::from(machine)].machine.is_some();
+        let running = self.machines[usize::from(machine)].machine.is_some();
         match item {
-            Item::Open if alive => {
+            Item::Open if running => {
                 self.with_machine(machine, |machine, now, out| machine.watcher_opened(now, id, out));
-                if let Node::Watcher(me) = client {
-                    if self.watchers[me as usize].connections.get(&relay) == Some(&id) {
-                        self.with_watcher(me, |watcher, now, out| watcher.on_connected(now, relay, out));
+                if let Node::Watcher(node_id) = client {
+                    if self.watchers[node_id as usize].connections.get(&relay) == Some(&id) {
+                        self.with_watcher(node_id, |watcher, now, out| watcher.on_connected(now, relay, out));
                     }
                 }
             }
-            // Nobody listens there.
+            // The machine is not running, so nothing listens.
             Item::Open => self.close_stream(id, Node::Machine(machine)),
             Item::Frame(frame) => {
                 let message = decoded(&frame, message::MAX_WATCHER_BODY_BYTES);
@@ -248,18 +249,18 @@
         }
     }
 
-    fn deliver_down(&mut self, id: ConnectionId, me: ControllerId, relay: usize, item: Item) {
-        if self.watchers[me as usize].connections.get(&relay) != Some(&id) {
+    fn deliver_down(&mut self, id: ConnectionId, node_id: ControllerId, relay: usize, item: Item) {
+        if self.watchers[node_id as usize].connections.get(&relay) != Some(&id) {
             return;
         }
         match item {
             Item::Frame(frame) => {
                 let message = decoded(&frame, message::MAX_RELAY_BODY_BYTES);
-                self.with_watcher(me, |watcher, now, out| watcher.on_message(now, relay, message, out));
+                self.with_watcher(node_id, |watcher, now, out| watcher.on_message(now, relay, message, out));
             }
             Item::Close => {
-                self.watchers[me as usize].connections.remove(&relay);
-                self.with_watcher(me, |watcher, now, out| watcher.on_closed(now, relay, out));
+                self.watchers[node_id as usize].connections.remove(&relay);
+                self.with_watcher(node_id, |watcher, now, out| watcher.on_closed(now, relay, out));
             }
             Item::Open => {}
         }
--- a/crates/distribution/src/tests/sample.rs
+++ b/crates/distribution/src/tests/sample.rs
@@ -4,7 +4,7 @@
 use badgerledge_revisions::{Ballot, Head};
 
 use super::edits::{entry, put, removal};
-use super::hand::{sign_as_author, DigestHand};
+use super::signer::{sign_as_author, DigestSigner};
 use crate::change::{Change, ChangeId, Rejection, Summary};
 use crate::lease::{leaf, Grant, LeaseProof, NonceTree};
 use crate::message::{PartitionStatus, PeerMessage, ToRelay, ToWatcher};
@@ -27,8 +27,9 @@
 pub fn certificate(votes: MachineId) -> Certified {
     let head = Head::new(12, [3; 32], 0, &summary().text());
     let ballot = Ballot { round: 1, proposer: 0, incarnation: 1 };
-    let vote = |machine| Vote::sign(&DigestHand::new(machine, ACCEPTORS), machine, 12, ballot, head.digest());
-    let signature = DigestHand::new(0, ACCEPTORS).sign(&head.signed_bytes());
+    let vote =
+        |machine| Vote::sign(&DigestSigner::new(machine, ACCEPTORS), machine, 12, ballot, head.digest());
+    let signature = DigestSigner::new(0, ACCEPTORS).sign(&head.signed_bytes());
     Certified {
         signed: Signed { head, signature },
         votes: (0..votes).map(vote).collect(),
@@ -40,7 +41,7 @@
 pub fn lease_proof(watchers: u32, grants: MachineId) -> LeaseProof {
     let nonce = [5; 16];
     let tree = NonceTree::new((0..watchers).map(|watcher| leaf(watcher, &nonce)).collect());
-    let grant = |machine| Grant::sign(&DigestHand::new(machine, ACCEPTORS), machine, tree.root(), 12);
+    let grant = |machine| Grant::sign(&DigestSigner::new(machine, ACCEPTORS), machine, tree.root(), 12);
     LeaseProof { nonce, index: 3, path: tree.path(3), grants: (0..grants).map(grant).collect() }
 }
 
@@ -49,7 +50,7 @@
     let nonce = [5; 16];
     let tree = NonceTree::new((0..8).map(|watcher| leaf(watcher, &nonce)).collect());
     let grant = |machine: &MachineId| {
-        RegionalGrant::sign(&DigestHand::new(*machine, ACCEPTORS), *machine, tree.root(), 12)
+        RegionalGrant::sign(&DigestSigner::new(*machine, ACCEPTORS), *machine, tree.root(), 12)
     };
     RegionalProof { nonce, index: 3, path: tree.path(3), grants: machines.iter().map(grant).collect() }
 }
@@ -76,7 +77,7 @@
 
 /// One message of each variant that a relay sends.
 pub fn to_watcher() -> Vec<ToWatcher> {
-    let go = ActivationGrant::sign(&DigestHand::new(1, ACCEPTORS), 1, 12, [3; 32]);
+    let go = ActivationGrant::sign(&DigestSigner::new(1, ACCEPTORS), 1, 12, [3; 32]);
     let rejection = Rejection::Conflict { key: "a".to_owned(), base: 11, changed_in: 12 };
     let id = ChangeId { author: 1, sequence: 2 };
     vec![
--- a/crates/distribution/src/tests/watcher/harness.rs
+++ b/crates/distribution/src/tests/watcher/harness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::super::certified::{a_quorum, good_proof, hand, Version};
-use super::super::hand::DigestHand;
+use super::super::certified::{a_quorum, good_proof, signer, Version};
+use super::super::signer::DigestSigner;
 use crate::lease::Nonce;
 use crate::message::{ToRelay, ToWatcher};
 use crate::state::{Edit, State};
@@ -51,7 +51,7 @@
 
 /// A watcher with its clock and its disk.
 pub struct Harness {
-    pub watcher: Watcher<DigestHand>,
+    pub watcher: Watcher<DigestSigner>,
     pub now: Duration,
     /// The stored bytes.
     pub disk: Vec<u8>,
@@ -59,7 +59,7 @@
     pub nonces: Vec<(usize, Nonce)>,
 }
 
-type Call<'a> = &'a mut dyn FnMut(&mut Watcher<DigestHand>, Duration, &mut Vec<WatcherOutput>);
+type Call<'a> = &'a mut dyn FnMut(&mut Watcher<DigestSigner>, Duration, &mut Vec<WatcherOutput>);
 
 impl Harness {
     pub fn new(relays: usize) -> Self {
@@ -69,7 +69,7 @@
     pub fn with_disk(relays: usize, disk: Vec<u8>) -> Self {
         let now = seconds(1000.0);
         let stored = Stored::read(&disk).ok();
-        let watcher = Watcher::new(hand(100), config(relays), file_state(), stored, 1, now);
+        let watcher = Watcher::new(signer(100), config(relays), file_state(), stored, 1, now);
         Self { watcher, now, disk, nonces: Vec::new() }
     }
 
@@ -216,7 +216,7 @@
 
 /// The activation grants of a quorum for a version.
 pub fn activate(version: &Version) -> ToWatcher {
-    ToWatcher::Activate { number: version.number(), activation_grants: version.goes(a_quorum()) }
+    ToWatcher::Activate { number: version.number(), activation_grants: version.activation_grants(a_quorum()) }
 }
 
 /// Whether the connection to a relay is closed.
--- a/crates/distribution/src/tests/watcher/lease_simulation.rs
+++ b/crates/distribution/src/tests/watcher/lease_simulation.rs
@@ -11,9 +11,9 @@
 
 use badgerledge_core::random::Rng;
 
-use super::super::certified::{edited, hand, Version, ACCEPTORS};
+use super::super::certified::{edited, signer, Version, ACCEPTORS};
 use super::super::edits::put;
-use super::super::hand::DigestHand;
+use super::super::signer::DigestSigner;
 use super::harness::{activate, delta, file_state, seconds, snapshot};
 use crate::lease::{contradiction_bound, leaf, root_of_path, Grant, LeaseProof, Nonce, NonceTree, LEASE};
 use crate::message::{ToRelay, ToWatcher};
@@ -64,7 +64,7 @@
         let counts = |grant: &&Grant| {
             let has_root = Some(grant.root) == root || disabled_rule == DisabledRule::NoPath;
             let allows_active = grant.allowed <= active || disabled_rule == DisabledRule::HigherAllowed;
-            has_root && allows_active && grant.is_valid(&hand(100))
+            has_root && allows_active && grant.is_valid(&signer(100))
         };
         let mut acceptors: Vec<MachineId> =
             proof.grants.iter().filter(counts).map(|grant| grant.acceptor).collect();
@@ -79,7 +79,7 @@
 
 /// A watcher with its disk, its clock and its connections.
 struct SimulatedWatcher {
-    watcher: Option<Watcher<DigestHand>>,
+    watcher: Option<Watcher<DigestSigner>>,
     lease_model: LeaseModel,
     disk: Vec<u8>,
     /// How often the process was started; part of the seed of its nonces.
@@ -212,7 +212,7 @@
         };
         let stored = Stored::read(&simulated.disk).ok();
         simulated.watcher =
-            Some(Watcher::new(hand(100), config, file_state(), stored, simulated.starts, now));
+            Some(Watcher::new(signer(100), config, file_state(), stored, simulated.starts, now));
         simulated.lease_model = LeaseModel::default();
     }
 
@@ -224,7 +224,7 @@
 
     fn call(
         &mut self, index: usize,
-        call: impl FnOnce(&mut Watcher<DigestHand>, Duration, &mut Vec<WatcherOutput>),
+        call: impl FnOnce(&mut Watcher<DigestSigner>, Duration, &mut Vec<WatcherOutput>),
     ) {
         let (now, mut out) = (self.clock(index), Vec::new());
         let Some(watcher) = &mut self.watchers[index].watcher else { return };
@@ -425,7 +425,7 @@
         for acceptor in 0..ACCEPTORS {
             if self.with_probability(0.85) {
                 let allowed = self.allowed[usize::from(acceptor)];
-                round.grants.push(Grant::sign(&hand(acceptor), acceptor, round.tree.root(), allowed));
+                round.grants.push(Grant::sign(&signer(acceptor), acceptor, round.tree.root(), allowed));
             }
         }
         for index in 0..round.requests.len() {
@@ -482,7 +482,7 @@
             let tree = NonceTree::new(vec![leaf(index as u32, &nonce)]);
             let grant = |acceptor: MachineId| {
                 let allowed = self.allowed[usize::from(acceptor)];
-                Grant::sign(&hand(acceptor), acceptor, tree.root(), allowed)
+                Grant::sign(&signer(acceptor), acceptor, tree.root(), allowed)
             };
             let grants = (0..ACCEPTORS).map(grant).collect();
             self.predicted_proofs
--- a/crates/distribution/src/tests/watcher/revisions.rs
+++ b/crates/distribution/src/tests/watcher/revisions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::super::certified::{a_quorum, edited, good_proof, hand, proof, version, version_of, Version};
+use super::super::certified::{a_quorum, edited, good_proof, proof, signer, version, version_of, Version};
 use super::super::edits::{put, removal, titles};
 use super::harness::{
     activate, closes, delta, file_state, seconds, snapshot, Harness, CONTROLLER, UNFIT_KEY,
@@ -93,7 +93,7 @@
 fn a_certificate_with_activation_grants_activates() {
     let mut harness = Harness::with_serving_relay(2, 1);
     let (mut one, edits) = first_revision();
-    one.certificate.activation_grants = one.goes(a_quorum());
+    one.certificate.activation_grants = one.activation_grants(a_quorum());
     harness.receive(0, delta(&one, 0, &file_state(), &edits));
     assert_eq!(harness.numbers(), (1, None));
 }
@@ -102,15 +102,15 @@
 fn activation_grants_without_a_quorum_are_refused() {
     let (one, edits) = first_revision();
     let other = version_of(1, one.state.clone(), 1);
-    let mut forged = one.goes(a_quorum());
+    let mut forged = one.activation_grants(a_quorum());
     forged[1].signature[0] ^= 1;
     let two = version(2, one.state.clone());
     let invalid = [
-        one.goes(0..2),
-        one.goes([0, 1, 1].into_iter()),
-        one.goes([0, 1, 5].into_iter()),
-        other.goes(a_quorum()),
-        two.goes(a_quorum()),
+        one.activation_grants(0..2),
+        one.activation_grants([0, 1, 1].into_iter()),
+        one.activation_grants([0, 1, 5].into_iter()),
+        other.activation_grants(a_quorum()),
+        two.activation_grants(a_quorum()),
         forged,
         vec![],
     ];
@@ -458,7 +458,7 @@
 fn a_new_list_of_acceptors_applies_at_once() {
     let mut harness = Harness::with_serving_relay(2, 1);
     let (one, edits) = first_revision();
-    let mut ring = hand(100);
+    let mut ring = signer(100);
     ring.acceptors = vec![10, 11, 12];
     harness.watcher.replace_signer(ring);
     assert!(closes(&harness.receive(0, delta(&one, 0, &file_state(), &edits)), 0));
--- a/crates/distribution/src/tests/watcher/scripted_relays.rs
+++ b/crates/distribution/src/tests/watcher/scripted_relays.rs
@@ -164,7 +164,10 @@
 
     fn activation_grants(&self, version: &Version) -> ToWatcher {
         let acceptors = if self.behaviour == Behaviour::TooFewActivationGrants { 0..2 } else { a_quorum() };
-        ToWatcher::Activate { number: version.number(), activation_grants: version.goes(acceptors) }
+        ToWatcher::Activate {
+            number: version.number(),
+            activation_grants: version.activation_grants(acceptors),
+        }
     }
 
     /// Offers the latest revision, unless an offer is outstanding.
--- a/crates/distribution/src/tests/watcher/simulation.rs
+++ b/crates/distribution/src/tests/watcher/simulation.rs
@@ -6,9 +6,9 @@
 
 use badgerledge_core::random::Rng;
 
-use super::super::certified::{hand, version};
+use super::super::certified::{signer, version};
 use super::super::edits::{put, titles};
-use super::super::hand::DigestHand;
+use super::super::signer::DigestSigner;
 use super::harness::{config, file_state, seconds};
 use super::scripted_relays::{Behaviour, ControlPlane, Relay, RelayOutput};
 use crate::lease::LEASE;
@@ -31,7 +31,7 @@
 /// A watcher, its relays and the events between them.
 struct Simulation {
     now: Duration,
-    watcher: Watcher<DigestHand>,
+    watcher: Watcher<DigestSigner>,
     disk: Vec<u8>,
     relays: Vec<Relay>,
     /// The number of the current connection to each relay; events of earlier connections are ignored.
@@ -58,7 +58,7 @@
         let relay = |(machine, behaviour): (usize, &Behaviour)| Relay::new(machine as u16, *behaviour);
         Self {
             now,
-            watcher: Watcher::new(hand(100), config(behaviours.len()), file_state(), None, 5, now),
+            watcher: Watcher::new(signer(100), config(behaviours.len()), file_state(), None, 5, now),
             disk: Vec::new(),
             relays: behaviours.iter().enumerate().map(relay).collect(),
             connections: vec![0; behaviours.len()],
@@ -79,7 +79,7 @@
         self.events.insert((self.now + after, self.sequence), (self.connections[relay], event));
     }
 
-    fn call(&mut self, call: impl FnOnce(&mut Watcher<DigestHand>, Duration, &mut Vec<WatcherOutput>)) {
+    fn call(&mut self, call: impl FnOnce(&mut Watcher<DigestSigner>, Duration, &mut Vec<WatcherOutput>)) {
         let mut out = Vec::new();
         self.calls += 1;
         call(&mut self.watcher, self.now, &mut out);
