--- a/crates/distribution/src/control/config.rs
+++ b/crates/distribution/src/control/config.rs
@@ -24,6 +24,7 @@
 /// The configuration of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
+    /// The number of this machine.
     pub me: MachineId,
     /// The incarnation number of the process: higher than in all earlier runs of this machine.
     pub life: u32,
--- a/crates/distribution/src/control/output.rs
+++ b/crates/distribution/src/control/output.rs
@@ -13,8 +13,11 @@
 /// sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlOutput {
+    /// Store an item.
     Store(StoredItem),
+    /// Send a message to another control machine.
     ToPeer(MachineId, PeerMessage),
+    /// Send a message on a connection of a watcher or a tool.
     ToWatcher(ConnectionId, Box<ToWatcher>),
     /// Close a connection after sending what is queued. The driver reads nothing more from it, and does not
     /// report it as closed.
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -12,6 +12,7 @@
 /// The limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// The maximum number of revisions.
     pub revisions: usize,
     /// Bytes of the keys and values of all edits, plus 64 for each edit.
     pub bytes: usize,
--- a/crates/distribution/src/tests/control/simulations.rs
+++ b/crates/distribution/src/tests/control/simulations.rs
@@ -208,9 +208,9 @@
     let longest_contradiction =
         all.iter().map(|result| result.longest_contradiction).max().unwrap_or_default();
     println!(
-        "{count} simulations without violations: {certified} revisions; {accepted} pushes accepted, {rejected} rejected, \
-         {unknown} unknown, {unanswered} unanswered by machines that stopped; longest contradiction {longest_contradiction:.2?}; \
-         {regional} regional leases"
+        "{count} simulations without violations: {certified} revisions; {accepted} pushes accepted, \
+         {rejected} rejected, {unknown} unknown, {unanswered} unanswered by machines that stopped; \
+         longest contradiction {longest_contradiction:.2?}; {regional} regional leases"
     );
     let enough = accepted as u64 > count && rejected as u64 > count / 4;
     assert!(enough, "too few outcomes for a meaningful test: {accepted} accepted, {rejected} rejected");
--- a/crates/distribution/src/tests/control/watchers.rs
+++ b/crates/distribution/src/tests/control/watchers.rs
@@ -79,7 +79,7 @@
         net.break_streams_of(Node::Watcher(2));
     }
     let buckets = net.observed.buckets;
-    assert!(buckets > 0, "it was cut off before anything came");
+    assert!(buckets > 0, "the stream broke before any bucket was received");
     net.run_until_acting(5, 60.0);
     let distinct = 1000;
     assert!(net.observed.buckets <= distinct + 150, "{} buckets were sent", net.observed.buckets);
--- a/crates/distribution/src/tests/net.rs
+++ b/crates/distribution/src/tests/net.rs
@@ -554,7 +554,7 @@
 /// Decodes the message of one complete frame.
 fn decoded<M: serde::de::DeserializeOwned>(frame: &[u8], max_bytes: usize) -> M {
     let decoded = message::decode(frame, max_bytes).expect("a frame");
-    decoded.expect("a whole frame").0
+    decoded.expect("a complete frame").0
 }
 
 fn region(number: u32) -> u32 {
