--- a/crates/distribution/src/control/ledger.rs
+++ b/crates/distribution/src/control/ledger.rs
@@ -53,7 +53,7 @@
         self.retains_allowed = true;
     }
 
-    /// The last revision allowed for activation, if the watcher is_useful it and the latest is not allowed
+    /// The last revision allowed for activation, if the watcher lacks it and the latest is not allowed
     /// yet.
     pub fn allowed_for(&self, active: Number, prepared: Number) -> Option<&Arc<Revision>> {
         let allowed = self.allowed.as_ref()?;
--- a/crates/distribution/src/control/recovery.rs
+++ b/crates/distribution/src/control/recovery.rs
@@ -19,7 +19,7 @@
 /// How long consensus waits at most for a machine that has a lease and has not prepared a revision: the relay
 /// of the machine gives its watchers two seconds, and messages take some round trips between regions.
 const GATE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A checkpoint is stored after this enough revisions, or this enough bytes of batches.
+/// A checkpoint is stored after this many revisions, or this many bytes of batches.
 const CHECKPOINT_REVISIONS: Number = 256;
 const CHECKPOINT_BYTES: usize = 4 * 1024 * 1024;
 /// If revisions were adopted without their batches, a checkpoint is stored at once, but not more often than
--- a/crates/distribution/src/control/stored.rs
+++ b/crates/distribution/src/control/stored.rs
@@ -1,5 +1,5 @@
 //! The items that a control machine stores, and their encoding. The driver seals each record with a digest,
-//! so that a partially record one is ignored.
+//! so that a partially written one is ignored.
 
 use badgerledge_revisions::AcceptorState;
 use serde::{Deserialize, Serialize};
--- a/crates/distribution/src/tests/control/machines.rs
+++ b/crates/distribution/src/tests/control/machines.rs
@@ -94,7 +94,7 @@
 
 /// Two of three acceptors certified a revision that the third did not receive. One of the two loses its disk,
 /// and the other is partitioned. The one without its disk must not vote for another revision with that
-/// number. With `forgets` it does, and the check detects it.
+/// number. With `forgets_votes` it does, and the check detects it.
 #[test]
 fn an_acceptor_without_its_state_does_not_certify_a_contradicting_revision() {
     for forgets_votes in [false, true] {
