--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -40,7 +40,7 @@
 use badgerledge_core::random::Rng;
 use badgerledge_revisions::{Acceptor, Revisions};
 
-pub use config::{Config, ConfigFault, LEAST_APART, MOST_APART};
+pub use config::{Config, ConfigFault, MAX_PARTITION, MIN_PARTITION};
 pub use output::{CloseReason, ConnectionId, ControlOutput};
 pub use regional::ExclusiveCheck;
 pub use state_check::StateCheck;
@@ -100,7 +100,7 @@
     }
 
     /// Replaces the signer when the ring has changed, for instance when an author's key was revoked.
-    pub fn take_hand(&mut self, now: Duration, signer: H, out: &mut Vec<ControlOutput>) {
+    pub fn replace_signer(&mut self, now: Duration, signer: H, out: &mut Vec<ControlOutput>) {
         if signer.acceptors() != self.signer().acceptors() {
             self.revisions.acceptors_changed(now);
         }
@@ -111,23 +111,23 @@
     }
 
     /// The connection to another control machine was established.
-    pub fn peer_up(&mut self, now: Duration, peer: MachineId, out: &mut Vec<ControlOutput>) {
+    pub fn on_peer_connected(&mut self, now: Duration, peer: MachineId, out: &mut Vec<ControlOutput>) {
         self.peers.on_message(now, peer);
         self.make_progress(now, out);
     }
 
     /// The connection to another control machine broke.
-    pub fn peer_down(&mut self, _now: Duration, peer: MachineId) {
+    pub fn on_peer_closed(&mut self, _now: Duration, peer: MachineId) {
         self.peers.on_down(peer);
         self.serving.on_peer_down(peer);
     }
 
     /// Receives a message from another control machine; the transport has authenticated the sender.
-    pub fn peer_message(
+    pub fn on_peer_message(
         &mut self, now: Duration, from: MachineId, message: PeerMessage, out: &mut Vec<ControlOutput>,
     ) {
         let is_member = self.signer().members().contains(&from);
-        if !is_member || from == self.config.me {
+        if !is_member || from == self.config.machine {
             return;
         }
         self.peers.on_message(now, from);
@@ -159,12 +159,14 @@
     }
 
     /// A watcher or an operator's tool connected.
-    pub fn watcher_opened(&mut self, now: Duration, connection: ConnectionId, out: &mut Vec<ControlOutput>) {
+    pub fn on_watcher_connected(
+        &mut self, now: Duration, connection: ConnectionId, out: &mut Vec<ControlOutput>,
+    ) {
         self.relay.on_opened(now, connection, out);
     }
 
     /// Receives a message on a connection of a watcher or a tool.
-    pub fn watcher_message(
+    pub fn on_watcher_message(
         &mut self, now: Duration, connection: ConnectionId, message: ToRelay, out: &mut Vec<ControlOutput>,
     ) {
         if !self.relay.on_message(now, connection, out) {
@@ -191,7 +193,7 @@
                 relay.accept_regional(connection);
             }
             ToRelay::GetPartitionStatus => {
-                let status = Box::new(self.apart_status(now));
+                let status = Box::new(self.partition_status(now));
                 out.push(ControlOutput::to_watcher(connection, ToWatcher::PartitionStatus(status)));
             }
             ToRelay::GetGroups { groups } => {
@@ -210,13 +212,13 @@
     }
 
     /// A connection of a watcher or a tool closed.
-    pub fn watcher_closed(&mut self, _now: Duration, connection: ConnectionId) {
+    pub fn on_watcher_closed(&mut self, _now: Duration, connection: ConnectionId) {
         self.relay.on_closed(connection);
         self.forwarding.on_connection_closed(connection);
     }
 
     /// Runs the work that is due at `now`.
-    pub fn tend(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
+    pub fn poll(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         if now >= self.revisions.next_due() {
             let mut member_outputs = Vec::new();
             self.revisions.poll(now, &mut member_outputs);
@@ -231,8 +233,8 @@
         self.make_progress(now, out);
     }
 
-    /// When [`ControlMachine::tend`] must be called next. Changes with each call of another method.
-    pub fn next_due(&self) -> Duration {
+    /// When [`ControlMachine::poll`] must be called next. Changes with each call of another method.
+    pub fn next_poll_at(&self) -> Duration {
         let due = [
             self.relay.next_poll_at(),
             self.forwarding.next_poll_at(),
@@ -252,12 +254,12 @@
             agreement.active_revision.active
         };
         ControlStatus {
-            machine: self.config.me,
-            acceptor: self.signer().acceptors().contains(&self.config.me),
+            machine: self.config.machine,
+            acceptor: self.signer().acceptors().contains(&self.config.machine),
             active,
             certified: agreement.certified,
             root: self.ledger.state().root(),
-            bound_ms: contradiction_bound(self.config.late).as_millis() as u64,
+            bound_ms: contradiction_bound(self.config.activation_delay).as_millis() as u64,
             lease_ms: LEASE.as_millis() as u64,
             watchers: watchers.watchers,
             prepared: watchers.prepared,
@@ -293,7 +295,7 @@
 
     /// Whether this machine is an acceptor that votes for the next number. An acceptor that lost its disk
     /// votes again only after some more revisions were certified without it.
-    pub fn votes(&self) -> bool {
+    pub fn is_voting(&self) -> bool {
         let (next, _) = self.revisions.next();
         let is_voting =
             |acceptor: &Acceptor| !acceptor.is_recovering() && acceptor.state().no_vote_through < next;
@@ -307,7 +309,7 @@
     /// This acceptor's grant; `None` while it does not know which revision it allowed before a restart.
     fn grant(&self, root: Digest) -> Option<Grant> {
         let allowed = self.revisions.grantable_number()?;
-        Some(Grant::sign(self.signer(), self.config.me, root, allowed))
+        Some(Grant::sign(self.signer(), self.config.machine, root, allowed))
     }
 
     fn on_grant(&mut self, from: MachineId, grant: Grant, out: &mut Vec<ControlOutput>) {
@@ -322,7 +324,7 @@
             let acceptors = self.signer().acceptors().iter().copied();
             let missing: Vec<MachineId> = acceptors.filter(|acceptor| !granted.contains(acceptor)).collect();
             for acceptor in missing {
-                if acceptor != self.config.me {
+                if acceptor != self.config.machine {
                     out.push(ControlOutput::ToPeer(acceptor, PeerMessage::RequestGrant { root }));
                 } else if let Some(grant) = self.grant(root) {
                     self.on_grant(acceptor, grant, out);
@@ -358,16 +360,16 @@
 
     /// Forwards changes that were pushed to this machine to the acceptor that builds batches.
     fn forward(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        let machines = self.peers.reachable(now, self.config.me, self.revisions.signer().0.acceptors());
-        let is_acceptor = self.signer().acceptors().contains(&self.config.me);
+        let machines = self.peers.reachable(now, self.config.machine, self.revisions.signer().0.acceptors());
+        let is_acceptor = self.signer().acceptors().contains(&self.config.machine);
         let sequencers: Vec<MachineId> =
-            machines.into_iter().filter(|machine| is_acceptor || *machine != self.config.me).collect();
+            machines.into_iter().filter(|machine| is_acceptor || *machine != self.config.machine).collect();
         let quorum_reachable = sequencers.len() >= quorum(self.signer().acceptors().len());
         let PollResult { forwards, replies } =
             self.forwarding.poll(now, &sequencers, self.certified.0, quorum_reachable);
         send_replies(replies, out);
         for (machine, change) in forwards {
-            if machine == self.config.me {
+            if machine == self.config.machine {
                 self.on_forwarded(now, machine, change, out);
             } else {
                 out.push(ControlOutput::ToPeer(machine, PeerMessage::Forward { change }));
@@ -390,7 +392,7 @@
 
     fn send_rejection(&mut self, reply: sequencer::RejectionReply, out: &mut Vec<ControlOutput>) {
         let sequencer::RejectionReply { to, change, rejection } = reply;
-        if to == self.config.me {
+        if to == self.config.machine {
             send_replies(self.forwarding.on_rejected(to, change, rejection), out);
         } else {
             out.push(ControlOutput::ToPeer(to, PeerMessage::Outcome { change, outcome: Err(rejection) }));
--- a/crates/distribution/src/control/agreement.rs
+++ b/crates/distribution/src/control/agreement.rs
@@ -140,7 +140,7 @@
         if let Some(text) = self.insert_batch(summary, bytes) {
             let is_next =
                 self.batches.get(&text).is_some_and(|record| record.batch.number == self.certified.0 + 1);
-            if is_next && from != self.config.me {
+            if is_next && from != self.config.machine {
                 self.competing_batch_at.get_or_insert(now);
             }
             self.evaluate(now, &text, out);
@@ -167,7 +167,7 @@
     /// revision, and the batch is valid. The batch is stored before the vote is permitted.
     fn evaluate(&mut self, now: Duration, text: &Digest, out: &mut Vec<ControlOutput>) {
         let certified = self.revisions.next().0 - 1;
-        let is_acceptor = self.signer().acceptors().contains(&self.config.me);
+        let is_acceptor = self.signer().acceptors().contains(&self.config.machine);
         if !is_acceptor || self.ledger.number() != certified || self.revisions.is_vote_permitted(text) {
             return;
         }
@@ -219,7 +219,7 @@
     /// Requests the state of another machine if this one's is behind and the last request timed out.
     pub(super) fn request_state(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
         let Some(before) = self.catch_up.request_due(now) else { return };
-        let local_id = self.config.me;
+        let local_id = self.config.machine;
         let members = self.signer().members();
         let reachable =
             members.iter().copied().filter(|peer| *peer != local_id && self.peers.is_reachable(now, *peer));
@@ -289,7 +289,7 @@
     /// Sends a batch to all machines and proposes its summary as the next revision.
     fn propose(&mut self, now: Duration, proposal: Proposal, out: &mut Vec<ControlOutput>) {
         let (summary, bytes) = (proposal.built.summary, proposal.built.bytes);
-        let local_id = self.config.me;
+        let local_id = self.config.machine;
         for peer in self.signer().members().iter().copied().filter(|peer| *peer != local_id) {
             let bytes = bytes.clone();
             out.push(ControlOutput::ToPeer(peer, PeerMessage::Batch { summary, bytes }));
--- a/crates/distribution/src/control/recovery.rs
+++ b/crates/distribution/src/control/recovery.rs
@@ -81,10 +81,10 @@
     let mut next_seed = || (rng.unit_interval() * f64::from(u32::MAX)) as u64;
     let (agreement_seed, relay_seed) = (next_seed(), next_seed());
     let member_config = MemberConfig {
-        local_id: config.me,
-        incarnation: config.life,
+        local_id: config.machine,
+        incarnation: config.incarnation,
         mode: ActivationMode::Hold,
-        activation_delay: config.late,
+        activation_delay: config.activation_delay,
         check: Box::new(|text| {
             Summary::read(text).map(drop).ok_or_else(|| "the text is not the summary of a batch".to_owned())
         }),
@@ -96,12 +96,12 @@
     revisions.enable_gate(now, GATE_TIMEOUT);
     let certified = revisions.latest_certified().map_or(0, Certified::number);
     let number = restored.ledger.number();
-    revisions.enable_relay_leases(now, config.apart, number);
-    if !config.apart.is_zero() {
+    revisions.enable_relay_leases(now, config.max_partition, number);
+    if !config.max_partition.is_zero() {
         restored.ledger.retain_allowed();
     }
     let mut machine = ControlMachine {
-        relay: Relay::new(config.me, config.connections, number, relay_seed, now),
+        relay: Relay::new(config.machine, config.max_connections, number, relay_seed, now),
         config,
         revisions,
         ledger: restored.ledger,
--- a/crates/distribution/src/control/regional.rs
+++ b/crates/distribution/src/control/regional.rs
@@ -25,10 +25,10 @@
     }
 
     /// The status of partitioned regions that is shown to operators.
-    pub fn apart_status(&self, now: Duration) -> PartitionStatus {
+    pub fn partition_status(&self, now: Duration) -> PartitionStatus {
         let waits = self.revisions.exclusive_waits(now).into_iter();
         PartitionStatus {
-            max_partition_ms: self.config.apart.as_millis() as u64,
+            max_partition_ms: self.config.max_partition.as_millis() as u64,
             vouches: self.revisions.may_vouch(now).is_some(),
             waits_ms: waits.map(|(machine, remaining)| (machine, remaining.as_millis() as u64)).collect(),
             regional_leases: self.relay.regional_leases(),
@@ -38,7 +38,7 @@
     /// This machine's regional grant; `None` while it must not vouch.
     fn regional_grant(&self, now: Duration, root: Digest) -> Option<RegionalGrant> {
         let allowed = self.revisions.may_vouch(now)?;
-        Some(RegionalGrant::sign(self.signer(), self.config.me, root, allowed))
+        Some(RegionalGrant::sign(self.signer(), self.config.machine, root, allowed))
     }
 
     pub(super) fn serve_regional_grant(
@@ -53,7 +53,7 @@
     pub(super) fn on_regional_grant(
         &mut self, from: MachineId, grant: RegionalGrant, out: &mut Vec<ControlOutput>,
     ) {
-        if grant.machine == from && self.relay.awaits_regional(&grant) && grant.holds(self.signer()) {
+        if grant.machine == from && self.relay.awaits_regional(&grant) && grant.is_valid(self.signer()) {
             self.relay.on_regional_grant(grant, out);
         }
     }
@@ -61,11 +61,11 @@
     /// Requests regional grants from this machine and all reachable others, for watchers that no quorum of
     /// acceptors granted a lease.
     pub(super) fn request_regional_grants(&mut self, now: Duration, out: &mut Vec<ControlOutput>) {
-        if self.config.apart.is_zero() {
+        if self.config.max_partition.is_zero() {
             return;
         }
         let quorum = crate::quorum(self.signer().acceptors().len());
-        let local_id = self.config.me;
+        let local_id = self.config.machine;
         for (root, vouched) in self.relay.regional_requests(now, quorum) {
             if let Some(grant) = self.regional_grant(now, root).filter(|_| !vouched.contains(&local_id)) {
                 self.on_regional_grant(local_id, grant, out);
--- a/crates/distribution/src/control/stored.rs
+++ b/crates/distribution/src/control/stored.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoredFault {
     #[error("the bytes cannot be decoded")]
-    Form,
+    Malformed,
     #[error("{0} extra bytes after the item")]
     Trailing(usize),
     #[error("the state of a checkpoint is invalid: {0}")]
@@ -80,7 +80,7 @@
     /// # Errors
     /// If the bytes are not an item, or its state exceeds the limits.
     pub fn decode(bytes: &[u8]) -> Result<Self, StoredFault> {
-        let (record, trailing) = postcard::take_from_bytes(bytes).map_err(|_| StoredFault::Form)?;
+        let (record, trailing) = postcard::take_from_bytes(bytes).map_err(|_| StoredFault::Malformed)?;
         if !trailing.is_empty() {
             return Err(StoredFault::Trailing(trailing.len()));
         }
@@ -107,7 +107,7 @@
     }
 
     /// Applies an item as reading a file of items would.
-    pub fn take(&mut self, item: StoredItem) {
+    pub fn apply(&mut self, item: StoredItem) {
         match item {
             StoredItem::Agreement(bytes) => self.agreement = Some(bytes),
             StoredItem::Checkpoint(checkpoint) => {
--- a/crates/distribution/src/log.rs
+++ b/crates/distribution/src/log.rs
@@ -46,7 +46,7 @@
     /// Appends the edits from the previous revision to this one. If `number` does not follow the newest
     /// revision, the edits before it are dropped.
     pub fn push(&mut self, number: Number, edits: Vec<Edit>) {
-        if self.top().checked_add(1) != Some(number) {
+        if self.last_revision().checked_add(1) != Some(number) {
             *self = Self::new(number.saturating_sub(1), self.limits);
         }
         if number == 0 {
@@ -65,7 +65,7 @@
     }
 
     /// The newest revision.
-    pub fn top(&self) -> Number {
+    pub fn last_revision(&self) -> Number {
         self.floor.saturating_add(self.revisions.len() as Number)
     }
 
--- a/crates/distribution/src/regional.rs
+++ b/crates/distribution/src/regional.rs
@@ -10,7 +10,7 @@
 
 /// The number of machines that must vouch: two, so that one faulty machine cannot keep a watcher on an old
 /// revision.
-pub const VOUCHERS: usize = 2;
+pub const REQUIRED_VOUCHERS: usize = 2;
 
 const DOMAIN: &[u8] = b"badgerledge regional grant 1";
 
@@ -37,7 +37,7 @@
     }
 
     /// Whether a control machine of the ring signed the grant.
-    pub fn holds(&self, signer: &impl Signer) -> bool {
+    pub fn is_valid(&self, signer: &impl Signer) -> bool {
         let bytes = Self::signed_bytes(self.machine, &self.root, self.allowed);
         signer.members().contains(&self.machine)
             && signer.verify_member(self.machine, &bytes, &self.signature)
@@ -56,7 +56,7 @@
 }
 
 impl RegionalProof {
-    /// Verifies that a watcher whose active revision is `active` has a lease: [`VOUCHERS`] machines vouched
+    /// Verifies that a watcher whose active revision is `active` has a lease: [`REQUIRED_VOUCHERS`] machines vouched
     /// for this revision or an earlier one.
     ///
     /// # Errors
@@ -72,18 +72,18 @@
         let mut valid: Vec<&RegionalGrant> = Vec::new();
         let mut invalid = 0;
         for grant in &self.grants {
-            if grant.root != root || !grant.holds(signer) {
+            if grant.root != root || !grant.is_valid(signer) {
                 invalid += 1;
             } else if !valid.iter().any(|other| other.machine == grant.machine) {
                 valid.push(grant);
             }
         }
-        if valid.iter().filter(|grant| grant.allowed <= active).count() >= VOUCHERS {
+        if valid.iter().filter(|grant| grant.allowed <= active).count() >= REQUIRED_VOUCHERS {
             return Ok(());
         }
         match invalid {
-            0 => Err(LeaseFault::TooFew(valid.len(), VOUCHERS)),
-            _ => Err(LeaseFault::Unsigned(invalid, valid.len(), VOUCHERS)),
+            0 => Err(LeaseFault::TooFew(valid.len(), REQUIRED_VOUCHERS)),
+            _ => Err(LeaseFault::Unsigned(invalid, valid.len(), REQUIRED_VOUCHERS)),
         }
     }
 }
--- a/crates/distribution/src/relay/lease_rounds.rs
+++ b/crates/distribution/src/relay/lease_rounds.rs
@@ -5,7 +5,7 @@
 
 use crate::control::ConnectionId;
 use crate::lease::{leaf, Grant, LeaseProof, Nonce, NonceTree};
-use crate::regional::{RegionalGrant, RegionalProof, VOUCHERS};
+use crate::regional::{RegionalGrant, RegionalProof, REQUIRED_VOUCHERS};
 use crate::{ControllerId, Digest, MachineId, Number};
 
 /// Acceptors that have not answered are asked again after this time: a round trip between regions, and a
@@ -195,8 +195,8 @@
         let is_waiting = |(_, request): &(usize, &mut Request)| request.regional && !request.answered;
         for (index, request) in self.requests.iter_mut().enumerate().filter(is_waiting) {
             let eligible = self.vouchers.values().filter(|grant| grant.allowed <= request.active);
-            let grants: Vec<RegionalGrant> = eligible.take(VOUCHERS).copied().collect();
-            if grants.len() < VOUCHERS {
+            let grants: Vec<RegionalGrant> = eligible.take(REQUIRED_VOUCHERS).copied().collect();
+            if grants.len() < REQUIRED_VOUCHERS {
                 continue;
             }
             request.answered = true;
--- a/crates/distribution/src/tests/control/acceptor.rs
+++ b/crates/distribution/src/tests/control/acceptor.rs
@@ -38,7 +38,7 @@
 
     fn receive(&mut self, message: PeerMessage) -> Vec<ControlOutput> {
         let mut out = Vec::new();
-        self.machine.peer_message(self.now, PROPOSER, message, &mut out);
+        self.machine.on_peer_message(self.now, PROPOSER, message, &mut out);
         out
     }
 
--- a/crates/distribution/src/tests/control/machines.rs
+++ b/crates/distribution/src/tests/control/machines.rs
@@ -87,7 +87,7 @@
         net.run_for(6.0);
         assert_eq!(net.machine(1).number(), 2);
         assert_eq!(net.machine(1).state().root(), net.machine(0).state().root());
-        assert!(!net.machine(1).votes(), "it may have voted for the next number");
+        assert!(!net.machine(1).is_voting(), "it may have voted for the next number");
         net.check("restarted without its state");
     }
 }
--- a/crates/distribution/src/tests/control/partitions.rs
+++ b/crates/distribution/src/tests/control/partitions.rs
@@ -135,7 +135,7 @@
         run_until(&mut net, MAX_ACTIVATION_S, prepared);
         assert!(all_active(&net, false, 1) && all_active(&net, true, 1), "{:?}", net.active());
     }
-    let waits = net.machine(0).apart_status(net.now).waits_ms;
+    let waits = net.machine(0).partition_status(net.now).waits_ms;
     let machines: Vec<MachineId> = waits.iter().map(|(machine, _)| *machine).collect();
     assert_eq!(machines, [2, 5]);
     run_until(&mut net, MAX_WAIT_S + MAX_ACTIVATION_S, |net| all_active(net, false, 4));
--- a/crates/distribution/src/tests/log.rs
+++ b/crates/distribution/src/tests/log.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_delta_has_the_last_edit_of_each_key() {
     let mut log = DeltaLog::new(5, LARGE_LIMITS);
-    assert_eq!((log.floor(), log.top(), log.since(5), log.since(4)), (5, 5, Some(vec![]), None));
+    assert_eq!((log.floor(), log.last_revision(), log.since(5), log.since(4)), (5, 5, Some(vec![]), None));
     log.push(6, vec![put("b", "1"), put("a", "1")]);
     log.push(7, vec![put("b", "2"), put("c", "1")]);
     log.push(8, vec![removal("a")]);
@@ -29,7 +29,7 @@
         log.push(6, vec![put("a", "1")]);
         log.push(7, vec![put("b", "1")]);
         log.push(number, vec![put("c", "1")]);
-        assert_eq!((log.floor(), log.top()), (floor, top));
+        assert_eq!((log.floor(), log.last_revision()), (floor, top));
         assert_eq!(log.since(floor).unwrap().len() as u32, top - floor);
     }
 }
@@ -38,14 +38,17 @@
 fn the_log_is_limited_by_revisions_and_bytes() {
     let mut log = DeltaLog::new(0, Limits { revisions: 3, bytes: 1 << 20 });
     (1..=10).for_each(|number| log.push(number, vec![put("a", "1")]));
-    assert_eq!((log.floor(), log.top()), (7, 10));
+    assert_eq!((log.floor(), log.last_revision()), (7, 10));
 
     // Each edit counts 100 bytes, so three fit.
     let mut log = DeltaLog::new(0, Limits { revisions: 100, bytes: 399 });
     (1..=10).for_each(|number| log.push(number, vec![put("a", &"v".repeat(35))]));
-    assert_eq!((log.floor(), log.top()), (7, 10));
+    assert_eq!((log.floor(), log.last_revision()), (7, 10));
     log.push(11, vec![put("a", &"v".repeat(400))]);
-    assert_eq!((log.floor(), log.top(), log.since(11), log.since(10)), (11, 11, Some(vec![]), None));
+    assert_eq!(
+        (log.floor(), log.last_revision(), log.since(11), log.since(10)),
+        (11, 11, Some(vec![]), None)
+    );
 }
 
 /// A delta merged from a log of the default limits fits in one frame, even if it has only small edits.
@@ -106,11 +109,11 @@
             states.push(state);
             log.push(revision as u32 + 1, edits);
         }
-        (log.floor()..=log.top()).all(|base| {
+        (log.floor()..=log.last_revision()).all(|base| {
             let mut state = states[base as usize].clone();
             let edits = log.since(base).unwrap();
             state.apply(&edits).unwrap();
-            state == states[log.top() as usize] && edits.is_sorted_by(|a, b| a.key < b.key)
+            state == states[log.last_revision() as usize] && edits.is_sorted_by(|a, b| a.key < b.key)
         })
     }
     let random = Gen::from_size_and_seed(20, 6);
--- a/crates/distribution/src/tests/net.rs
+++ b/crates/distribution/src/tests/net.rs
@@ -222,8 +222,8 @@
         slot.incarnation += 1;
         slot.due = Duration::MAX;
         let config = Config {
-            late: ACTIVATION_DELAY,
-            apart: self.max_partition,
+            activation_delay: ACTIVATION_DELAY,
+            max_partition: self.max_partition,
             ..Config::new(node_id, slot.incarnation)
         };
         let none_exclusive = self.disabled.nothing_exclusive;
@@ -325,7 +325,7 @@
         }
         self.observe_machine(node_id);
         let slot = &mut self.machines[usize::from(node_id)];
-        let Some(due) = slot.machine.as_ref().map(ControlMachine::next_due) else { return };
+        let Some(due) = slot.machine.as_ref().map(ControlMachine::next_poll_at) else { return };
         if due < slot.due {
             slot.due = due.max(self.now + Duration::from_millis(1));
             let (at, incarnation) = (slot.due, slot.incarnation);
@@ -338,7 +338,7 @@
             self.observed.batch(summary, bytes);
         }
         let item = StoredItem::decode(&item.encode()).expect("what was encoded");
-        self.machines[usize::from(node_id)].disk.take(item);
+        self.machines[usize::from(node_id)].disk.apply(item);
     }
 
     fn send_peer(&mut self, from: MachineId, to: MachineId, message: PeerMessage) {
@@ -426,7 +426,7 @@
     /// no second acceptor loses its disk before some more revisions were certified.
     pub fn all_acceptors_vote(&self) -> bool {
         let acceptors = &self.machines[..usize::from(self.acceptors)];
-        acceptors.iter().all(|slot| slot.machine.as_ref().is_some_and(ControlMachine::votes))
+        acceptors.iter().all(|slot| slot.machine.as_ref().is_some_and(ControlMachine::is_voting))
     }
 
     /// Pushes a change with these edits to a machine, based on the highest revision that this machine knows.
@@ -473,7 +473,7 @@
         self.revoked.insert(author);
         for node_id in 0..self.machines.len() as MachineId {
             let signer = self.signer(node_id);
-            self.with_machine(node_id, |machine, now, out| machine.take_hand(now, signer, out));
+            self.with_machine(node_id, |machine, now, out| machine.replace_signer(now, signer, out));
         }
     }
 
@@ -532,12 +532,12 @@
                     return;
                 }
                 let message = decoded(&frame, message::MAX_RELAY_BODY_BYTES);
-                self.with_machine(to, |machine, now, out| machine.peer_message(now, from, message, out));
+                self.with_machine(to, |machine, now, out| machine.on_peer_message(now, from, message, out));
             }
             Event::PollMachine(node_id, incarnation) => {
                 if self.machines[usize::from(node_id)].incarnation == incarnation {
                     self.machines[usize::from(node_id)].due = Duration::MAX;
-                    self.with_machine(node_id, ControlMachine::tend);
+                    self.with_machine(node_id, ControlMachine::poll);
                 }
             }
             Event::PollWatcher(node_id, incarnation) => {
--- a/crates/distribution/src/tests/net/streams.rs
+++ b/crates/distribution/src/tests/net/streams.rs
@@ -230,7 +230,7 @@
         let running = self.machines[usize::from(machine)].machine.is_some();
         match item {
             Item::Open if running => {
-                self.with_machine(machine, |machine, now, out| machine.watcher_opened(now, id, out));
+                self.with_machine(machine, |machine, now, out| machine.on_watcher_connected(now, id, out));
                 if let Node::Watcher(node_id) = client {
                     if self.watchers[node_id as usize].connections.get(&relay) == Some(&id) {
                         self.with_watcher(node_id, |watcher, now, out| watcher.on_connected(now, relay, out));
@@ -242,10 +242,10 @@
             Item::Frame(frame) => {
                 let message = decoded(&frame, message::MAX_WATCHER_BODY_BYTES);
                 self.with_machine(machine, |machine, now, out| {
-                    machine.watcher_message(now, id, message, out)
+                    machine.on_watcher_message(now, id, message, out)
                 });
             }
-            Item::Close => self.with_machine(machine, |machine, now, _| machine.watcher_closed(now, id)),
+            Item::Close => self.with_machine(machine, |machine, now, _| machine.on_watcher_closed(now, id)),
         }
     }
 
--- a/crates/distribution/src/tests/regional.rs
+++ b/crates/distribution/src/tests/regional.rs
@@ -4,7 +4,7 @@
 
 use super::sample::regional_proof;
 use super::signer::DigestSigner;
-use crate::control::{Config, ConfigFault, LEAST_APART, MOST_APART};
+use crate::control::{Config, ConfigFault, MAX_PARTITION, MIN_PARTITION};
 use crate::lease::{LeaseFault, MAX_GRANTS};
 use crate::regional::{RegionalGrant, RegionalProof};
 use crate::{MachineId, Number};
@@ -62,11 +62,11 @@
 
 #[test]
 fn the_partition_time_is_limited() {
-    let check_config = |apart| Config { apart, ..Config::new(0, 1) }.check();
-    for valid in [Duration::ZERO, LEAST_APART, Duration::from_secs(3600), MOST_APART] {
+    let check_config = |max_partition| Config { max_partition, ..Config::new(0, 1) }.check();
+    for valid in [Duration::ZERO, MIN_PARTITION, Duration::from_secs(3600), MAX_PARTITION] {
         assert_eq!(check_config(valid), Ok(()));
     }
-    for invalid in [Duration::from_secs(1), MOST_APART + Duration::from_secs(1)] {
-        assert_eq!(check_config(invalid), Err(ConfigFault::Apart(invalid)));
+    for invalid in [Duration::from_secs(1), MAX_PARTITION + Duration::from_secs(1)] {
+        assert_eq!(check_config(invalid), Err(ConfigFault::MaxPartition(invalid)));
     }
 }
--- a/crates/distribution/src/tests/relay.rs
+++ b/crates/distribution/src/tests/relay.rs
@@ -59,19 +59,19 @@
     }
 
     fn send(&mut self, connection: ConnectionId, message: ToRelay) {
-        self.call(|machine, now, out| machine.watcher_message(now, connection, message, out));
+        self.call(|machine, now, out| machine.on_watcher_message(now, connection, message, out));
     }
 
     fn run(&mut self, seconds: f64) {
         let until = self.now + duration_s(seconds);
         while self.now < until {
-            self.now = until.min(self.machine.next_due().max(self.now + duration_s(0.001)));
-            self.call(ControlMachine::tend);
+            self.now = until.min(self.machine.next_poll_at().max(self.now + duration_s(0.001)));
+            self.call(ControlMachine::poll);
         }
     }
 
     fn open(&mut self, connection: ConnectionId) {
-        self.call(|machine, now, out| machine.watcher_opened(now, connection, out));
+        self.call(|machine, now, out| machine.on_watcher_connected(now, connection, out));
     }
 
     fn hello(&mut self, connection: ConnectionId, held: Number, root: Digest) {
@@ -218,7 +218,7 @@
 
 #[test]
 fn connections_are_limited_and_a_controller_has_one() {
-    let mut harness = Harness::new(Config { connections: 3, ..Config::new(0, 1) }, state(5, 5));
+    let mut harness = Harness::new(Config { max_connections: 3, ..Config::new(0, 1) }, state(5, 5));
     (1..=4).for_each(|connection| harness.open(connection));
     assert_eq!(harness.closed, BTreeMap::from([(4, CloseReason::Full(3))]));
     let root = harness.machine.state().root();
@@ -422,7 +422,7 @@
         };
         for (acceptor, allowed) in [(1, 5), (2, third)] {
             let grant = PeerMessage::Grant(Grant::sign(&signer(acceptor), acceptor, root, allowed));
-            harness.call(|machine, now, out| machine.peer_message(now, acceptor, grant, out));
+            harness.call(|machine, now, out| machine.on_peer_message(now, acceptor, grant, out));
         }
         let immediate = proof_of(harness.take_sent(1));
         assert_eq!(immediate.is_some(), is_granted);
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -113,7 +113,8 @@
             seed.rotate_left(17),
         );
         let apart = Duration::from_secs(place.apart_s);
-        let config = Config { connections, apart, ..Config::new(place.number, life) };
+        let config =
+            Config { max_connections: connections, max_partition: apart, ..Config::new(place.number, life) };
         config.check()?;
         let push_check = PushCheck::new(keys.clone());
         let mut control = ControlMachine::new(config, keys, stored, genesis, seed, now);
@@ -151,7 +152,7 @@
         let mut happenings = Vec::new();
         self.reactor.set_timer(ORIGIN + SWEEP_EVERY, SWEEP);
         while !self.ending {
-            let until = self.control.next_due().min(self.peers.next_due());
+            let until = self.control.next_poll_at().min(self.peers.next_due());
             self.reactor.wait(Some(until), &mut happenings).context("event loop")?;
             for happening in happenings.drain(..) {
                 self.take(happening);
@@ -176,8 +177,8 @@
         if now >= self.peers.next_due() {
             self.peers.tend(&mut self.reactor, now, &mut self.peer_events);
         }
-        if now >= self.control.next_due() {
-            self.control.tend(now, &mut self.outputs);
+        if now >= self.control.next_poll_at() {
+            self.control.poll(now, &mut self.outputs);
         }
         self.settle();
     }
@@ -243,23 +244,25 @@
             }
             for event in std::mem::take(&mut self.peer_events) {
                 match event {
-                    PeerEvent::Up(peer) => self.control.peer_up(now, peer, &mut self.outputs),
-                    PeerEvent::Down(peer) => self.control.peer_down(now, peer),
+                    PeerEvent::Up(peer) => self.control.on_peer_connected(now, peer, &mut self.outputs),
+                    PeerEvent::Down(peer) => self.control.on_peer_closed(now, peer),
                     PeerEvent::Message(peer, message) => {
-                        self.control.peer_message(now, peer, message, &mut self.outputs);
+                        self.control.on_peer_message(now, peer, message, &mut self.outputs);
                     }
                 }
             }
             for event in std::mem::take(&mut self.watcher_events) {
                 match event {
-                    WatcherEvent::Opened(line) => self.control.watcher_opened(now, line, &mut self.outputs),
+                    WatcherEvent::Opened(line) => {
+                        self.control.on_watcher_connected(now, line, &mut self.outputs)
+                    }
                     WatcherEvent::Message(line, message) if self.watchers.is(line) => {
                         if !self.is_rejected(line, &message) {
-                            self.control.watcher_message(now, line, *message, &mut self.outputs);
+                            self.control.on_watcher_message(now, line, *message, &mut self.outputs);
                         }
                     }
                     WatcherEvent::Message(..) => {}
-                    WatcherEvent::Closed(line) => self.control.watcher_closed(now, line),
+                    WatcherEvent::Closed(line) => self.control.on_watcher_closed(now, line),
                 }
             }
         }
@@ -337,7 +340,7 @@
         let status = self.control.status(now);
         self.log_revisions(&status);
         if self.settings.place.apart_s > 0 {
-            let apart = self.control.apart_status(now);
+            let apart = self.control.partition_status(now);
             self.log_apart(&apart);
             telemetry::show_apart(&apart);
         }
@@ -386,7 +389,7 @@
                 tracing::info!("the ring of keys was read anew");
                 self.peers.take_keys(keys.clone());
                 self.push_check.take_keys(keys.clone());
-                self.control.take_hand(now, keys, &mut self.outputs);
+                self.control.replace_signer(now, keys, &mut self.outputs);
             }
             Err(fault) => tracing::error!("{fault:#}; the keys read before go on holding"),
         }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_deployment::{entries, kinds};
-use badgerledge_distribution::control::{LEAST_APART, MOST_APART};
+use badgerledge_distribution::control::{MAX_PARTITION, MIN_PARTITION};
 use badgerledge_distribution::message::MAX_RELAY_BODY_BYTES;
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::MachineId;
@@ -71,7 +71,7 @@
 }
 
 fn apart_within(seconds: &u64, (): &()) -> garde::Result {
-    let (least, most) = (LEAST_APART.as_secs(), MOST_APART.as_secs());
+    let (least, most) = (MIN_PARTITION.as_secs(), MAX_PARTITION.as_secs());
     if *seconds == 0 || (least..=most).contains(seconds) {
         return Ok(());
     }
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -63,7 +63,7 @@
         std::fs::create_dir_all(folder)?;
         let mut stored = Stored::default();
         for name in [AGREEMENT, CHECKPOINT] {
-            read_item(&folder.join(name))?.into_iter().for_each(|item| stored.take(item));
+            read_item(&folder.join(name))?.into_iter().for_each(|item| stored.apply(item));
         }
         let bytes = read_or_empty(&folder.join(BATCHES))?;
         let (records, batches_length) = records(&bytes);
@@ -71,7 +71,7 @@
         for (item, record) in records {
             if let StoredItem::Batch { number, .. } = &item {
                 batches.push((*number, record.to_vec()));
-                stored.take(item);
+                stored.apply(item);
             }
         }
         let storage = Self {
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -262,7 +262,7 @@
         let config = WatcherConfig {
             controller: seat.controller,
             relays: seat.relays.len(),
-            activation_delay: control::Config::new(0, 1).late,
+            activation_delay: control::Config::new(0, 1).activation_delay,
             regional: false,
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(draw_nonce),
--- a/crates/scale/src/hollow/run.rs
+++ b/crates/scale/src/hollow/run.rs
@@ -86,7 +86,7 @@
     let mut run = Run::start(scenario, real, program)?;
     run.serve(show_progress)?;
     let (hollow, real) = run.finish()?;
-    let bound = lease::contradiction_bound(control::Config::new(0, 1).late);
+    let bound = lease::contradiction_bound(control::Config::new(0, 1).activation_delay);
     let figures = |kind, seen: &Observations| {
         Figures::of(&Title { scenario, kind, bound, took: begun.elapsed() }, seen)
     };
--- a/crates/scale/src/simulation.rs
+++ b/crates/scale/src/simulation.rs
@@ -219,7 +219,7 @@
 
     /// The bound on contradictions that the protocol states.
     pub fn bound(&self) -> Duration {
-        lease::contradiction_bound(control::Config::new(0, 1).late)
+        lease::contradiction_bound(control::Config::new(0, 1).activation_delay)
     }
 
     /// Plays to the end.
--- a/crates/scale/src/simulation/machines.rs
+++ b/crates/scale/src/simulation/machines.rs
@@ -21,7 +21,7 @@
         seat.due = Duration::MAX;
         let hand = SimulatedHand { me: machine, ..self.hand.clone() };
         let apart = Duration::from_secs(self.scenario.fleet.apart_s);
-        let config = control::Config { apart, ..control::Config::new(machine, seat.life) };
+        let config = control::Config { max_partition: apart, ..control::Config::new(machine, seat.life) };
         let (stored, genesis) = (seat.disk.clone(), self.genesis.clone());
         let mut state = ControlMachine::new(config, hand, stored, genesis, seed, self.now);
         state.set_exclusive_check(Box::new(is_exclusive));
@@ -49,13 +49,13 @@
         let seat = &mut self.machines[usize::from(machine)];
         if seat.life == life && seat.state.is_some() && seat.due <= self.now {
             seat.due = Duration::MAX;
-            self.with_machine(machine, |state, now, out| state.tend(now, out));
+            self.with_machine(machine, |state, now, out| state.poll(now, out));
         }
     }
 
     pub(super) fn schedule_machine(&mut self, machine: u16) {
         let seat = &mut self.machines[usize::from(machine)];
-        let Some(due) = seat.state.as_ref().map(ControlMachine::next_due) else { return };
+        let Some(due) = seat.state.as_ref().map(ControlMachine::next_poll_at) else { return };
         if due < seat.due {
             seat.due = due.max(self.now + LEAST_STEP);
             self.queue.push(seat.due, Event::TendMachine(machine, seat.life));
--- a/crates/scale/src/simulation/members.rs
+++ b/crates/scale/src/simulation/members.rs
@@ -73,7 +73,7 @@
 
 impl MachineSeat {
     pub fn store(&mut self, item: StoredItem) {
-        self.disk.take(item);
+        self.disk.apply(item);
     }
 }
 
--- a/crates/scale/src/simulation/peers.rs
+++ b/crates/scale/src/simulation/peers.rs
@@ -64,7 +64,7 @@
         let Some(link) = seat.peers.get_mut(&other).filter(|link| link.connection == id) else { return };
         (link.up, link.heard) = (true, now);
         seat.failed_tries.remove(&other);
-        self.with_machine(machine, |state, now, out| state.peer_up(now, other, out));
+        self.with_machine(machine, |state, now, out| state.on_peer_connected(now, other, out));
     }
 
     /// A machine's stream to another one is gone, or never came up.
@@ -80,7 +80,7 @@
         let at = self.now + pause / 2 + self.paths.part(pause / 2);
         self.queue.push(at, Event::ConnectPeer(machine, other, life));
         if was_up {
-            self.with_machine(machine, |state, now, _| state.peer_down(now, other));
+            self.with_machine(machine, |state, now, _| state.on_peer_closed(now, other));
         }
     }
 
@@ -98,7 +98,7 @@
         self.machines[usize::from(machine)].used.cpu += CHECK_COST;
         self.with_machine(machine, |state, now, out| {
             if let Ok(Some((message, _))) = decode::<PeerMessage>(bytes, MAX_RELAY_BODY_BYTES) {
-                state.peer_message(now, from, message, out);
+                state.on_peer_message(now, from, message, out);
             }
         });
     }
--- a/crates/scale/src/simulation/watchers.rs
+++ b/crates/scale/src/simulation/watchers.rs
@@ -27,7 +27,7 @@
         let config = WatcherConfig {
             controller,
             relays: seat.relays.len(),
-            activation_delay: control::Config::new(0, 1).late,
+            activation_delay: control::Config::new(0, 1).activation_delay,
             regional: self.scenario.fleet.apart_s > 0,
             check: Box::new(|_, _| Ok(())),
             nonce: Box::new(move || std::array::from_fn(|_| (nonces.unit_interval() * 256.0) as u8)),
--- a/crates/scale/src/simulation/wiring.rs
+++ b/crates/scale/src/simulation/wiring.rs
@@ -78,11 +78,11 @@
         match opener {
             End::Machine(from) => self.peer_opened(id, from, machine),
             End::Watcher { controller, relay } => {
-                self.with_machine(machine, |state, now, out| state.watcher_opened(now, id, out));
+                self.with_machine(machine, |state, now, out| state.on_watcher_connected(now, id, out));
                 self.with_watcher(controller, |state, now, out| state.on_connected(now, relay, out));
             }
             End::Tool(tool) => {
-                self.with_machine(machine, |state, now, out| state.watcher_opened(now, id, out));
+                self.with_machine(machine, |state, now, out| state.on_watcher_connected(now, id, out));
                 self.tend_tool_soon(tool);
             }
         }
@@ -118,7 +118,7 @@
             }
             (End::Machine(machine), End::Machine(peer)) => self.peer_lost(id, machine, peer),
             (End::Machine(machine), _) => {
-                self.with_machine(machine, |state, now, _| state.watcher_closed(now, id));
+                self.with_machine(machine, |state, now, _| state.on_watcher_closed(now, id));
             }
         }
     }
@@ -165,7 +165,7 @@
                 self.count_machine(machine, bytes.len(), true);
                 self.with_machine(machine, |state, now, out| {
                     if let Some(message) = decoded::<ToRelay>(bytes, MAX_WATCHER_BODY_BYTES) {
-                        state.watcher_message(now, id, message, out);
+                        state.on_watcher_message(now, id, message, out);
                     }
                 });
             }
