--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -130,9 +130,9 @@
             now,
             seed.rotate_left(17),
         );
-        let apart = Duration::from_secs(place.apart_s);
+        let max_partition = Duration::from_secs(place.apart_s);
         let config =
-            Config { max_connections: connections, max_partition: apart, ..Config::new(place.number, life) };
+            Config { max_connections: connections, max_partition, ..Config::new(place.number, incarnation) };
         config.check()?;
         let push_check = PushCheck::new(keys.clone());
         let mut control = ControlMachine::new(config, keys, stored, genesis, seed, now);
@@ -167,14 +167,14 @@
     /// # Errors
     /// If the event loop fails, or too many items wait to be written to the disk.
     pub fn run(mut self) -> Result<()> {
-        let mut happenings = Vec::new();
-        self.reactor.set_timer(ORIGIN + SWEEP_EVERY, SWEEP);
-        while !self.ending {
-            let until = self.control.next_poll_at().min(self.peers.next_due());
-            self.reactor.wait(Some(until), &mut happenings).context("event loop")?;
-            for happening in happenings.drain(..) {
-                self.take(happening);
-                self.settle();
+        let mut events = Vec::new();
+        self.reactor.set_timer(CLOCK_START + PERIODIC_INTERVAL, PERIODIC_TOKEN);
+        while !self.stopping {
+            let wake_at = self.control.next_poll_at().min(self.peers.next_poll_at());
+            self.reactor.wait(Some(wake_at), &mut events).context("event loop")?;
+            for event in events.drain(..) {
+                self.handle_event(event);
+                self.process_pending();
             }
             self.poll();
             self.reactor.flush();
@@ -280,16 +280,16 @@
             }
             for event in std::mem::take(&mut self.watcher_events) {
                 match event {
-                    WatcherEvent::Opened(line) => {
-                        self.control.on_watcher_connected(now, line, &mut self.outputs)
+                    WatcherEvent::Opened(connection) => {
+                        self.control.on_watcher_connected(now, connection, &mut self.outputs)
                     }
-                    WatcherEvent::Message(line, message) if self.watchers.is(line) => {
-                        if !self.is_rejected(line, &message) {
-                            self.control.on_watcher_message(now, line, *message, &mut self.outputs);
+                    WatcherEvent::Message(connection, message) if self.watchers.contains(connection) => {
+                        if !self.reject_unusable(connection, &message) {
+                            self.control.on_watcher_message(now, connection, *message, &mut self.outputs);
                         }
                     }
                     WatcherEvent::Message(..) => {}
-                    WatcherEvent::Closed(line) => self.control.on_watcher_closed(now, line),
+                    WatcherEvent::Closed(connection) => self.control.on_watcher_closed(now, connection),
                 }
             }
         }
@@ -368,9 +368,9 @@
         let status = self.control.status(now);
         self.log_revisions(&status);
         if self.settings.place.apart_s > 0 {
-            let apart = self.control.partition_status(now);
-            self.log_apart(&apart);
-            telemetry::show_apart(&apart);
+            let partition = self.control.partition_status(now);
+            self.log_partition(&partition);
+            telemetry::update_partition(&partition);
         }
         telemetry::update_store_time(std::mem::take(&mut self.max_store_time));
         telemetry::update_status(&status, self.watchers.len(), self.peers.peers_up());
@@ -424,9 +424,9 @@
         self.ring_modified_at = modified_at(&self.settings.place.ring);
         match self.settings.read_keys() {
             Ok(keys) => {
-                tracing::info!("the ring of keys was read anew");
-                self.peers.take_keys(keys.clone());
-                self.push_check.take_keys(keys.clone());
+                tracing::info!("the key ring was reloaded");
+                self.peers.replace_keys(keys.clone());
+                self.push_check.replace_keys(keys.clone());
                 self.control.replace_signer(now, keys, &mut self.outputs);
             }
             Err(error) => tracing::error!("{error:#}; the current keys stay in use"),
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -71,9 +71,10 @@
     pub apart_s: u64,
 }
 
-fn apart_within(seconds: &u64, (): &()) -> garde::Result {
-    let (least, most) = (MIN_PARTITION.as_secs(), MAX_PARTITION.as_secs());
-    if *seconds == 0 || (least..=most).contains(seconds) {
+/// Accepts 0 and the range that the protocol allows.
+fn check_apart_s(seconds: &u64, (): &()) -> garde::Result {
+    let (min, max) = (MIN_PARTITION.as_secs(), MAX_PARTITION.as_secs());
+    if *seconds == 0 || (min..=max).contains(seconds) {
         return Ok(());
     }
     Err(garde::Error::new(format!("0, or {min} to {max} is taken")))
--- a/crates/relay/src/storage.rs
+++ b/crates/relay/src/storage.rs
@@ -62,7 +62,7 @@
     pub fn open(folder: &Path) -> io::Result<(Self, Stored)> {
         std::fs::create_dir_all(folder)?;
         let mut stored = Stored::default();
-        for name in [AGREEMENT, CHECKPOINT] {
+        for name in [AGREEMENT_FILE, CHECKPOINT_FILE] {
             read_item(&folder.join(name))?.into_iter().for_each(|item| stored.apply(item));
         }
         let bytes = read_or_empty(&folder.join(BATCHES_FILE))?;
