--- a/crates/crossing/src/lending.rs
+++ b/crates/crossing/src/lending.rs
@@ -1,47 +1,50 @@
-//! How controllers lend each other what they do not need, where messages pass.
+//! Time-limited leases of unused rate between controllers.
 //!
-//! One that wants more asks; one that has enough over grants a rate for a fixed time. Nobody's clock is trusted: the
-//! borrower counts the time from its own asking, the lender from its granting, which is later, and somewhat longer.
-//! So no kB is spent by two. Messages may be lost, late or come twice.
+//! A controller that needs more rate sends requests; a controller with rate to spare grants a part of it for a fixed
+//! time. Clocks need not be synchronized: the borrower counts the lease from the time of its request, the lender from the
+//! later time of its grant and for somewhat longer. So no rate is spent by both. Messages may be lost, delayed or
+//! duplicated.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use badgerledge_core::random::Rng;
 
-/// How long a grant lasts for the borrower: long against the way of a message, short against a change of demand.
+/// How long the borrower may use a lease: long compared with a message's delay, short compared with changes of demand.
 pub const GRANT_LASTS: Duration = Duration::from_secs(10);
-/// How long the lender goes without: clocks may run apart by one in a hundred each.
-const LENDER_WAITS: Duration = Duration::from_millis(10_300);
-/// The part of its share that a controller lends at most. A reborn one does not know what it lent before, and keeps
-/// to the rest until that has run out.
-const LENDABLE: f64 = 0.5;
-/// Grants are no smaller than this part of a share: smaller ones are not worth their messages.
-const MIN_GRANT: f64 = 0.05;
-/// A controller asks this often while it wants more, so many of the others at a time.
-const ASK_EVERY: Duration = Duration::from_secs(2);
-const ASKED_AT_A_TIME: usize = 3;
-/// What a lender keeps over its own demand.
-const RESERVE: f64 = 1.2;
-
-/// Bytes of a message.
+/// How long the lender does without the leased rate. It exceeds the borrower's time because each clock may drift by 1 %.
+const LENDER_LEASE_DURATION: Duration = Duration::from_millis(10_300);
+/// The largest fraction of its share that a controller leases out. A restarted controller does not know its earlier
+/// leases, and uses only the rest of its share until they have expired.
+const MAX_LENT_FRACTION: f64 = 0.5;
+/// The smallest lease, as a fraction of a share: smaller ones are not worth their messages.
+const MIN_LEASE_FRACTION: f64 = 0.05;
+/// The mean interval between rounds of requests while a controller needs more rate.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(2);
+/// The number of controllers that receive a request in each round.
+const REQUESTS_PER_ROUND: usize = 3;
+/// The rate that a lender keeps for itself, as a multiple of its own demand.
+const RESERVE_FACTOR: f64 = 1.2;
+
+/// Length of an encoded message in bytes.
 pub const MESSAGE_BYTES: usize = 23;
 
 /// A message between two controllers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Message {
-    /// Who asks numbers its asking.
+    /// Requests a lease of up to `wanted` kB/s. The sender numbers its requests.
     Ask { number: u64, wanted: f32 },
-    /// The answer to that asking.
+    /// Answers the request of that number with a lease of `rate` kB/s.
     Grant { number: u64, rate: f32 },
 }
 
-/// What marks a message of this kind, and its version.
+/// Identifies the message format and its version.
 const MAGIC: [u8; 4] = *b"blc2";
 
 impl Message {
-    /// The message as bytes. `way` says whose budget it is about: which two buildings, or all.
-    pub fn write(self, way: u16) -> [u8; MESSAGE_BYTES] {
+    /// Encodes the message. `budget_id` names the limit that it is about: that of traffic
+    /// from one zone to another, or that of all traffic.
+    pub fn write(self, budget_id: u16) -> [u8; MESSAGE_BYTES] {
         let (kind, number, rate) = match self {
             Message::Ask { number, wanted } => (1, number, wanted),
             Message::Grant { number, rate } => (2, number, rate),
@@ -51,15 +54,16 @@
         bytes[4] = kind;
         bytes[5..13].copy_from_slice(&number.to_be_bytes());
         bytes[13..17].copy_from_slice(&rate.to_be_bytes());
-        bytes[17..19].copy_from_slice(&way.to_be_bytes());
-        let sum = bytes[..19]
+        bytes[17..19].copy_from_slice(&budget_id.to_be_bytes());
+        // 32-bit FNV-1a.
+        let checksum = bytes[..19]
             .iter()
-            .fold(0x811c_9dc5u32, |sum, byte| (sum ^ u32::from(*byte)).wrapping_mul(0x0100_0193));
-        bytes[19..].copy_from_slice(&sum.to_be_bytes());
+            .fold(0x811c_9dc5u32, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193));
+        bytes[19..].copy_from_slice(&checksum.to_be_bytes());
         bytes
     }
 
-    /// The message in these bytes, and its way; nothing where they are none, or were changed.
+    /// Decodes a message and its `budget_id`. Returns `None` for malformed or corrupted bytes.
     pub fn read(bytes: &[u8]) -> Option<(u16, Self)> {
         let bytes: &[u8; MESSAGE_BYTES] = bytes.try_into().ok()?;
         let number = u64::from_be_bytes(bytes[5..13].try_into().ok()?);
@@ -72,42 +76,46 @@
             2 => Message::Grant { number, rate },
             _ => return None,
         };
-        let way = u16::from_be_bytes([bytes[17], bytes[18]]);
-        (message.write(way) == *bytes).then_some((way, message))
+        let budget_id = u16::from_be_bytes([bytes[17], bytes[18]]);
+        (message.write(budget_id) == *bytes).then_some((budget_id, message))
     }
 }
 
-/// What a controller lent and was lent.
+/// The leases that one controller has granted and received, and its open requests.
 pub struct Lending {
-    me: u32,
-    controllers: u32,
+    own_id: u32,
+    controller_count: u32,
+    /// This controller's own share of the limit in kB/s.
     share: f64,
-    born: Duration,
-    chance: Rng,
-    /// What it asked for: when, and whom. Answers to anything else are not taken.
-    asked: BTreeMap<u64, (Duration, u32)>,
-    next_number: u64,
-    ask_at: Duration,
+    started_at: Duration,
+    rng: Rng,
+    /// Time and recipient of each open request by its number. Grants that answer none of these are ignored.
+    open_requests: BTreeMap<u64, (Duration, u32)>,
+    last_number: u64,
+    next_request_at: Duration,
+    /// Expiry and rate in kB/s of each received lease.
     borrowed: Vec<(Duration, f64)>,
+    /// Expiry and rate in kB/s of each granted lease.
     lent: Vec<(Duration, f64)>,
-    /// Askings that were granted, so that one that comes twice is granted once.
+    /// Expiry of each granted request by its sender and number, so that a duplicated request is granted once.
     granted: BTreeMap<(u32, u64), Duration>,
-    /// What this controller would spend if it could, kB a second.
+    /// The rate that this controller would use if it were available, in kB/s.
     demand: f64,
 }
 
 impl Lending {
-    pub fn new(me: u32, controllers: u32, share: f64, now: Duration, seed: u64) -> Self {
+    /// A controller that starts now, with an own share of `share` kB/s.
+    pub fn new(own_id: u32, controller_count: u32, share: f64, now: Duration, seed: u64) -> Self {
         Self {
-            me,
-            controllers,
+            own_id,
+            controller_count,
             share,
-            born: now,
-            chance: Rng(seed),
-            asked: BTreeMap::new(),
-            // Numbers of an earlier life must not be taken for this one's.
-            next_number: seed,
-            ask_at: now,
+            started_at: now,
+            rng: Rng(seed),
+            open_requests: BTreeMap::new(),
+            // Starts at a random number: grants for requests from before a restart must not match new requests.
+            last_number: seed,
+            next_request_at: now,
             borrowed: Vec::new(),
             lent: Vec::new(),
             granted: BTreeMap::new(),
@@ -115,57 +123,60 @@
         }
     }
 
-    /// What this controller owns at that time, kB a second.
+    /// The rate that this controller may use at `now`, in kB/s: its remaining share and its received leases.
     pub fn owned(&mut self, now: Duration) -> f64 {
-        self.forget(now);
+        self.remove_expired(now);
         let borrowed: f64 = self.borrowed.iter().map(|(_, rate)| rate).sum();
-        self.kept(now) + borrowed
+        self.remaining_share(now) + borrowed
     }
 
-    /// Its own share less what it lent, or may have lent in an earlier life.
-    fn kept(&self, now: Duration) -> f64 {
+    /// The own share less the rate that is leased out, or that may have been leased out before a restart.
+    fn remaining_share(&self, now: Duration) -> f64 {
         let lent: f64 = self.lent.iter().map(|(_, rate)| rate).sum();
-        let before = if now < self.born + LENDER_WAITS { LENDABLE * self.share } else { 0.0 };
-        self.share - lent.max(before)
+        let lent_before_start =
+            if now < self.started_at + LENDER_LEASE_DURATION { MAX_LENT_FRACTION * self.share } else { 0.0 };
+        self.share - lent.max(lent_before_start)
     }
 
-    fn forget(&mut self, now: Duration) {
-        self.borrowed.retain(|(until, _)| *until > now);
-        self.lent.retain(|(until, _)| *until > now);
-        self.granted.retain(|_, until| *until > now);
-        self.asked.retain(|_, (at, _)| *at + GRANT_LASTS > now);
+    fn remove_expired(&mut self, now: Duration) {
+        self.borrowed.retain(|(expires_at, _)| *expires_at > now);
+        self.lent.retain(|(expires_at, _)| *expires_at > now);
+        self.granted.retain(|_, expires_at| *expires_at > now);
+        self.open_requests.retain(|_, (requested_at, _)| *requested_at + GRANT_LASTS > now);
     }
 
-    /// Tells what would be spent, and asks others where that is more than is owned. `send` sends a message.
+    /// Records the current demand in kB/s, and requests leases where it exceeds the available rate. `send` sends a message
+    /// to a controller.
     pub fn request(&mut self, now: Duration, demand: f64, mut send: impl FnMut(u32, Message)) {
         self.demand = demand;
-        let owned = self.owned(now);
-        if demand <= owned || now < self.ask_at || self.controllers < 2 {
+        let available = self.owned(now);
+        if demand <= available || now < self.next_request_at || self.controller_count < 2 {
             return;
         }
-        // A random part keeps many that want more from asking in step.
-        self.ask_at = now + ASK_EVERY.mul_f64(0.75 + 0.5 * self.chance.unit_interval());
-        for _ in 0..ASKED_AT_A_TIME.min(self.controllers as usize - 1) {
-            let other = (self.chance.unit_interval() * f64::from(self.controllers - 1)) as u32;
-            let other = if other >= self.me { other + 1 } else { other };
-            self.next_number = self.next_number.wrapping_add(1);
-            self.asked.insert(self.next_number, (now, other));
-            send(other, Message::Ask { number: self.next_number, wanted: (demand - owned) as f32 });
+        // Jitter keeps the requests of many controllers from synchronizing.
+        self.next_request_at = now + REQUEST_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.unit_interval());
+        for _ in 0..REQUESTS_PER_ROUND.min(self.controller_count as usize - 1) {
+            let other = (self.rng.unit_interval() * f64::from(self.controller_count - 1)) as u32;
+            let other = if other >= self.own_id { other + 1 } else { other };
+            self.last_number = self.last_number.wrapping_add(1);
+            self.open_requests.insert(self.last_number, (now, other));
+            send(other, Message::Ask { number: self.last_number, wanted: (demand - available) as f32 });
         }
     }
 
-    /// Takes a message of another controller, and answers it where there is something to answer.
+    /// Handles a message from another controller, and returns the answer if there is one.
     pub fn handle(&mut self, now: Duration, from: u32, message: Message) -> Option<Message> {
-        self.forget(now);
+        self.remove_expired(now);
         match message {
             Message::Ask { number, wanted } => self.grant(now, from, number, f64::from(wanted)),
             Message::Grant { number, rate } => {
-                // Counted from the asking, which was before the granting whatever the way took.
-                let (asked, _) = self.asked.get(&number).copied().filter(|(_, whom)| *whom == from)?;
-                self.asked.remove(&number);
-                // No controller can lend more than that: who says otherwise is wrong.
-                if f64::from(rate) <= LENDABLE * self.share * 1.001 {
-                    self.borrowed.push((asked + GRANT_LASTS, f64::from(rate)));
+                // Counted from the request, which precedes the grant whatever the messages' delay.
+                let (requested_at, _) =
+                    self.open_requests.get(&number).copied().filter(|(_, recipient)| *recipient == from)?;
+                self.open_requests.remove(&number);
+                // All shares are equal, so no correct controller grants more. The margin allows for rounding.
+                if f64::from(rate) <= MAX_LENT_FRACTION * self.share * 1.001 {
+                    self.borrowed.push((requested_at + GRANT_LASTS, f64::from(rate)));
                 }
                 None
             }
@@ -173,20 +184,24 @@
     }
 
     fn grant(&mut self, now: Duration, to: u32, number: u64, wanted: f64) -> Option<Message> {
-        // Nothing in the first while after birth: what was lent before is not known.
-        if now < self.born + LENDER_WAITS || self.granted.contains_key(&(to, number)) || wanted <= 0.0 {
+        // Leases granted before a restart are not known, so none are granted until those have expired.
+        if now < self.started_at + LENDER_LEASE_DURATION
+            || self.granted.contains_key(&(to, number))
+            || wanted <= 0.0
+        {
             return None;
         }
         let lent: f64 = self.lent.iter().map(|(_, rate)| rate).sum();
-        let over = (self.share - lent - RESERVE * self.demand).min(LENDABLE * self.share - lent);
-        let rate = over.min(wanted);
-        if rate < MIN_GRANT * self.share {
+        let spare =
+            (self.share - lent - RESERVE_FACTOR * self.demand).min(MAX_LENT_FRACTION * self.share - lent);
+        let rate = spare.min(wanted);
+        if rate < MIN_LEASE_FRACTION * self.share {
             return None;
         }
-        // Rounded down, so that what is lent here is no less than what is told.
-        let told = (rate * 0.999) as f32;
-        self.lent.push((now + LENDER_WAITS, rate));
-        self.granted.insert((to, number), now + LENDER_WAITS);
-        Some(Message::Grant { number, rate: told })
+        // Rounded down, so that the recorded rate is not below the granted one.
+        let granted_rate = (rate * 0.999) as f32;
+        self.lent.push((now + LENDER_LEASE_DURATION, rate));
+        self.granted.insert((to, number), now + LENDER_LEASE_DURATION);
+        Some(Message::Grant { number, rate: granted_rate })
     }
 }
--- a/crates/crossing/src/lib.rs
+++ b/crates/crossing/src/lib.rs
@@ -1,9 +1,11 @@
-//! The budget of what crosses between buildings, held by each controller alone. No I/O, no clock, no wire.
+//! Rate limit for media traffic between zones, enforced by each controller on its own. The package does no I/O and reads
+//! no clock.
 //!
-//! The budget is so many kB a second and a burst for all controllers together. Each owns an equal share of both
-//! from the settings, and never spends more than it owns and was lent ([`SharedBucket`]): so the sum stays under the budget
-//! whoever is dead, cut off or wrong about the others. What one does not need it lends for a while to one that asks
-//! ([`Lending`]). What it may spend goes to the subscriptions that earn most for each byte ([`plan`]).
+//! The limit is a rate in kB/s and a burst in kB for all controllers together. The settings give each controller an equal
+//! share of both. A controller never spends more than its share and the rate leased from others ([`SharedBucket`]), so
+//! the total stays within the limit even when controllers are down, partitioned or have an outdated view of the others.
+//! A controller leases rate that it does not need to a controller that requests it ([`Lending`]). The available rate
+//! goes to the subscriptions with the highest benefit per byte ([`plan`]).
 
 mod lending;
 mod plan;
