--- a/crates/accounts/src/accounts.rs
+++ b/crates/accounts/src/accounts.rs
@@ -1,4 +1,4 @@
-//! The ledgers of many controllers.
+//! The ledgers of many controllers: merging, sums and JSON encoding.
 
 use std::collections::BTreeMap;
 
@@ -8,149 +8,155 @@
 use crate::ledger::{Amount, Key, Ledger, Sums};
 use crate::sketch::Heaviest;
 
-/// Who wrote a ledger: a controller, and the account that it opened when it found none of its own stored.
+/// The writer of a ledger: a controller, and the number of the account that it opened when it found none stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Source {
     pub controller: u32,
     pub account: u64,
 }
 
-/// Any number of ledgers.
+/// The ledgers of any number of controllers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Accounts {
     ledgers: BTreeMap<Source, Ledger>,
 }
 
-/// Ledgers of one file or page at most: some times the controllers of the largest deployment.
-const SOURCES: usize = 10_000;
+/// The largest number of ledgers in one file or page: several times the controllers of the largest deployment.
+const MAX_LEDGERS: usize = 10_000;
 
-/// Why a text is not taken as accounts.
+/// Why a text is rejected.
 #[derive(Debug, Error, PartialEq)]
 pub enum AccountsFault {
-    #[error("not accounts: {0}")]
+    #[error("malformed accounts: {0}")]
     Malformed(String),
-    #[error("accounts of version {0}, of which this program knows nothing")]
+    #[error("accounts of version {0} are not supported by this program")]
     Newer(u64),
-    #[error("{0} ledgers where at most {SOURCES} are taken")]
+    #[error("{0} ledgers, of which at most {MAX_LEDGERS} are accepted")]
     TooMany(usize),
 }
 
 impl Accounts {
-    /// The ledger of a source, to be written by that source alone.
+    /// The ledger of a source, created if missing. Only that source may write to it.
     pub fn ledger(&mut self, source: Source) -> &mut Ledger {
         self.ledgers.entry(source).or_default()
     }
 
+    /// The writers of all ledgers.
     pub fn sources(&self) -> impl Iterator<Item = Source> + '_ {
         self.ledgers.keys().copied()
     }
 
-    /// The account that a controller has here.
+    /// The first source of a controller, if there is one.
     pub fn source_of(&self, controller: u32) -> Option<Source> {
         self.sources().find(|source| source.controller == controller)
     }
 
-    /// Merges others in: any order, twice or late, the sums are the same.
+    /// Merges other ledgers into these. The order and repeated merges make no difference.
     pub fn merge(&mut self, others: &Accounts) {
         for (source, ledger) in &others.ledgers {
             self.ledgers.entry(*source).or_default().join(ledger);
         }
     }
 
-    /// Sums over all controllers and their whole lives.
+    /// Sums over all controllers since they opened their accounts.
     pub fn whole(&self) -> BTreeMap<Key, Amount> {
-        total(self.ledgers.values().map(|ledger| &ledger.whole))
+        add_up(self.ledgers.values().map(|ledger| &ledger.whole))
     }
 
-    /// The same for each window that is kept, by its number since 1970.
+    /// Sums over all controllers for each retained window, by the window's number since 1970-01-01.
     pub fn windows(&self) -> BTreeMap<u64, BTreeMap<Key, Amount>> {
         let mut windows: BTreeMap<u64, Sums> = BTreeMap::new();
         for (window, sums) in self.ledgers.values().flat_map(|ledger| &ledger.windows) {
-            let all = windows.entry(*window).or_default();
-            sums.iter().for_each(|(key, amount)| all.entry(key.clone()).or_default().add(amount));
+            let total = windows.entry(*window).or_default();
+            sums.iter().for_each(|(key, amount)| total.entry(key.clone()).or_default().add(amount));
         }
         windows
     }
 
-    /// The titles that most bytes crossed for.
+    /// The titles with the most bytes between zones.
     pub fn heaviest(&self) -> Heaviest {
         self.ledgers.values().fold(Heaviest::default(), |all, ledger| all.joined(&ledger.titles))
     }
 
-    /// As text, a JSON object.
+    /// Encodes all ledgers as a JSON object.
     pub fn write(&self) -> String {
         self.write_last(usize::MAX)
     }
 
-    /// The same with the last few windows only: merged with an older whole it says as much.
-    pub fn write_last(&self, last: usize) -> String {
+    /// Encodes all ledgers with only the newest `window_count` windows. Merged into an older complete text, it gives the same
+    /// result as a complete one.
+    pub fn write_last(&self, window_count: usize) -> String {
         let sums = |sums: &Sums| -> Vec<Value> {
-            let one = |(key, a): (&Key, &Amount)| json!({"key": key, "amount": a});
-            sums.iter().map(one).collect()
+            let entry = |(key, amount): (&Key, &Amount)| json!({"key": key, "amount": amount});
+            sums.iter().map(entry).collect()
         };
         let ledgers = self.ledgers.iter().map(|(source, ledger)| {
-            let windows = ledger.windows.iter().rev().take(last).rev();
-            let windows = windows.map(|(window, of)| json!({"window": window, "sums": sums(of)}));
+            let windows = ledger.windows.iter().rev().take(window_count).rev();
+            let windows = windows.map(|(window, window_sums)| json!({"window": window, "sums": sums(window_sums)}));
             json!({"controller": source.controller, "account": source.account, "version": ledger.version,
                 "whole": sums(&ledger.whole), "windows": windows.collect::<Vec<_>>(), "titles": ledger.titles})
         });
         json!({"accounts": 1, "ledgers": ledgers.collect::<Vec<_>>()}).to_string()
     }
 
-    /// Reads what [`Accounts::write`] wrote: all of it, or nothing.
+    /// Decodes the output of [`Accounts::write`] or [`Accounts::write_last`].
+    ///
+    /// # Errors
+    /// Where any part is malformed, of another version or too large; no ledger is returned then.
     pub fn read(text: &str) -> Result<Self, AccountsFault> {
-        let whole: Value = serde_json::from_str(text).map_err(|e| AccountsFault::Malformed(e.to_string()))?;
-        match whole["accounts"].as_u64() {
+        let document: Value =
+            serde_json::from_str(text).map_err(|e| AccountsFault::Malformed(e.to_string()))?;
+        match document["accounts"].as_u64() {
             Some(1) => {}
-            Some(newer) => return Err(AccountsFault::Newer(newer)),
+            Some(version) => return Err(AccountsFault::Newer(version)),
             None => return Err(missing("accounts")),
         }
-        let ledgers = whole["ledgers"].as_array().ok_or_else(|| missing("ledgers"))?;
-        if ledgers.len() > SOURCES {
+        let ledgers = document["ledgers"].as_array().ok_or_else(|| missing("ledgers"))?;
+        if ledgers.len() > MAX_LEDGERS {
             return Err(AccountsFault::TooMany(ledgers.len()));
         }
         let mut accounts = Self::default();
-        for told in ledgers {
-            let controller = told["controller"].as_u64().and_then(|number| number.try_into().ok());
+        for encoded in ledgers {
+            let controller = encoded["controller"].as_u64().and_then(|number| number.try_into().ok());
             let controller = controller.ok_or_else(|| missing("controller"))?;
-            let account = told["account"].as_u64().ok_or_else(|| missing("account"))?;
+            let account = encoded["account"].as_u64().ok_or_else(|| missing("account"))?;
             let mut ledger = Ledger {
-                version: told["version"].as_u64().ok_or_else(|| missing("version"))?,
-                whole: sums_of(&told["whole"])?,
+                version: encoded["version"].as_u64().ok_or_else(|| missing("version"))?,
+                whole: parse_sums(&encoded["whole"])?,
                 windows: BTreeMap::new(),
-                titles: serde_json::from_value(told["titles"].clone())
+                titles: serde_json::from_value(encoded["titles"].clone())
                     .map_err(|e| AccountsFault::Malformed(e.to_string()))?,
             };
-            for window in told["windows"].as_array().ok_or_else(|| missing("windows"))? {
+            for window in encoded["windows"].as_array().ok_or_else(|| missing("windows"))? {
                 let number = window["window"].as_u64().ok_or_else(|| missing("window"))?;
-                ledger.windows.insert(number, sums_of(&window["sums"])?);
+                ledger.windows.insert(number, parse_sums(&window["sums"])?);
             }
-            ledger.forget_old();
+            ledger.drop_old_windows();
             accounts.ledgers.insert(Source { controller, account }, ledger);
         }
         Ok(accounts)
     }
 }
 
-fn total<'a>(all: impl Iterator<Item = &'a Sums>) -> Sums {
+fn add_up<'a>(ledgers: impl Iterator<Item = &'a Sums>) -> Sums {
     let mut sums = Sums::new();
-    for (key, amount) in all.flatten() {
+    for (key, amount) in ledgers.flatten() {
         sums.entry(key.clone()).or_default().add(amount);
     }
     sums
 }
 
-fn sums_of(told: &Value) -> Result<Sums, AccountsFault> {
+fn parse_sums(encoded: &Value) -> Result<Sums, AccountsFault> {
     let malformed = |e: serde_json::Error| AccountsFault::Malformed(e.to_string());
     let mut sums = Sums::new();
-    for one in told.as_array().ok_or_else(|| missing("sums"))? {
-        let key: Key = serde_json::from_value(one["key"].clone()).map_err(malformed)?;
-        let amount: Amount = serde_json::from_value(one["amount"].clone()).map_err(malformed)?;
+    for entry in encoded.as_array().ok_or_else(|| missing("sums"))? {
+        let key: Key = serde_json::from_value(entry["key"].clone()).map_err(malformed)?;
+        let amount: Amount = serde_json::from_value(entry["amount"].clone()).map_err(malformed)?;
         sums.insert(key, amount);
     }
     Ok(sums)
 }
 
-fn missing(what: &str) -> AccountsFault {
-    AccountsFault::Malformed(format!("{what} is missing or not as it should be"))
+fn missing(field: &str) -> AccountsFault {
+    AccountsFault::Malformed(format!("{field} is missing or of the wrong type"))
 }
--- a/crates/accounts/src/ledger.rs
+++ b/crates/accounts/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What one controller counts.
+//! The counters of one controller, in total and by time window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 use crate::sketch::Heaviest;
 
-/// What is counted together: from the streamer's building to the controller's, for one room type. Where both are
-/// one, nothing crossed.
+/// Identifies a counter: the streamer's zone, the controller's zone and the room type. Where both zones are the same, the
+/// traffic stayed within the zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     pub from: String,
@@ -17,55 +17,59 @@
 }
 
 impl Key {
+    /// Whether the traffic is between two zones.
     pub fn crosses(&self) -> bool {
         self.from != self.to
     }
 }
 
-/// Sums. Each only grows.
+/// Counters of one key. Each only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
     pub media_bytes: u64,
     pub control_bytes: u64,
     pub subscription_ms: u64,
     pub set_ups: u64,
-    /// Media that was not seen, as estimated, and by how much the estimate may be off either way.
+    /// Estimate of the media bytes that were not counted because of a restart.
     pub unseen_bytes: u64,
+    /// The largest error of `unseen_bytes` in either direction.
     pub unseen_error: u64,
 }
 
 impl Amount {
-    /// All bytes that crossed, as far as is known.
+    /// All bytes, including the estimate.
     pub fn bytes(&self) -> u64 {
         self.media_bytes + self.control_bytes + self.unseen_bytes
     }
 
-    pub fn add(&mut self, more: &Amount) {
-        self.each(more, |a, b| a + b);
+    /// Adds each counter of `increment`.
+    pub fn add(&mut self, increment: &Amount) {
+        self.combine(increment, |a, b| a + b);
     }
 
-    /// The greater of each figure.
+    /// Takes the maximum of each counter.
     pub fn join(&mut self, other: &Amount) {
-        self.each(other, u64::max);
+        self.combine(other, u64::max);
     }
 
-    fn each(&mut self, other: &Amount, both: impl Fn(u64, u64) -> u64) {
-        self.media_bytes = both(self.media_bytes, other.media_bytes);
-        self.control_bytes = both(self.control_bytes, other.control_bytes);
-        self.subscription_ms = both(self.subscription_ms, other.subscription_ms);
-        self.set_ups = both(self.set_ups, other.set_ups);
-        self.unseen_bytes = both(self.unseen_bytes, other.unseen_bytes);
-        self.unseen_error = both(self.unseen_error, other.unseen_error);
+    fn combine(&mut self, other: &Amount, function: impl Fn(u64, u64) -> u64) {
+        self.media_bytes = function(self.media_bytes, other.media_bytes);
+        self.control_bytes = function(self.control_bytes, other.control_bytes);
+        self.subscription_ms = function(self.subscription_ms, other.subscription_ms);
+        self.set_ups = function(self.set_ups, other.set_ups);
+        self.unseen_bytes = function(self.unseen_bytes, other.unseen_bytes);
+        self.unseen_error = function(self.unseen_error, other.unseen_error);
     }
 }
 
-/// The length of a window, and how many are kept: two hours of ten seconds each. Older ones are in the whole only.
+/// The length of a time window.
 pub const WINDOW: Duration = Duration::from_secs(10);
+/// The number of windows that are retained: two hours. Older traffic is only in the total.
 pub const WINDOWS: usize = 720;
 
 pub(crate) type Sums = BTreeMap<Key, Amount>;
 
-/// One controller's sums: over its whole life, by window of the time of day, and its heaviest titles.
+/// One controller's counters in total and by window of wall-clock time, and its titles with the most bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     pub(crate) version: u64,
@@ -75,60 +79,60 @@
 }
 
 impl Ledger {
-    /// Counts what came since the last count. `wall` is the time of day.
-    pub fn count(&mut self, wall: Duration, key: &Key, title: u64, more: &Amount) {
+    /// Counts the traffic since the previous call. `unix_time` is the wall-clock time since 1970-01-01.
+    pub fn count(&mut self, unix_time: Duration, key: &Key, title: u64, increment: &Amount) {
         self.version += 1;
-        add(&mut self.whole, key, more);
-        let window = wall.as_secs() / WINDOW.as_secs();
-        add(self.windows.entry(window).or_default(), key, more);
-        self.forget_old();
-        if key.crosses() && more.bytes() > 0 {
-            self.titles.add(title, more.bytes());
+        add(&mut self.whole, key, increment);
+        let window = unix_time.as_secs() / WINDOW.as_secs();
+        add(self.windows.entry(window).or_default(), key, increment);
+        self.drop_old_windows();
+        if key.crosses() && increment.bytes() > 0 {
+            self.titles.add(title, increment.bytes());
         }
     }
 
-    pub(crate) fn forget_old(&mut self) {
+    pub(crate) fn drop_old_windows(&mut self) {
         while self.windows.len() > WINDOWS {
             self.windows.pop_first();
         }
     }
 
-    /// Counts what was not seen when this controller was killed: it may have gone on at its last pace for up to
-    /// `unstored` after the last store. Half of that is the estimate, and its error.
-    pub fn estimate_unseen(&mut self, wall: Duration, unstored: Duration) {
-        let last = self.windows.last_key_value().map(|(_, sums)| sums.clone()).unwrap_or_default();
-        let part = unstored.as_secs_f64() / WINDOW.as_secs_f64() / 2.0;
-        for (key, amount) in last {
-            let half = (amount.media_bytes as f64 * part) as u64;
+    /// Estimates the traffic that was lost when this controller was killed: it may have continued at its last rate for up
+    /// to `store_interval` after the last write. Half of that is both the estimate and its error.
+    pub fn estimate_unseen(&mut self, unix_time: Duration, store_interval: Duration) {
+        let last_window = self.windows.last_key_value().map(|(_, sums)| sums.clone()).unwrap_or_default();
+        let fraction = store_interval.as_secs_f64() / WINDOW.as_secs_f64() / 2.0;
+        for (key, amount) in last_window {
+            let half = (amount.media_bytes as f64 * fraction) as u64;
             let unseen = Amount { unseen_bytes: half, unseen_error: half, ..Amount::default() };
-            // Of no title: what was not seen has none.
+            // Counted for no title: the titles of the lost traffic are not known.
             self.version += 1;
             add(&mut self.whole, &key, &unseen);
-            add(self.windows.entry(wall.as_secs() / WINDOW.as_secs()).or_default(), &key, &unseen);
+            add(self.windows.entry(unix_time.as_secs() / WINDOW.as_secs()).or_default(), &key, &unseen);
         }
-        self.forget_old();
+        self.drop_old_windows();
     }
 
-    /// Takes the greater of each figure; the titles of the later version.
+    /// Takes the maximum of each counter, and the titles of the later version.
     pub fn join(&mut self, other: &Self) {
         join(&mut self.whole, &other.whole);
         for (window, sums) in &other.windows {
             join(self.windows.entry(*window).or_default(), sums);
         }
-        self.forget_old();
-        let later = (other.version, other.titles.titles().map(|title| title.1).sum::<u64>());
-        if later > (self.version, self.titles.titles().map(|title| title.1).sum::<u64>()) {
+        self.drop_old_windows();
+        let other_order = (other.version, other.titles.titles().map(|title| title.1).sum::<u64>());
+        if other_order > (self.version, self.titles.titles().map(|title| title.1).sum::<u64>()) {
             self.titles = other.titles.clone();
         }
         self.version = self.version.max(other.version);
     }
 }
 
-fn add(sums: &mut Sums, key: &Key, more: &Amount) {
+fn add(sums: &mut Sums, key: &Key, increment: &Amount) {
     match sums.get_mut(key) {
-        Some(sum) => sum.add(more),
+        Some(sum) => sum.add(increment),
         None => {
-            sums.insert(key.clone(), *more);
+            sums.insert(key.clone(), *increment);
         }
     }
 }
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -1,10 +1,10 @@
-//! Accounts of what crosses from building to building, without I/O.
+//! Traffic counters per pair of zones and room type. The package does no I/O.
 //!
-//! Each controller writes one [`Ledger`], whose figures only grow; [`Accounts`] holds the ledgers of any number of
-//! controllers, each under the number and the account that wrote it. Merging takes the greater of each figure, so
-//! that accounts merge in any order, twice or late, to the same sums (a join of a semilattice, as state-based
-//! counters of Shapiro, Preguiça, Baquero and Zawirski, 2011, have it). A controller that is reborn goes on with
-//! the ledger that it stored; what it counted after the last store is lost, and told as an estimate with its error.
+//! Each controller writes one [`Ledger`] of counters that only grow. [`Accounts`] holds the ledgers of any number of
+//! controllers, each under the controller's number and the account that wrote it. Merging takes the maximum of each
+//! counter, so that ledgers that are merged in any order, repeatedly or late, give the same sums (a state-based grow-only
+//! counter, a join semilattice: Shapiro, Preguiça, Baquero and Zawirski, 2011). A restarted controller continues the
+//! ledger that it stored; what it counted after the last write is lost, and is reported as an estimate with its error.
 
 mod accounts;
 mod ledger;
--- a/crates/accounts/src/seal.rs
+++ b/crates/accounts/src/seal.rs
@@ -1,40 +1,45 @@
-//! Text as it is kept in a file: with its length and a checksum before it, so that a torn or changed one is known.
+//! File framing for a text: a header with its length and checksum detects truncated and corrupted files.
 
 use thiserror::Error;
 
-/// Why sealed bytes are not taken.
+/// Why framed bytes are rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SealFault {
-    #[error("no seal of this program's")]
+    #[error("the header of an accounts file is missing")]
     NoSeal,
-    #[error("{found} bytes where the seal says {told}: it was torn")]
-    Torn { found: usize, told: usize },
-    #[error("the checksum is not that of the bytes: they were changed")]
+    #[error("truncated: {found} bytes, where the header says {expected}")]
+    Torn { found: usize, expected: usize },
+    #[error("the checksum does not match the contents")]
     Changed,
 }
 
-const MARK: &str = "badgerledge-accounts";
+/// First field of the header.
+const MAGIC: &str = "badgerledge-accounts";
 
-/// The text with a first line that says how long it is and its CRC-32 (IEEE 802.3).
+/// The text after a header line of the magic word, the length in bytes and the CRC-32 (IEEE 802.3) of the text.
 pub fn seal(text: &str) -> Vec<u8> {
-    let sum = crc32fast::hash(text.as_bytes());
-    format!("{MARK} {} {sum:08x}\n{text}", text.len()).into_bytes()
+    let checksum = crc32fast::hash(text.as_bytes());
+    format!("{MAGIC} {} {checksum:08x}\n{text}", text.len()).into_bytes()
 }
 
-/// The text, if it is whole and unchanged.
+/// Returns the text of framed bytes.
+///
+/// # Errors
+/// Where the header is missing, or the text is truncated or corrupted.
 pub fn open(bytes: &[u8]) -> Result<&str, SealFault> {
     let end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SealFault::NoSeal)?;
-    let (head, text) = (&bytes[..end], &bytes[end + 1..]);
-    let mut words = std::str::from_utf8(head).map_err(|_| SealFault::NoSeal)?.split(' ');
-    if words.next() != Some(MARK) {
+    let (header, text) = (&bytes[..end], &bytes[end + 1..]);
+    let mut fields = std::str::from_utf8(header).map_err(|_| SealFault::NoSeal)?.split(' ');
+    if fields.next() != Some(MAGIC) {
         return Err(SealFault::NoSeal);
     }
-    let told = words.next().and_then(|length| length.parse().ok()).ok_or(SealFault::NoSeal)?;
-    let sum = words.next().and_then(|sum| u32::from_str_radix(sum, 16).ok()).ok_or(SealFault::NoSeal)?;
-    if text.len() != told {
-        return Err(SealFault::Torn { found: text.len(), told });
+    let expected = fields.next().and_then(|length| length.parse().ok()).ok_or(SealFault::NoSeal)?;
+    let checksum =
+        fields.next().and_then(|checksum| u32::from_str_radix(checksum, 16).ok()).ok_or(SealFault::NoSeal)?;
+    if text.len() != expected {
+        return Err(SealFault::Torn { found: text.len(), expected });
     }
-    if crc32fast::hash(text) != sum {
+    if crc32fast::hash(text) != checksum {
         return Err(SealFault::Changed);
     }
     std::str::from_utf8(text).map_err(|_| SealFault::Changed)
--- a/crates/accounts/src/sketch.rs
+++ b/crates/accounts/src/sketch.rs
@@ -1,36 +1,37 @@
-//! The heaviest titles in bounded memory.
+//! Finds the titles with the most bytes in bounded memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// Titles by weight, of which a bounded number is kept: the Space-Saving sketch (Metwally, Agrawal and El Abbadi,
-/// 2005). A title's weight is never under its true one, and over it by at most the error that is told with it.
+/// The heaviest titles and their weights: a Space-Saving sketch (Metwally, Agrawal and El Abbadi, 2005). An estimated
+/// weight is never below the true one, and exceeds it by at most the error that is stored with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64, u64)>", into = "Vec<(u64, u64, u64)>")]
 pub struct Heaviest {
     /// Weight and error by title.
     titles: BTreeMap<u64, (u64, u64)>,
-    /// The same by weight, the lightest first.
+    /// Weight and title, the lightest first.
     by_weight: BTreeSet<(u64, u64)>,
 }
 
-/// Titles kept: with it any title of over 1 in 256 of all traffic is surely there.
-const KEPT: usize = 256;
+/// The number of tracked titles. Any title with more than 1/256 of all traffic is guaranteed to be among them.
+const CAPACITY: usize = 256;
 
 impl Heaviest {
+    /// Adds weight to a title.
     pub fn add(&mut self, title: u64, weight: u64) {
-        if let Some((known, error)) = self.titles.get(&title).copied() {
-            self.by_weight.remove(&(known, title));
-            return self.set(title, known + weight, error);
+        if let Some((old_weight, error)) = self.titles.get(&title).copied() {
+            self.by_weight.remove(&(old_weight, title));
+            return self.set(title, old_weight + weight, error);
         }
-        if self.titles.len() < KEPT {
+        if self.titles.len() < CAPACITY {
             return self.set(title, weight, 0);
         }
-        // The lightest gives way, and what it weighed is how much the new one may be over.
-        let Some((lightest, out)) = self.by_weight.pop_first() else { return };
-        self.titles.remove(&out);
-        self.set(title, lightest + weight, lightest);
+        // Replaces the lightest title, whose weight becomes the error of the new one.
+        let Some((min_weight, evicted)) = self.by_weight.pop_first() else { return };
+        self.titles.remove(&evicted);
+        self.set(title, min_weight + weight, min_weight);
     }
 
     fn set(&mut self, title: u64, weight: u64, error: u64) {
@@ -38,33 +39,33 @@
         self.by_weight.insert((weight, title));
     }
 
-    /// What a title that is not kept weighs at most.
-    fn least(&self) -> u64 {
-        if self.titles.len() < KEPT {
+    /// The largest possible weight of a title that is not tracked.
+    fn max_untracked_weight(&self) -> u64 {
+        if self.titles.len() < CAPACITY {
             0
         } else {
             self.by_weight.first().map_or(0, |lightest| lightest.0)
         }
     }
 
-    /// The titles of both, each with the sum of its weights and of its errors.
+    /// Merges two sketches. Each title has the sum of its weights and the sum of its errors.
     pub fn joined(&self, other: &Self) -> Self {
         let mut sums: Vec<(u64, u64, u64)> = Vec::new();
         let titles: BTreeSet<u64> = self.titles.keys().chain(other.titles.keys()).copied().collect();
         for title in titles {
-            let of = |sketch: &Self| {
-                let missing = (sketch.least(), sketch.least());
-                sketch.titles.get(&title).copied().unwrap_or(missing)
+            let estimate = |sketch: &Self| {
+                let untracked = (sketch.max_untracked_weight(), sketch.max_untracked_weight());
+                sketch.titles.get(&title).copied().unwrap_or(untracked)
             };
-            let ((a, a_error), (b, b_error)) = (of(self), of(other));
-            sums.push((title, a + b, a_error + b_error));
+            let ((weight_a, error_a), (weight_b, error_b)) = (estimate(self), estimate(other));
+            sums.push((title, weight_a + weight_b, error_a + error_b));
         }
         sums.sort_by_key(|(title, weight, _)| (std::cmp::Reverse(*weight), *title));
-        sums.truncate(KEPT);
+        sums.truncate(CAPACITY);
         sums.into()
     }
 
-    /// Title, weight and error, the heaviest first.
+    /// Title, weight and error of each tracked title, the heaviest first.
     pub fn titles(&self) -> impl Iterator<Item = (u64, u64, u64)> + '_ {
         self.by_weight.iter().rev().map(|(weight, title)| (*title, *weight, self.titles[title].1))
     }
@@ -73,7 +74,7 @@
 impl From<Vec<(u64, u64, u64)>> for Heaviest {
     fn from(titles: Vec<(u64, u64, u64)>) -> Self {
         let mut sketch = Self::default();
-        for (title, weight, error) in titles.into_iter().take(KEPT) {
+        for (title, weight, error) in titles.into_iter().take(CAPACITY) {
             sketch.set(title, weight, error);
         }
         sketch
--- a/crates/accounts/src/tests.rs
+++ b/crates/accounts/src/tests.rs
@@ -1,4 +1,5 @@
-//! The laws of merging on generated ledgers, the sketch beside a plain map, seals that are torn or changed.
+//! Checks the properties of merging on generated ledgers, the sketch against exact counts, and truncated or corrupted
+//! files.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,9 +8,9 @@
 
 use crate::{open, seal, Accounts, Amount, Heaviest, Key, Ledger, SealFault, Source, WINDOWS};
 
-/// Some moments of the ledgers of a few controllers, as they were written out at different times.
+/// Snapshots of the ledgers of three controllers at different times; the last one is complete.
 #[derive(Clone, Debug)]
-struct Moments(Vec<Accounts>);
+struct Snapshots(Vec<Accounts>);
 
 fn key(n: u8) -> Key {
     let zone = |odd: bool| if odd { "north" } else { "south" }.to_owned();
@@ -26,80 +27,80 @@
     }
 }
 
-impl Arbitrary for Moments {
+impl Arbitrary for Snapshots {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut truth = Accounts::default();
-        let mut moments = vec![];
+        let mut snapshots = vec![];
         for at in 0..30u64 {
             let n = u8::arbitrary(g);
             let source = Source { controller: u32::from(n % 3), account: 7 };
             truth.ledger(source).count(Duration::from_secs(at * 7), &key(n), u64::from(n % 16), &amount(n));
-            // What is handed on is one controller's ledger, or all that somebody has heard of.
-            let mut told = Accounts::default();
-            *told.ledger(source) = truth.ledger(source).clone();
-            moments.push(if n.is_multiple_of(5) { truth.clone() } else { told });
+            // A snapshot is one controller's ledger, or all ledgers.
+            let mut single = Accounts::default();
+            *single.ledger(source) = truth.ledger(source).clone();
+            snapshots.push(if n.is_multiple_of(5) { truth.clone() } else { single });
         }
-        moments.push(truth);
-        Moments(moments)
+        snapshots.push(truth);
+        Snapshots(snapshots)
     }
 }
 
-fn merged<'a>(moments: impl Iterator<Item = &'a Accounts>) -> Accounts {
-    let mut all = Accounts::default();
-    moments.for_each(|moment| all.merge(moment));
-    all
+fn merged<'a>(snapshots: impl Iterator<Item = &'a Accounts>) -> Accounts {
+    let mut result = Accounts::default();
+    snapshots.for_each(|snapshot| result.merge(snapshot));
+    result
 }
 
-fn checked(property: fn(Moments, Vec<u8>) -> bool) {
+fn check_property(property: fn(Snapshots, Vec<u8>) -> bool) {
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 3)).tests(200).quickcheck(property as fn(_, _) -> _);
 }
 
 #[test]
-fn accounts_merge_in_any_order_twice_or_late_to_the_same_sums() {
-    fn same(moments: Moments, order: Vec<u8>) -> bool {
-        let truth = moments.0.last().unwrap().clone();
-        let shuffled = order.iter().map(|n| &moments.0[usize::from(*n) % moments.0.len()]);
-        // Whatever came before, twice or in another order, the last word brings the truth; and again changes nothing.
-        let mut all = merged(shuffled.chain([&truth]).chain(moments.0.iter().rev()));
-        let once = all.clone();
-        all.merge(&once);
-        all == truth && all.whole() == truth.whole()
+fn repeated_merges_in_any_order_give_the_same_sums() {
+    fn same_sums(snapshots: Snapshots, order: Vec<u8>) -> bool {
+        let truth = snapshots.0.last().unwrap().clone();
+        let shuffled = order.iter().map(|n| &snapshots.0[usize::from(*n) % snapshots.0.len()]);
+        // Whatever was merged before, the complete snapshot determines the result, and merging again changes nothing.
+        let mut result = merged(shuffled.chain([&truth]).chain(snapshots.0.iter().rev()));
+        let once = result.clone();
+        result.merge(&once);
+        result == truth && result.whole() == truth.whole()
     }
-    checked(same);
+    check_property(same_sums);
 }
 
 #[test]
 fn merging_is_commutative_and_associative() {
-    fn laws(moments: Moments, order: Vec<u8>) -> bool {
-        let pick = |n: usize| &moments.0[order.get(n).map_or(n, |at| usize::from(*at)) % moments.0.len()];
+    fn merge_laws(snapshots: Snapshots, order: Vec<u8>) -> bool {
+        let pick = |n: usize| &snapshots.0[order.get(n).map_or(n, |at| usize::from(*at)) % snapshots.0.len()];
         let (a, b, c) = (pick(0), pick(1), pick(2));
         let commutes = merged([a, b].into_iter()) == merged([b, a].into_iter());
         let (left, right) = (merged([a, b].into_iter()), merged([b, c].into_iter()));
         commutes && merged([&left, c].into_iter()) == merged([a, &right].into_iter())
     }
-    checked(laws);
+    check_property(merge_laws);
 }
 
 #[test]
-fn what_is_written_is_read_and_what_is_not_whole_is_not_taken() {
-    fn back(moments: Moments, cut: Vec<u8>) -> bool {
-        let truth = moments.0.last().unwrap();
+fn files_round_trip_and_truncated_or_corrupted_ones_are_rejected() {
+    fn round_trips(snapshots: Snapshots, cut: Vec<u8>) -> bool {
+        let truth = snapshots.0.last().unwrap();
         let text = truth.write();
         let sealed = seal(&text);
-        let whole = open(&sealed) == Ok(text.as_str()) && Accounts::read(&text).as_ref() == Ok(truth);
+        let intact = open(&sealed) == Ok(text.as_str()) && Accounts::read(&text).as_ref() == Ok(truth);
         let at = cut.iter().map(|n| usize::from(*n) * 7).sum::<usize>() % sealed.len();
-        let mut changed = sealed.clone();
-        changed[at] ^= 0x20;
-        whole && open(&sealed[..at]).is_err() && open(&changed).is_err()
+        let mut corrupted = sealed.clone();
+        corrupted[at] ^= 0x20;
+        intact && open(&sealed[..at]).is_err() && open(&corrupted).is_err()
     }
-    checked(back);
+    check_property(round_trips);
     assert_eq!(open(b""), Err(SealFault::NoSeal));
     assert!(Accounts::read("{\"accounts\":2,\"ledgers\":[]}").unwrap_err().to_string().contains("version 2"));
     assert!(Accounts::read("{\"accounts\":1}").unwrap_err().to_string().contains("ledgers is missing"));
 }
 
 #[test]
-fn windows_are_bounded_and_the_whole_keeps_all() {
+fn windows_are_bounded_and_the_total_counts_all() {
     let mut ledger = Ledger::default();
     for at in 0..WINDOWS as u64 + 50 {
         ledger.count(Duration::from_secs(at * 10), &key(0), 1, &amount(1));
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn what_was_not_seen_is_estimated_from_the_last_pace() {
+fn lost_traffic_is_estimated_from_the_last_rate() {
     let mut ledger = Ledger::default();
     ledger.count(Duration::from_secs(5), &key(0), 1, &Amount { media_bytes: 10_000, ..Amount::default() });
     ledger.estimate_unseen(Duration::from_secs(30), Duration::from_secs(1));
@@ -123,23 +124,23 @@
 }
 
 #[test]
-fn the_sketch_is_never_under_and_over_by_its_error_at_most() {
+fn the_sketch_never_underestimates_and_its_error_bound_holds() {
     let mut gen = Gen::from_size_and_seed(100, 9);
-    let (mut halves, mut plain) = ([Heaviest::default(), Heaviest::default()], BTreeMap::<u64, u64>::new());
+    let (mut sketches, mut exact) = ([Heaviest::default(), Heaviest::default()], BTreeMap::<u64, u64>::new());
     for n in 0..60_000u64 {
-        // Half of the traffic is on a few titles, the rest on thousands.
-        let spread = u64::from(u16::arbitrary(&mut gen));
-        let title = if n % 2 == 0 { spread % 20 } else { 100 + spread % 5000 };
-        let weight = 1 + spread % 7;
-        halves[usize::from(n % 3 == 0)].add(title, weight);
-        *plain.entry(title).or_default() += weight;
+        // Half of the traffic is on 20 titles, the rest on thousands.
+        let sample = u64::from(u16::arbitrary(&mut gen));
+        let title = if n % 2 == 0 { sample % 20 } else { 100 + sample % 5000 };
+        let weight = 1 + sample % 7;
+        sketches[usize::from(n % 3 == 0)].add(title, weight);
+        *exact.entry(title).or_default() += weight;
     }
-    let joined = halves[0].joined(&halves[1]);
+    let joined = sketches[0].joined(&sketches[1]);
     for (title, weight, error) in joined.titles() {
-        let truth = plain[&title];
+        let truth = exact[&title];
         assert!(
             weight >= truth && weight - error <= truth,
-            "title {title}: {truth}, not {weight} less {error}"
+            "title {title}: exact weight {truth}, estimate {weight} with an error of at most {error}"
         );
     }
     let heaviest: Vec<u64> = joined.titles().take(20).map(|title| title.0).collect();
--- a/crates/changes/src/lib.rs
+++ b/crates/changes/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a change of the settings or of the titles means for subscriptions that wait, join or play. No I/O, no clock, no
-//! chance but what is handed in.
+//! Effect of a change of settings or titles on waiting, joining and playing subscriptions. The package does no I/O, reads
+//! no clock and takes no random numbers.
 //!
-//! A change never breaks what plays. What it takes away is taken from new subscriptions at once; what is held under it
-//! keeps its numbers ([`arrange`]), and [`outcome`] says what becomes of each: most go on, some at a lower rung, those
-//! that wait for a title that is gone get their final answer, and those that play where their title lies no more are
-//! moved, spread over a stated time ([`MoveSchedule`]).
+//! A change never interrupts a playing subscription. Removed items are closed to new subscriptions at once, and keep their
+//! numbers for existing ones ([`arrange`]). [`outcome`] decides the effect on each subscription: most continue, some at a
+//! lower rung; those that wait for a removed title get a final answer; those that play from a cell that no longer has
+//! their title are moved at times that are spread over an interval ([`MoveSchedule`]).
 
 mod move_schedule;
 mod numbers;
--- a/crates/changes/src/move_schedule.rs
+++ b/crates/changes/src/move_schedule.rs
@@ -1,58 +1,63 @@
-//! Subscriptions that are to be moved off their streamers, each at its time.
+//! Times at which subscriptions are moved off their streamers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use badgerledge_core::interface::{JobId, StreamerId};
 
-/// Which subscription is to leave which streamer, and when. Each leaves once at most.
+/// Which subscription is moved off which streamer, and when. Each subscription has at most one entry.
 #[derive(Debug, Default)]
 pub struct MoveSchedule {
+    /// Time and subscription of each move.
     due: BTreeSet<(Duration, JobId)>,
-    from: BTreeMap<JobId, (Duration, StreamerId)>,
+    /// Time and streamer of each subscription's move.
+    moves: BTreeMap<JobId, (Duration, StreamerId)>,
 }
 
 impl MoveSchedule {
-    /// Lets these leave within a time, spread evenly over it, so that the holders of their titles get no more set-ups in
-    /// any part of it than in another. In the order given: by chance, or whoever is first suffers from every change.
-    /// One that was to leave already keeps its time where it is the sooner one.
-    pub fn spread(&mut self, now: Duration, within: Duration, leavers: &[(JobId, StreamerId)]) {
-        let count = leavers.len().max(1) as u32;
-        for (turn, (job, from)) in leavers.iter().enumerate() {
-            let at = now + within * turn as u32 / count;
-            if let Some((before, _)) = self.from.get(job).copied() {
-                if before <= at {
+    /// Schedules moves in the given order, evenly over the interval after `now`, so that the holders of the titles receive
+    /// SETUPs at a constant rate. The caller shuffles the order; otherwise the same subscriptions would move first at every
+    /// change. A subscription that is already scheduled keeps its time if that is the earlier one.
+    pub fn spread(&mut self, now: Duration, interval: Duration, moves: &[(JobId, StreamerId)]) {
+        let count = moves.len().max(1) as u32;
+        for (index, (job, streamer)) in moves.iter().enumerate() {
+            let due_at = now + interval * index as u32 / count;
+            if let Some((scheduled_at, _)) = self.moves.get(job).copied() {
+                if scheduled_at <= due_at {
                     continue;
                 }
-                self.due.remove(&(before, *job));
+                self.due.remove(&(scheduled_at, *job));
             }
-            self.due.insert((at, *job));
-            self.from.insert(*job, (at, *from));
+            self.due.insert((due_at, *job));
+            self.moves.insert(*job, (due_at, *streamer));
         }
     }
 
-    /// One need not leave any more: a later change lets it stay, or it has ended.
+    /// Removes a subscription that no longer has to move: a later change lets it stay, or it has ended.
     pub fn cancel(&mut self, job: JobId) {
-        if let Some((at, _)) = self.from.remove(&job) {
-            self.due.remove(&(at, job));
+        if let Some((due_at, _)) = self.moves.remove(&job) {
+            self.due.remove(&(due_at, job));
         }
     }
 
+    /// The time of the next move.
     pub fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|due| due.0)
     }
 
-    /// The next whose time has come, and the streamer that it was to leave: it may be elsewhere by now.
+    /// Removes and returns the next due move. The subscription may have left that streamer since it was scheduled.
     pub fn pop_due(&mut self, now: Duration) -> Option<(JobId, StreamerId)> {
-        let (at, job) = self.due.first().copied().filter(|due| due.0 <= now)?;
-        self.due.remove(&(at, job));
-        self.from.remove(&job).map(|(_, from)| (job, from))
+        let (due_at, job) = self.due.first().copied().filter(|due| due.0 <= now)?;
+        self.due.remove(&(due_at, job));
+        self.moves.remove(&job).map(|(_, streamer)| (job, streamer))
     }
 
+    /// The number of scheduled moves.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
+    /// Whether no move is scheduled.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
--- a/crates/changes/src/numbers.rs
+++ b/crates/changes/src/numbers.rs
@@ -1,28 +1,29 @@
-//! Numbers under which subscriptions are held.
+//! Keeps the numbers of zones, streamer kinds, rungs and room types stable across settings changes.
 
 use std::collections::BTreeSet;
 
 use badgerledge_deployment::Shared;
 
-/// New settings, in the numbers of those that are held: room types keep theirs, new ones come behind, and
-/// one that was taken away stays under its number, retired, for what plays under it.
+/// Arranges new settings so that existing numbers stay valid: room types keep their numbers and new ones are appended. A
+/// removed room type keeps its number and is marked as retired, for the subscriptions that play under it.
 ///
 /// # Errors
-/// Where a zone, a kind or a rung would change the number by which streamers and the list know it.
-pub fn arrange(held: &Shared, mut new: Shared) -> Result<Shared, String> {
-    places("zone", &held.fleet.zones, &new.fleet.zones)?;
-    places("kind", &held.fleet.kinds, &new.fleet.kinds)?;
-    rungs(&held.ladder.rates_kb, &new.ladder.rates_kb)?;
-    let highest = new.ladder.rates_kb.len().saturating_sub(1) as u8;
+/// Where a zone, a streamer kind or a rung would change the number by which streamers and the list identify it.
+pub fn arrange(current: &Shared, mut new: Shared) -> Result<Shared, String> {
+    check_names("zone", &current.fleet.zones, &new.fleet.zones)?;
+    check_names("kind", &current.fleet.kinds, &new.fleet.kinds)?;
+    check_rungs(&current.ladder.rates_kb, &new.ladder.rates_kb)?;
+    let max_rung = new.ladder.rates_kb.len().saturating_sub(1) as u8;
     let mut room_types = Vec::new();
-    for (name, old) in &held.room_types {
-        match new.room_types.iter().position(|(known, _)| known == name) {
-            Some(at) => room_types.push(new.room_types.remove(at)),
+    for (name, old) in &current.room_types {
+        match new.room_types.iter().position(|(new_name, _)| new_name == name) {
+            Some(index) => room_types.push(new.room_types.remove(index)),
             None => {
-                let mut old = old.clone();
-                (old.top, old.floor) = (old.top.map(|top| top.min(highest)), old.floor.min(highest));
+                let mut retired = old.clone();
+                (retired.top, retired.floor) =
+                    (retired.top.map(|top| top.min(max_rung)), retired.floor.min(max_rung));
                 new.retired.insert(name.clone());
-                room_types.push((name.clone(), old));
+                room_types.push((name.clone(), retired));
             }
         }
     }
@@ -31,39 +32,40 @@
     Ok(new)
 }
 
-/// Streamers and the list name zones and kinds by number: a name may change in its place, and new ones come behind.
-fn places(what: &str, old: &[String], new: &[String]) -> Result<(), String> {
+/// Checks that names keep their numbers, because streamers and the list refer to zones and kinds by number. A name may be
+/// replaced at its number, and new names may be appended.
+fn check_names(kind: &str, old: &[String], new: &[String]) -> Result<(), String> {
     if new.len() < old.len() {
-        let gone = &old[new.len()];
+        let removed = &old[new.len()];
         return Err(format!(
-            "{what} {gone} has number {}, by which the list knows it: it can't go",
+            "{kind} {removed} has number {}, by which the list identifies it: it can't be removed",
             new.len()
         ));
     }
     let mut seen = BTreeSet::new();
     for (number, name) in new.iter().enumerate() {
         if !seen.insert(name) {
-            return Err(format!("{what} {name} is named twice"));
+            return Err(format!("{kind} {name} is named twice"));
         }
-        let before = old.iter().position(|known| known == name);
-        if let Some(before) = before.filter(|before| *before != number) {
+        let old_number = old.iter().position(|old_value| old_value == name);
+        if let Some(old_number) = old_number.filter(|old_number| *old_number != number) {
             return Err(format!(
-                "{what} {name} has number {before}, by which the list knows it: {number} would be another"
+                "{kind} {name} has number {old_number}, by which the list identifies it: it can't change to {number}"
             ));
         }
     }
     Ok(())
 }
 
-/// A rung's number says to a streamer what to send: the highest may go, and rates may be stated anew, but none may take
-/// another's number.
-fn rungs(old: &[f64], new: &[f64]) -> Result<(), String> {
+/// Checks that rungs keep their numbers, because a rung's number tells a streamer what to send. The highest rungs may be
+/// removed and rates may change, but no rate may take another number.
+fn check_rungs(old: &[f64], new: &[f64]) -> Result<(), String> {
     for (number, rate) in new.iter().enumerate() {
-        let before = old.iter().position(|known| known == rate);
-        if let Some(before) = before.filter(|before| *before != number) {
+        let old_number = old.iter().position(|old_value| old_value == rate);
+        if let Some(old_number) = old_number.filter(|old_number| *old_number != number) {
             return Err(format!(
-                "the rung of {rate} kB/s has number {before} at the streamers: only the highest rungs can go, \
-                 and new ones come above"
+                "the rung of {rate} kB/s has number {old_number} at the streamers: only the highest rungs can be removed, \
+                 and new ones are added above"
             ));
         }
     }
--- a/crates/changes/src/tests.rs
+++ b/crates/changes/src/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of subscriptions under changes.
+//! Tests of the effect of settings and titles changes on subscriptions.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     Catalogue::from_sections(&Sheet::parse("titles", text).unwrap()).unwrap()
 }
 
-fn under(stage: Stage) -> Subscription {
+fn subscription(stage: Stage) -> Subscription {
     let asked = SubscriptionRequest { title: 7, copies: 2, max_rung: 9, ..SubscriptionRequest::default() };
     Subscription { asked, stage }
 }
@@ -55,78 +55,85 @@
     Stage::Plays { cell: Some(1) },
 ];
 
-fn actions(told: &Shared, text: &str) -> [Action; 4] {
+fn actions(settings: &Shared, text: &str) -> [Action; 4] {
     let titles = titles(text);
-    STAGES.map(|stage| outcome(&under(stage), Configuration { shared: told, titles: &titles }).action)
+    STAGES.map(|stage| {
+        outcome(&subscription(stage), Configuration { shared: settings, titles: &titles }).action
+    })
 }
 
 #[test]
-fn what_is_not_touched_goes_on() {
+fn unaffected_subscriptions_continue() {
     assert_eq!(actions(&shared(TEXT), TITLE), [Action::GoesOn; 4]);
     let more = TEXT.replace("zones = north, south", "zones = north, west") + "[room_type new]\n";
     let more = more + "join_objective_ms = 1\nclient_timeout_ms = 2\nbenefit = 1\n";
-    let told = arrange(&shared(TEXT), shared(&more)).unwrap();
-    assert_eq!(actions(&told, TITLE), [Action::GoesOn; 4]);
+    let settings = arrange(&shared(TEXT), shared(&more)).unwrap();
+    assert_eq!(actions(&settings, TITLE), [Action::GoesOn; 4]);
 }
 
-/// A title that lies elsewhere: what waits is placed there, what has not left is taken back, what plays is moved.
+/// A title is moved to other cells: waiting subscriptions are placed there, joins without a SETUP are withdrawn, and
+/// playing subscriptions are moved.
 #[test]
-fn a_title_that_lies_elsewhere() {
+fn a_title_moved_to_other_cells() {
     let moved = TITLE.replace("first_cell = 0", "first_cell = 3");
-    let wanted = [Action::GoesOn, Action::Withdrawn, Action::MovesOn, Action::MovesOn];
-    assert_eq!(actions(&shared(TEXT), &moved), wanted);
+    let expected = [Action::GoesOn, Action::Withdrawn, Action::MovesOn, Action::MovesOn];
+    assert_eq!(actions(&shared(TEXT), &moved), expected);
     let titles = titles(&moved);
-    let told = shared(TEXT);
-    let placement = outcome(&under(Stage::Waits), Configuration { shared: &told, titles: &titles }).placement;
+    let settings = shared(TEXT);
+    let placement =
+        outcome(&subscription(Stage::Waits), Configuration { shared: &settings, titles: &titles }).placement;
     assert_eq!(placement, (3, 2));
-    // One cell more on the one side, and it still lies where it plays.
-    let next = TITLE.replace("first_cell = 0", "first_cell = 1");
-    assert_eq!(actions(&told, &next), [Action::GoesOn; 4]);
-    // A streamer that the list has left out is of no known cell: it is left alone.
-    let unknown = under(Stage::Plays { cell: None });
-    assert_eq!(outcome(&unknown, Configuration { shared: &told, titles: &titles }).action, Action::GoesOn);
+    // Shifted by one cell, the title is still in the cell that plays it.
+    let shifted = TITLE.replace("first_cell = 0", "first_cell = 1");
+    assert_eq!(actions(&settings, &shifted), [Action::GoesOn; 4]);
+    // A streamer that is missing from the list has no known cell: its subscription is not moved.
+    let unknown = subscription(Stage::Plays { cell: None });
+    assert_eq!(
+        outcome(&unknown, Configuration { shared: &settings, titles: &titles }).action,
+        Action::GoesOn
+    );
 }
 
-/// A title or a room type that is gone: what waits for it is answered, what plays plays out and nothing moves it.
+/// A title or room type is removed: waiting subscriptions get a final answer, playing ones continue and are not moved.
 #[test]
-fn what_is_gone_plays_out() {
-    let wanted = [Action::TurnedAway, Action::TurnedAway, Action::GoesOn, Action::GoesOn];
-    assert_eq!(actions(&shared(TEXT), ""), wanted);
+fn subscriptions_of_a_removed_title_or_room_type_play_to_their_end() {
+    let expected = [Action::TurnedAway, Action::TurnedAway, Action::GoesOn, Action::GoesOn];
+    assert_eq!(actions(&shared(TEXT), ""), expected);
     let show = &TEXT[TEXT.find("[room_type show]").unwrap()..];
-    let less = shared(&(TEXT[..TEXT.find("[room_type clip]").unwrap()].to_owned() + show));
-    let told = arrange(&shared(TEXT), less).unwrap();
-    let names: Vec<&str> = told.room_types.iter().map(|(name, _)| name.as_str()).collect();
+    let without_clip = shared(&(TEXT[..TEXT.find("[room_type clip]").unwrap()].to_owned() + show));
+    let settings = arrange(&shared(TEXT), without_clip).unwrap();
+    let names: Vec<&str> = settings.room_types.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(
-        (names, told.room_type("clip"), told.room_type("show")),
+        (names, settings.room_type("clip"), settings.room_type("show")),
         (vec!["clip", "show"], None, Some(1))
     );
-    assert_eq!(actions(&told, &TITLE.replace("clip", "show")), wanted);
+    assert_eq!(actions(&settings, &TITLE.replace("clip", "show")), expected);
     let titles = titles(TITLE);
-    let plays = outcome(&under(STAGES[3]), Configuration { shared: &told, titles: &titles });
-    assert_eq!(plays.placement.1, 0);
-    // It comes back under its number.
-    let again = arrange(&told, shared(TEXT)).unwrap();
-    assert_eq!(actions(&again, TITLE), [Action::GoesOn; 4]);
-    assert!(again.retired.is_empty());
+    let playing = outcome(&subscription(STAGES[3]), Configuration { shared: &settings, titles: &titles });
+    assert_eq!(playing.placement.1, 0);
+    // A room type that is added again gets its old number.
+    let restored = arrange(&settings, shared(TEXT)).unwrap();
+    assert_eq!(actions(&restored, TITLE), [Action::GoesOn; 4]);
+    assert!(restored.retired.is_empty());
 }
 
-/// Rungs go from the top: what is over it is lowered, also for room types that are gone.
+/// When the highest rungs are removed, rungs above the new highest one are lowered, also for retired room types.
 #[test]
-fn the_highest_rungs_go() {
-    let less = TEXT.replace("rates_kb = 10, 20, 40", "rates_kb = 10, 20").replace("0.6, 1", "0.6");
-    let less = shared(&less.replace("top = 2", "top = 0"));
-    let told = arrange(&shared(TEXT), less).unwrap();
+fn the_highest_rungs_can_be_removed() {
+    let two_rungs = TEXT.replace("rates_kb = 10, 20, 40", "rates_kb = 10, 20").replace("0.6, 1", "0.6");
+    let two_rungs = shared(&two_rungs.replace("top = 2", "top = 0"));
+    let settings = arrange(&shared(TEXT), two_rungs).unwrap();
     let titles = titles(TITLE);
     let top = |room_type: usize| {
-        let mut under = under(STAGES[3]);
-        under.asked.room_type = room_type;
-        outcome(&under, Configuration { shared: &told, titles: &titles }).top
+        let mut subscription = subscription(STAGES[3]);
+        subscription.asked.room_type = room_type;
+        outcome(&subscription, Configuration { shared: &settings, titles: &titles }).top
     };
     assert_eq!((top(0), top(1)), (1, 0));
 }
 
 #[test]
-fn what_would_change_a_number_is_refused_with_the_reason() {
+fn a_change_of_a_number_is_refused_with_the_reason() {
     let refused = |from: &str, to: &str| {
         arrange(&shared(TEXT), shared(&TEXT.replace(from, to))).map(|_| ()).unwrap_err()
     };
@@ -140,32 +147,34 @@
     assert!(arrange(&shared(TEXT), shared(&text)).unwrap_err().contains("the rung of 40 kB/s has number 2"));
 }
 
-/// Whatever is drawn: each leaves once, within the time, and no tenth of it sees more than its part and one.
+/// Each subscription moves once and within the interval, and no tenth of the interval has more than a tenth of the moves
+/// and one.
 #[test]
-fn leavers_are_spread() {
-    fn holds(count: u8, others: u8) -> bool {
+fn moves_are_spread_evenly() {
+    fn is_even(count: u8, cancelled: u8) -> bool {
         let from: StreamerId = "127.0.0.1:1".parse().unwrap();
-        let (now, within) = (Duration::from_secs(100), Duration::from_secs(30));
+        let (now, interval) = (Duration::from_secs(100), Duration::from_secs(30));
         let all: Vec<_> = (0..u32::from(count)).map(|job| (job, from)).collect();
         let mut schedule = MoveSchedule::default();
-        schedule.spread(now, within, &all);
-        // A later change finds some of them again, and lets others stay.
-        let again: Vec<_> = all.iter().copied().filter(|(job, _)| job % 3 == u32::from(others) % 3).collect();
-        schedule.spread(now + within, within, &again);
-        (0..u32::from(others)).for_each(|job| schedule.cancel(job));
+        schedule.spread(now, interval, &all);
+        // A later change schedules some of them again, and cancels the first `cancelled` ones.
+        let repeated: Vec<_> =
+            all.iter().copied().filter(|(job, _)| job % 3 == u32::from(cancelled) % 3).collect();
+        schedule.spread(now + interval, interval, &repeated);
+        (0..u32::from(cancelled)).for_each(|job| schedule.cancel(job));
         let mut tenths = [0; 10];
-        let mut left = Vec::new();
+        let mut moved_jobs = Vec::new();
         while let Some(at) = schedule.next_due() {
             let Some((job, _)) = schedule.pop_due(at) else { return false };
-            if at < now || at >= now + within {
+            if at < now || at >= now + interval {
                 return false;
             }
             tenths[(at - now).as_millis() as usize / 3000] += 1;
-            left.push(job);
+            moved_jobs.push(job);
         }
-        left.sort_unstable();
-        let wanted: Vec<u32> = (u32::from(others)..u32::from(count)).collect();
-        left == wanted && tenths.iter().all(|tenth| *tenth <= usize::from(count) / 10 + 1)
+        moved_jobs.sort_unstable();
+        let expected: Vec<u32> = (u32::from(cancelled)..u32::from(count)).collect();
+        moved_jobs == expected && tenths.iter().all(|tenth| *tenth <= usize::from(count) / 10 + 1)
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 4)).quickcheck(holds as fn(u8, u8) -> bool);
+    QuickCheck::new().rng(Gen::from_size_and_seed(100, 4)).quickcheck(is_even as fn(u8, u8) -> bool);
 }
--- a/crates/crossing/src/plan.rs
+++ b/crates/crossing/src/plan.rs
@@ -67,8 +67,11 @@
         let raise = |(crosser, index): &(&Crosser, usize)| {
             let (current, next) = (crosser.steps[*index], *crosser.steps.get(index + 1)?);
             let added_rate = next.rate - current.rate;
-            let has_next = crosser.floor as usize + index < crosser.rung as usize;
-            let weight = if has_next { CURRENT_RUNG_WEIGHT } else { 1.0 };
+            let weight = if crosser.floor as usize + index < crosser.rung as usize {
+                CURRENT_RUNG_WEIGHT
+            } else {
+                1.0
+            };
             (added_rate <= unallocated)
                 .then_some((weight * (next.earns - current.earns) / added_rate.max(1e-9), added_rate))
         };
--- a/crates/crossing/src/shared_bucket.rs
+++ b/crates/crossing/src/shared_bucket.rs
@@ -62,7 +62,6 @@
     /// The nominal rate in kB/s that may be planned now, out of `available_rate`.
     pub fn may_plan(&self, available_rate: f64) -> f64 {
         let repayment_rate = (-self.level).max(0.0) / REPAYMENT_TIME.as_secs_f64();
-        let plannable_rate = PLANNED_FRACTION * available_rate - repayment_rate;
-        (plannable_rate / self.measured_to_planned.max(1.0)).max(0.0)
+        ((PLANNED_FRACTION * available_rate - repayment_rate) / self.measured_to_planned.max(1.0)).max(0.0)
     }
 }
--- a/crates/crossing/src/tests.rs
+++ b/crates/crossing/src/tests.rs
@@ -50,7 +50,7 @@
         Self { controllers, messages: Vec::new(), rng, now: 0.0, spent: Vec::new(), grant_count: 0 }
     }
 
-    /// Runs controller tick: faults, spending, planning and messages.
+    /// Runs one tick: faults, spending, planning and messages.
     fn tick(&mut self) {
         let count = self.controllers.len() as u32;
         self.now += TICK_S;
@@ -183,10 +183,10 @@
                 simulation.spent[100..].iter().sum::<f64>() / (simulation.spent.len() - 100) as f64 / TICK_S;
             assert!(
                 mean > 0.35 * RATE_KB_S,
-                "{count} controllers, seed {seed}: {mean:.0} kB a second of {RATE_KB_S}"
+                "{count} controllers, seed {seed}: {mean:.0} of {RATE_KB_S} kB/s"
             );
         }
-        assert!(grants > 50, "{count} controllers grants {grants} times only");
+        assert!(grants > 50, "{count} controllers granted only {grants} leases");
     }
 }
 
--- a/crates/ways/src/lib.rs
+++ b/crates/ways/src/lib.rs
@@ -1,13 +1,14 @@
-//! The rig's network between processes. Each end is reached by the others at an address of this process, by datagrams
-//! and by streams at the same port, which hands on what comes as the way from sender to receiver says: cut, lossy,
-//! late, doubled, out of order, slow, reset, or half-open. One way of a pair knows nothing of the other.
+//! Fault-injecting test network between processes. It proxies UDP datagrams and TCP streams: the other endpoints reach each
+//! endpoint at an address of this process, with the same port for both. The link from sender to receiver determines
+//! whether traffic is blocked, lost, delayed, duplicated, reordered, limited in rate, reset or left half-open. The two
+//! directions of a pair are independent.
 //!
-//! Who sends is told by the address that it sends from: a datagram's own, and for a stream the machine's, so that ends
-//! that speak by streams need an address each (127.0.0.0/8 has enough). All chance comes from a seed, and what passed
-//! is on record with its time, to be judged.
+//! The sender is identified by its address: a datagram's source address, or a stream's source IP address. Endpoints that
+//! use streams therefore need an IP address each; 127.0.0.0/8 has enough. All random numbers come from a seed, and all
+//! traffic is recorded with its time for later checks.
 
+mod link_faults;
 mod streams;
-mod way;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -15,20 +16,20 @@
 
 use badgerledge_reactor::{Happening, Line, Reactor};
 
-use crate::streams::Streams;
-pub use crate::way::{Draw, Way};
+pub use crate::link_faults::{Draw, Way};
+use crate::streams::StreamProxy;
 
-/// An end, by its place among all.
+/// Index of an endpoint.
 pub type End = usize;
 
-/// What happened to a datagram, or to some bytes of a stream.
+/// Whether a datagram, or some bytes of a stream, were forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     Passed,
     Lost,
 }
 
-/// One entry of the record.
+/// A datagram or some bytes of a stream that arrived at the test network.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     pub at: Duration,
@@ -39,167 +40,186 @@
     pub stream: bool,
 }
 
-/// Datagrams on their way at a time at most; more are lost, as in a network that is full.
-const MAX_IN_FLIGHT: usize = 16 * 1024;
+/// The largest number of datagrams in flight; more are dropped, as in a congested network.
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 16 * 1024;
 
-struct Front {
-    line: Line,
-    /// Where others reach it, and where it is itself.
-    reached: SocketAddr,
-    own: SocketAddr,
+struct EndpointProxy {
+    /// The datagram socket at `proxy_address`.
+    connection: Line,
+    /// Where the other endpoints reach this endpoint.
+    proxy_address: SocketAddr,
+    /// Where this endpoint itself listens.
+    endpoint_address: SocketAddr,
 }
 
+/// The test network, with the state of each directed link between its endpoints.
 pub struct Ways {
-    fronts: Vec<Front>,
-    ways: BTreeMap<(End, End), Way>,
-    default_way: Way,
+    proxies: Vec<EndpointProxy>,
+    /// Links that differ from `default_link`, by sender and receiver.
+    links: BTreeMap<(End, End), Way>,
+    default_link: Way,
+    /// Datagrams to be forwarded: due time, sequence number, sender, receiver, contents.
     in_flight: BTreeSet<(Duration, u64, End, End, Vec<u8>)>,
     sequence: u64,
-    streams: Streams,
-    draw: Draw,
+    streams: StreamProxy,
+    rng: Draw,
+    /// All traffic so far.
     pub record: Vec<Entry>,
-    /// Datagrams of nobody on the rig, and for whom.
-    strangers: Vec<(End, Vec<u8>)>,
+    /// Receiver and contents of datagrams from unknown senders.
+    from_unknown_senders: Vec<(End, Vec<u8>)>,
 }
 
 impl Ways {
-    /// Ends that are at these addresses themselves; all ways are as `default_way` until they are set.
+    /// Creates proxies for the endpoints that listen at these addresses. Links are as `default_link` until changed.
     ///
     /// # Errors
-    /// Where an address for an end can't be had.
+    /// Where no proxy address can be bound.
     pub fn new(
-        reactor: &mut Reactor, own: &[SocketAddr], default_way: Way, seed: u64,
+        reactor: &mut Reactor, endpoint_addresses: &[SocketAddr], default_link: Way, seed: u64,
     ) -> std::io::Result<Self> {
-        let (mut fronts, mut streams) = (Vec::new(), Streams::default());
-        for (end, own) in own.iter().enumerate() {
-            // The stream's port first: the kernel keeps the two apart, and one that is free for one may not be for the
-            // other.
-            let (line, reached) = loop {
-                let (listener, at) = streams.listen(reactor, end)?;
-                match reactor.datagrams(at) {
+        let (mut proxies, mut streams) = (Vec::new(), StreamProxy::default());
+        for (endpoint, endpoint_address) in endpoint_addresses.iter().enumerate() {
+            // Binds the TCP port first, and tries another one where the same UDP port is in use: the kernel allocates TCP
+            // and UDP ports independently.
+            let (connection, proxy_address) = loop {
+                let (listener, address) = streams.listen(reactor, endpoint)?;
+                match reactor.datagrams(address) {
                     Ok(bound) => break bound,
                     Err(_) => reactor.close(listener),
                 }
             };
-            fronts.push(Front { line, reached, own: *own });
+            proxies.push(EndpointProxy { connection, proxy_address, endpoint_address: *endpoint_address });
         }
-        let (ways, in_flight, record) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
-        let draw = Draw::new(seed);
+        let (links, in_flight, record) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
+        let rng = Draw::new(seed);
         Ok(Self {
-            fronts,
-            ways,
-            default_way,
+            proxies,
+            links,
+            default_link,
             in_flight,
             sequence: 0,
             streams,
-            draw,
+            rng,
             record,
-            strangers: Vec::new(),
+            from_unknown_senders: Vec::new(),
         })
     }
 
-    /// Where the others reach an end.
-    pub fn reached(&self, end: End) -> SocketAddr {
-        self.fronts[end].reached
+    /// The address at which the other endpoints reach an endpoint.
+    pub fn reached(&self, endpoint: End) -> SocketAddr {
+        self.proxies[endpoint].proxy_address
     }
 
+    /// The number of endpoints.
     pub fn ends(&self) -> usize {
-        self.fronts.len()
+        self.proxies.len()
     }
 
-    /// The way from one end to another, to be changed.
+    /// The link from one endpoint to another, to be changed.
     pub fn way(&mut self, from: End, to: End) -> &mut Way {
-        let default_way = self.default_way;
-        self.ways.entry((from, to)).or_insert(default_way)
+        let default_link = self.default_link;
+        self.links.entry((from, to)).or_insert(default_link)
     }
 
-    /// Changes all ways from some ends to others.
+    /// Changes all links from some endpoints to others.
     pub fn strike(&mut self, from: &[End], to: &[End], change: impl Fn(&mut Way)) {
         for (a, b) in from.iter().flat_map(|a| to.iter().map(|b| (*a, *b))).filter(|(a, b)| a != b) {
             change(self.way(a, b));
         }
     }
 
-    /// All ways are as usual again.
+    /// Resets all links to the default.
     pub fn heal(&mut self) {
-        self.ways.clear();
+        self.links.clear();
     }
 
-    fn current_way(&self, from: End, to: End) -> Way {
-        self.ways.get(&(from, to)).copied().unwrap_or(self.default_way)
+    fn link_between(&self, from: End, to: End) -> Way {
+        self.links.get(&(from, to)).copied().unwrap_or(self.default_link)
     }
 
-    fn end_at(&self, ip: IpAddr) -> Option<End> {
-        let mut found = self.fronts.iter().enumerate().filter(|(_, front)| front.own.ip() == ip);
-        let first = found.next().map(|(end, _)| end);
-        // An address that several share tells nobody.
-        first.filter(|_| found.next().is_none())
+    fn endpoint_with_ip(&self, ip: IpAddr) -> Option<End> {
+        let mut matches =
+            self.proxies.iter().enumerate().filter(|(_, proxy)| proxy.endpoint_address.ip() == ip);
+        let first = matches.next().map(|(endpoint, _)| endpoint);
+        // An IP address of several endpoints does not identify the sender.
+        first.filter(|_| matches.next().is_none())
     }
 
-    /// Takes what a wait brought, if it is of the rig.
-    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &Happening) -> bool {
-        if let Happening::Datagram { line, from, bytes } = happening {
-            let Some(to) = self.fronts.iter().position(|front| front.line == *line) else { return false };
-            match self.fronts.iter().position(|front| front.own == *from) {
-                Some(from) => self.datagram(now, from, to, bytes),
-                None => self.strangers.push((to, bytes.clone())),
+    /// Handles an event of the reactor. Returns whether it concerned this network.
+    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, event: &Happening) -> bool {
+        if let Happening::Datagram { line: connection, from, bytes } = event {
+            let Some(to) = self.proxies.iter().position(|proxy| proxy.connection == *connection) else {
+                return false;
+            };
+            match self.proxies.iter().position(|proxy| proxy.endpoint_address == *from) {
+                Some(from) => self.queue_datagram(now, from, to, bytes),
+                None => self.from_unknown_senders.push((to, bytes.clone())),
             }
             return true;
         }
-        if let Happening::Accepted { line, listener, from } = happening {
-            let Some(to) = self.streams.end_of(*listener) else { return false };
-            let from = self.end_at(from.ip());
-            let way = from.map_or(self.default_way, |from| self.current_way(from, to));
-            self.streams.accepted(reactor, *line, from, (to, self.fronts[to].own), way);
+        if let Happening::Accepted { line: connection, listener, from } = event {
+            let Some(to) = self.streams.endpoint_of(*listener) else { return false };
+            let from = self.endpoint_with_ip(from.ip());
+            let link = from.map_or(self.default_link, |from| self.link_between(from, to));
+            self.streams.handle_accepted(
+                reactor,
+                *connection,
+                from,
+                (to, self.proxies[to].endpoint_address),
+                link,
+            );
             return true;
         }
-        let Self { ways, default_way, streams, record, .. } = self;
-        streams.take(reactor, now, happening, &way_of(ways, *default_way), record)
+        let Self { links, default_link, streams, record, .. } = self;
+        streams.handle_event(reactor, now, event, &link_lookup(links, *default_link), record)
     }
 
-    fn datagram(&mut self, now: Duration, from: End, to: End, bytes: &[u8]) {
-        let way = self.current_way(from, to);
-        let mut note = |delivery| {
+    /// Records a datagram and, unless it is lost, queues one or two copies of it.
+    fn queue_datagram(&mut self, now: Duration, from: End, to: End, bytes: &[u8]) {
+        let link = self.link_between(from, to);
+        let mut add_record = |delivery| {
             self.record.push(Entry { at: now, from, to, bytes: bytes.len(), delivery, stream: false });
         };
-        if way.cut || self.in_flight.len() >= MAX_IN_FLIGHT || self.draw.share() < way.loss {
-            return note(Delivery::Lost);
+        if link.cut || self.in_flight.len() >= MAX_DATAGRAMS_IN_FLIGHT || self.rng.share() < link.loss {
+            return add_record(Delivery::Lost);
         }
-        note(Delivery::Passed);
-        let copies = if self.draw.share() < way.doubled { 2 } else { 1 };
+        add_record(Delivery::Passed);
+        let copies = if self.rng.share() < link.doubled { 2 } else { 1 };
         for _ in 0..copies {
-            // Drawn for each by itself: a later one may come sooner.
-            let at = now + way.late(&mut self.draw);
+            // Each copy has a delay of its own, so that a later datagram may arrive earlier.
+            let due_at = now + link.late(&mut self.rng);
             self.sequence += 1;
-            self.in_flight.insert((at, self.sequence, from, to, bytes.to_vec()));
+            self.in_flight.insert((due_at, self.sequence, from, to, bytes.to_vec()));
         }
     }
 
+    /// The time at which [`Ways::tend`] has to be called next.
     pub fn next_due(&self) -> Option<Duration> {
-        let in_flight = self.in_flight.first().map(|message| message.0);
+        let in_flight = self.in_flight.first().map(|datagram| datagram.0);
         in_flight.into_iter().chain(self.streams.next_due()).min()
     }
 
-    /// Hands on what is due.
+    /// Forwards datagrams and stream bytes that are due.
     pub fn tend(&mut self, reactor: &mut Reactor, now: Duration) {
-        for (to, bytes) in std::mem::take(&mut self.strangers) {
-            reactor.send_to(self.fronts[to].line, self.fronts[to].own, &bytes);
+        for (to, bytes) in std::mem::take(&mut self.from_unknown_senders) {
+            reactor.send_to(self.proxies[to].connection, self.proxies[to].endpoint_address, &bytes);
         }
-        while self.in_flight.first().is_some_and(|message| message.0 <= now) {
+        while self.in_flight.first().is_some_and(|datagram| datagram.0 <= now) {
             let Some((_, _, from, to, bytes)) = self.in_flight.pop_first() else { break };
-            // From the address that stands for the sender, so that the receiver knows whom it is from.
-            reactor.send_to(self.fronts[from].line, self.fronts[to].own, &bytes);
+            // Sent from the sender's proxy address, by which the receiver identifies the sender.
+            reactor.send_to(self.proxies[from].connection, self.proxies[to].endpoint_address, &bytes);
         }
-        let Self { ways, default_way, streams, .. } = self;
-        streams.carry(reactor, now, &way_of(ways, *default_way));
+        let Self { links, default_link, streams, .. } = self;
+        streams.forward_due(reactor, now, &link_lookup(links, *default_link));
     }
 }
 
-/// The way between two ends, of which one may be nobody on the rig.
-fn way_of(
-    ways: &BTreeMap<(End, End), Way>, default_way: Way,
+/// Returns a function that looks up the link between two endpoints. Links from or to an unknown endpoint are as the
+/// default.
+fn link_lookup(
+    links: &BTreeMap<(End, End), Way>, default_link: Way,
 ) -> impl Fn(Option<End>, Option<End>) -> Way + '_ {
-    move |from, to| from.zip(to).and_then(|pair| ways.get(&pair).copied()).unwrap_or(default_way)
+    move |from, to| from.zip(to).and_then(|pair| links.get(&pair).copied()).unwrap_or(default_link)
 }
 
 #[cfg(test)]
