--- a/crates/ways/src/lib.rs
+++ b/crates/ways/src/lib.rs
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use badgerledge_reactor::{Happening, Line, Reactor};
+use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
 pub use crate::link_faults::{Draw, Way};
 use crate::streams::StreamProxy;
--- a/crates/ways/src/streams.rs
+++ b/crates/ways/src/streams.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use badgerledge_reactor::{Bounds, Happening, Line, Reactor};
+use badgerledge_reactor::{Bounds, Reactor, ReactorEvent, SocketId};
 
 use crate::{Delivery, End, Entry, Way};
 
