--- a/crates/accounts/src/accounts.rs
+++ b/crates/accounts/src/accounts.rs
@@ -5,8 +5,8 @@
 use serde_json::{json, Value};
 use thiserror::Error;
 
-use crate::ledger::{Amount, Key, Ledger, Sums};
-use crate::sketch::Heaviest;
+use crate::ledger::{Key, Ledger, Sums, TrafficCounters};
+use crate::sketch::TopTitles;
 
 /// The writer of a ledger: a controller, and the number of the account that it opened when it found none stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
     #[error("malformed accounts: {0}")]
     Malformed(String),
     #[error("accounts of version {0} are not supported by this program")]
-    Newer(u64),
+    UnsupportedVersion(u64),
     #[error("{0} ledgers, of which at most {MAX_LEDGERS} are accepted")]
     TooMany(usize),
 }
@@ -54,61 +54,61 @@
     /// Merges other ledgers into these. The order and repeated merges make no difference.
     pub fn merge(&mut self, others: &Accounts) {
         for (source, ledger) in &others.ledgers {
-            self.ledgers.entry(*source).or_default().join(ledger);
+            self.ledgers.entry(*source).or_default().merge(ledger);
         }
     }
 
     /// Sums over all controllers since they opened their accounts.
-    pub fn whole(&self) -> BTreeMap<Key, Amount> {
-        add_up(self.ledgers.values().map(|ledger| &ledger.whole))
+    pub fn totals(&self) -> BTreeMap<Key, TrafficCounters> {
+        add_up(self.ledgers.values().map(|ledger| &ledger.total))
     }
 
     /// Sums over all controllers for each retained window, by the window's number since 1970-01-01.
-    pub fn windows(&self) -> BTreeMap<u64, BTreeMap<Key, Amount>> {
+    pub fn windows(&self) -> BTreeMap<u64, BTreeMap<Key, TrafficCounters>> {
         let mut windows: BTreeMap<u64, Sums> = BTreeMap::new();
         for (window, sums) in self.ledgers.values().flat_map(|ledger| &ledger.windows) {
             let total = windows.entry(*window).or_default();
-            sums.iter().for_each(|(key, amount)| total.entry(key.clone()).or_default().add(amount));
+            sums.iter().for_each(|(key, counters)| total.entry(key.clone()).or_default().add(counters));
         }
         windows
     }
 
     /// The titles with the most bytes between zones.
-    pub fn heaviest(&self) -> Heaviest {
-        self.ledgers.values().fold(Heaviest::default(), |all, ledger| all.joined(&ledger.titles))
+    pub fn top_titles(&self) -> TopTitles {
+        self.ledgers.values().fold(TopTitles::default(), |all, ledger| all.merged(&ledger.titles))
     }
 
     /// Encodes all ledgers as a JSON object.
-    pub fn write(&self) -> String {
-        self.write_last(usize::MAX)
+    pub fn encode(&self) -> String {
+        self.encode_recent(usize::MAX)
     }
 
     /// Encodes all ledgers with only the newest `window_count` windows. Merged into an older complete text, it gives the same
     /// result as a complete one.
-    pub fn write_last(&self, window_count: usize) -> String {
+    pub fn encode_recent(&self, window_count: usize) -> String {
         let sums = |sums: &Sums| -> Vec<Value> {
-            let entry = |(key, amount): (&Key, &Amount)| json!({"key": key, "amount": amount});
+            let entry = |(key, counters): (&Key, &TrafficCounters)| json!({"key": key, "amount": counters});
             sums.iter().map(entry).collect()
         };
         let ledgers = self.ledgers.iter().map(|(source, ledger)| {
             let windows = ledger.windows.iter().rev().take(window_count).rev();
             let windows = windows.map(|(window, window_sums)| json!({"window": window, "sums": sums(window_sums)}));
             json!({"controller": source.controller, "account": source.account, "version": ledger.version,
-                "whole": sums(&ledger.whole), "windows": windows.collect::<Vec<_>>(), "titles": ledger.titles})
+                "whole": sums(&ledger.total), "windows": windows.collect::<Vec<_>>(), "titles": ledger.titles})
         });
         json!({"accounts": 1, "ledgers": ledgers.collect::<Vec<_>>()}).to_string()
     }
 
-    /// Decodes the output of [`Accounts::write`] or [`Accounts::write_last`].
+    /// Decodes the output of [`Accounts::encode`] or [`Accounts::encode_recent`].
     ///
     /// # Errors
     /// Where any part is malformed, of another version or too large; no ledger is returned then.
-    pub fn read(text: &str) -> Result<Self, AccountsFault> {
+    pub fn decode(text: &str) -> Result<Self, AccountsFault> {
         let document: Value =
             serde_json::from_str(text).map_err(|e| AccountsFault::Malformed(e.to_string()))?;
         match document["accounts"].as_u64() {
             Some(1) => {}
-            Some(version) => return Err(AccountsFault::Newer(version)),
+            Some(version) => return Err(AccountsFault::UnsupportedVersion(version)),
             None => return Err(missing("accounts")),
         }
         let ledgers = document["ledgers"].as_array().ok_or_else(|| missing("ledgers"))?;
@@ -122,7 +122,7 @@
             let account = encoded["account"].as_u64().ok_or_else(|| missing("account"))?;
             let mut ledger = Ledger {
                 version: encoded["version"].as_u64().ok_or_else(|| missing("version"))?,
-                whole: parse_sums(&encoded["whole"])?,
+                total: parse_sums(&encoded["whole"])?,
                 windows: BTreeMap::new(),
                 titles: serde_json::from_value(encoded["titles"].clone())
                     .map_err(|e| AccountsFault::Malformed(e.to_string()))?,
@@ -140,8 +140,8 @@
 
 fn add_up<'a>(ledgers: impl Iterator<Item = &'a Sums>) -> Sums {
     let mut sums = Sums::new();
-    for (key, amount) in ledgers.flatten() {
-        sums.entry(key.clone()).or_default().add(amount);
+    for (key, counters) in ledgers.flatten() {
+        sums.entry(key.clone()).or_default().add(counters);
     }
     sums
 }
@@ -151,8 +151,8 @@
     let mut sums = Sums::new();
     for entry in encoded.as_array().ok_or_else(|| missing("sums"))? {
         let key: Key = serde_json::from_value(entry["key"].clone()).map_err(malformed)?;
-        let amount: Amount = serde_json::from_value(entry["amount"].clone()).map_err(malformed)?;
-        sums.insert(key, amount);
+        let counters: TrafficCounters = serde_json::from_value(entry["amount"].clone()).map_err(malformed)?;
+        sums.insert(key, counters);
     }
     Ok(sums)
 }
--- a/crates/accounts/src/seal.rs
+++ b/crates/accounts/src/file_format.rs
@@ -2,45 +2,47 @@
 
 use thiserror::Error;
 
-/// Why framed bytes are rejected.
+/// Why the bytes of a file are rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum SealFault {
+pub enum FileFault {
     #[error("the header of an accounts file is missing")]
-    NoSeal,
+    MissingHeader,
     #[error("truncated: {found} bytes, where the header says {expected}")]
-    Torn { found: usize, expected: usize },
+    Truncated { found: usize, expected: usize },
     #[error("the checksum does not match the contents")]
-    Changed,
+    ChecksumMismatch,
 }
 
 /// First field of the header.
 const MAGIC: &str = "badgerledge-accounts";
 
 /// The text after a header line of the magic word, the length in bytes and the CRC-32 (IEEE 802.3) of the text.
-pub fn seal(text: &str) -> Vec<u8> {
+pub fn encode_file(text: &str) -> Vec<u8> {
     let checksum = crc32fast::hash(text.as_bytes());
     format!("{MAGIC} {} {checksum:08x}\n{text}", text.len()).into_bytes()
 }
 
-/// Returns the text of framed bytes.
+/// Returns the text that a file contains.
 ///
 /// # Errors
 /// Where the header is missing, or the text is truncated or corrupted.
-pub fn open(bytes: &[u8]) -> Result<&str, SealFault> {
-    let end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SealFault::NoSeal)?;
+pub fn decode_file(bytes: &[u8]) -> Result<&str, FileFault> {
+    let end = bytes.iter().position(|byte| *byte == b'\n').ok_or(FileFault::MissingHeader)?;
     let (header, text) = (&bytes[..end], &bytes[end + 1..]);
-    let mut fields = std::str::from_utf8(header).map_err(|_| SealFault::NoSeal)?.split(' ');
+    let mut fields = std::str::from_utf8(header).map_err(|_| FileFault::MissingHeader)?.split(' ');
     if fields.next() != Some(MAGIC) {
-        return Err(SealFault::NoSeal);
+        return Err(FileFault::MissingHeader);
     }
-    let expected = fields.next().and_then(|length| length.parse().ok()).ok_or(SealFault::NoSeal)?;
-    let checksum =
-        fields.next().and_then(|checksum| u32::from_str_radix(checksum, 16).ok()).ok_or(SealFault::NoSeal)?;
+    let expected = fields.next().and_then(|length| length.parse().ok()).ok_or(FileFault::MissingHeader)?;
+    let checksum = fields
+        .next()
+        .and_then(|checksum| u32::from_str_radix(checksum, 16).ok())
+        .ok_or(FileFault::MissingHeader)?;
     if text.len() != expected {
-        return Err(SealFault::Torn { found: text.len(), expected });
+        return Err(FileFault::Truncated { found: text.len(), expected });
     }
     if crc32fast::hash(text) != checksum {
-        return Err(SealFault::Changed);
+        return Err(FileFault::ChecksumMismatch);
     }
-    std::str::from_utf8(text).map_err(|_| SealFault::Changed)
+    std::str::from_utf8(text).map_err(|_| FileFault::ChecksumMismatch)
 }
--- a/crates/accounts/src/ledger.rs
+++ b/crates/accounts/src/ledger.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::sketch::Heaviest;
+use crate::sketch::TopTitles;
 
 /// Identifies a counter: the streamer's zone, the controller's zone and the room type. Where both zones are the same, the
 /// traffic stayed within the zone.
@@ -18,14 +18,14 @@
 
 impl Key {
     /// Whether the traffic is between two zones.
-    pub fn crosses(&self) -> bool {
+    pub fn crosses_zones(&self) -> bool {
         self.from != self.to
     }
 }
 
 /// Counters of one key. Each only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Amount {
+pub struct TrafficCounters {
     pub media_bytes: u64,
     pub control_bytes: u64,
     pub subscription_ms: u64,
@@ -36,23 +36,23 @@
     pub unseen_error: u64,
 }
 
-impl Amount {
+impl TrafficCounters {
     /// All bytes, including the estimate.
     pub fn bytes(&self) -> u64 {
         self.media_bytes + self.control_bytes + self.unseen_bytes
     }
 
     /// Adds each counter of `increment`.
-    pub fn add(&mut self, increment: &Amount) {
+    pub fn add(&mut self, increment: &TrafficCounters) {
         self.combine(increment, |a, b| a + b);
     }
 
     /// Takes the maximum of each counter.
-    pub fn join(&mut self, other: &Amount) {
+    pub fn merge(&mut self, other: &TrafficCounters) {
         self.combine(other, u64::max);
     }
 
-    fn combine(&mut self, other: &Amount, function: impl Fn(u64, u64) -> u64) {
+    fn combine(&mut self, other: &TrafficCounters, function: impl Fn(u64, u64) -> u64) {
         self.media_bytes = function(self.media_bytes, other.media_bytes);
         self.control_bytes = function(self.control_bytes, other.control_bytes);
         self.subscription_ms = function(self.subscription_ms, other.subscription_ms);
@@ -63,36 +63,36 @@
 }
 
 /// The length of a time window.
-pub const WINDOW: Duration = Duration::from_secs(10);
+pub const WINDOW_LENGTH: Duration = Duration::from_secs(10);
 /// The number of windows that are retained: two hours. Older traffic is only in the total.
-pub const WINDOWS: usize = 720;
+pub const MAX_WINDOWS: usize = 720;
 
-pub(crate) type Sums = BTreeMap<Key, Amount>;
+pub(crate) type Sums = BTreeMap<Key, TrafficCounters>;
 
 /// One controller's counters in total and by window of wall-clock time, and its titles with the most bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     pub(crate) version: u64,
-    pub(crate) whole: Sums,
+    pub(crate) total: Sums,
     pub(crate) windows: BTreeMap<u64, Sums>,
-    pub(crate) titles: Heaviest,
+    pub(crate) titles: TopTitles,
 }
 
 impl Ledger {
     /// Counts the traffic since the previous call. `unix_time` is the wall-clock time since 1970-01-01.
-    pub fn count(&mut self, unix_time: Duration, key: &Key, title: u64, increment: &Amount) {
+    pub fn count(&mut self, unix_time: Duration, key: &Key, title: u64, increment: &TrafficCounters) {
         self.version += 1;
-        add(&mut self.whole, key, increment);
-        let window = unix_time.as_secs() / WINDOW.as_secs();
+        add(&mut self.total, key, increment);
+        let window = unix_time.as_secs() / WINDOW_LENGTH.as_secs();
         add(self.windows.entry(window).or_default(), key, increment);
         self.drop_old_windows();
-        if key.crosses() && increment.bytes() > 0 {
+        if key.crosses_zones() && increment.bytes() > 0 {
             self.titles.add(title, increment.bytes());
         }
     }
 
     pub(crate) fn drop_old_windows(&mut self) {
-        while self.windows.len() > WINDOWS {
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -101,23 +101,28 @@
     /// to `store_interval` after the last write. Half of that is both the estimate and its error.
     pub fn estimate_unseen(&mut self, unix_time: Duration, store_interval: Duration) {
         let last_window = self.windows.last_key_value().map(|(_, sums)| sums.clone()).unwrap_or_default();
-        let fraction = store_interval.as_secs_f64() / WINDOW.as_secs_f64() / 2.0;
-        for (key, amount) in last_window {
-            let half = (amount.media_bytes as f64 * fraction) as u64;
-            let unseen = Amount { unseen_bytes: half, unseen_error: half, ..Amount::default() };
+        let fraction = store_interval.as_secs_f64() / WINDOW_LENGTH.as_secs_f64() / 2.0;
+        for (key, counters) in last_window {
+            let half = (counters.media_bytes as f64 * fraction) as u64;
+            let unseen =
+                TrafficCounters { unseen_bytes: half, unseen_error: half, ..TrafficCounters::default() };
             // Counted for no title: the titles of the lost traffic are not known.
             self.version += 1;
-            add(&mut self.whole, &key, &unseen);
-            add(self.windows.entry(unix_time.as_secs() / WINDOW.as_secs()).or_default(), &key, &unseen);
+            add(&mut self.total, &key, &unseen);
+            add(
+                self.windows.entry(unix_time.as_secs() / WINDOW_LENGTH.as_secs()).or_default(),
+                &key,
+                &unseen,
+            );
         }
         self.drop_old_windows();
     }
 
     /// Takes the maximum of each counter, and the titles of the later version.
-    pub fn join(&mut self, other: &Self) {
-        join(&mut self.whole, &other.whole);
+    pub fn merge(&mut self, other: &Self) {
+        merge_sums(&mut self.total, &other.total);
         for (window, sums) in &other.windows {
-            join(self.windows.entry(*window).or_default(), sums);
+            merge_sums(self.windows.entry(*window).or_default(), sums);
         }
         self.drop_old_windows();
         let other_order = (other.version, other.titles.titles().map(|title| title.1).sum::<u64>());
@@ -128,7 +133,7 @@
     }
 }
 
-fn add(sums: &mut Sums, key: &Key, increment: &Amount) {
+fn add(sums: &mut Sums, key: &Key, increment: &TrafficCounters) {
     match sums.get_mut(key) {
         Some(sum) => sum.add(increment),
         None => {
@@ -137,8 +142,8 @@
     }
 }
 
-fn join(sums: &mut Sums, other: &Sums) {
-    for (key, amount) in other {
-        sums.entry(key.clone()).or_default().join(amount);
+fn merge_sums(sums: &mut Sums, other: &Sums) {
+    for (key, counters) in other {
+        sums.entry(key.clone()).or_default().merge(counters);
     }
 }
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -7,13 +7,13 @@
 //! ledger that it stored; what it counted after the last write is lost, and is reported as an estimate with its error.
 
 mod accounts;
+mod file_format;
 mod ledger;
-mod seal;
 mod sketch;
 #[cfg(test)]
 mod tests;
 
 pub use accounts::{Accounts, Source};
-pub use ledger::{Amount, Key, Ledger, WINDOW, WINDOWS};
-pub use seal::{open, seal, SealFault};
-pub use sketch::Heaviest;
+pub use file_format::{decode_file, encode_file, FileFault};
+pub use ledger::{Key, Ledger, TrafficCounters, MAX_WINDOWS, WINDOW_LENGTH};
+pub use sketch::TopTitles;
--- a/crates/accounts/src/sketch.rs
+++ b/crates/accounts/src/sketch.rs
@@ -8,7 +8,7 @@
 /// weight is never below the true one, and exceeds it by at most the error that is stored with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u64, u64, u64)>", into = "Vec<(u64, u64, u64)>")]
-pub struct Heaviest {
+pub struct TopTitles {
     /// Weight and error by title.
     titles: BTreeMap<u64, (u64, u64)>,
     /// Weight and title, the lightest first.
@@ -18,7 +18,7 @@
 /// The number of tracked titles. Any title with more than 1/256 of all traffic is guaranteed to be among them.
 const CAPACITY: usize = 256;
 
-impl Heaviest {
+impl TopTitles {
     /// Adds weight to a title.
     pub fn add(&mut self, title: u64, weight: u64) {
         if let Some((old_weight, error)) = self.titles.get(&title).copied() {
@@ -49,7 +49,7 @@
     }
 
     /// Merges two sketches. Each title has the sum of its weights and the sum of its errors.
-    pub fn joined(&self, other: &Self) -> Self {
+    pub fn merged(&self, other: &Self) -> Self {
         let mut sums: Vec<(u64, u64, u64)> = Vec::new();
         let titles: BTreeSet<u64> = self.titles.keys().chain(other.titles.keys()).copied().collect();
         for title in titles {
@@ -71,7 +71,7 @@
     }
 }
 
-impl From<Vec<(u64, u64, u64)>> for Heaviest {
+impl From<Vec<(u64, u64, u64)>> for TopTitles {
     fn from(titles: Vec<(u64, u64, u64)>) -> Self {
         let mut sketch = Self::default();
         for (title, weight, error) in titles.into_iter().take(CAPACITY) {
@@ -81,8 +81,8 @@
     }
 }
 
-impl From<Heaviest> for Vec<(u64, u64, u64)> {
-    fn from(sketch: Heaviest) -> Self {
+impl From<TopTitles> for Vec<(u64, u64, u64)> {
+    fn from(sketch: TopTitles) -> Self {
         sketch.titles().collect()
     }
 }
--- a/crates/accounts/src/tests.rs
+++ b/crates/accounts/src/tests.rs
@@ -6,7 +6,10 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-use crate::{open, seal, Accounts, Amount, Heaviest, Key, Ledger, SealFault, Source, WINDOWS};
+use crate::{
+    decode_file, encode_file, Accounts, FileFault, Key, Ledger, Source, TopTitles, TrafficCounters,
+    MAX_WINDOWS,
+};
 
 /// Snapshots of the ledgers of three controllers at different times; the last one is complete.
 #[derive(Clone, Debug)]
@@ -17,13 +20,13 @@
     Key { from: zone(n.is_multiple_of(2)), to: zone(n % 4 < 2), room_type: format!("type {}", n % 3) }
 }
 
-fn amount(n: u8) -> Amount {
-    Amount {
+fn counters(n: u8) -> TrafficCounters {
+    TrafficCounters {
         media_bytes: u64::from(n) * 100,
         control_bytes: 16,
         subscription_ms: 40,
         set_ups: 1,
-        ..Amount::default()
+        ..TrafficCounters::default()
     }
 }
 
@@ -34,7 +37,7 @@
         for at in 0..30u64 {
             let n = u8::arbitrary(g);
             let source = Source { controller: u32::from(n % 3), account: 7 };
-            truth.ledger(source).count(Duration::from_secs(at * 7), &key(n), u64::from(n % 16), &amount(n));
+            truth.ledger(source).count(Duration::from_secs(at * 7), &key(n), u64::from(n % 16), &counters(n));
             // A snapshot is one controller's ledger, or all ledgers.
             let mut single = Accounts::default();
             *single.ledger(source) = truth.ledger(source).clone();
@@ -64,7 +67,7 @@
         let mut result = merged(shuffled.chain([&truth]).chain(snapshots.0.iter().rev()));
         let once = result.clone();
         result.merge(&once);
-        result == truth && result.whole() == truth.whole()
+        result == truth && result.totals() == truth.totals()
     }
     check_property(same_sums);
 }
@@ -85,48 +88,57 @@
 fn files_round_trip_and_truncated_or_corrupted_ones_are_rejected() {
     fn round_trips(snapshots: Snapshots, cut: Vec<u8>) -> bool {
         let truth = snapshots.0.last().unwrap();
-        let text = truth.write();
-        let sealed = seal(&text);
-        let intact = open(&sealed) == Ok(text.as_str()) && Accounts::read(&text).as_ref() == Ok(truth);
-        let at = cut.iter().map(|n| usize::from(*n) * 7).sum::<usize>() % sealed.len();
-        let mut corrupted = sealed.clone();
+        let text = truth.encode();
+        let file = encode_file(&text);
+        let intact = decode_file(&file) == Ok(text.as_str()) && Accounts::decode(&text).as_ref() == Ok(truth);
+        let at = cut.iter().map(|n| usize::from(*n) * 7).sum::<usize>() % file.len();
+        let mut corrupted = file.clone();
         corrupted[at] ^= 0x20;
-        intact && open(&sealed[..at]).is_err() && open(&corrupted).is_err()
+        intact && decode_file(&file[..at]).is_err() && decode_file(&corrupted).is_err()
     }
     check_property(round_trips);
-    assert_eq!(open(b""), Err(SealFault::NoSeal));
-    assert!(Accounts::read("{\"accounts\":2,\"ledgers\":[]}").unwrap_err().to_string().contains("version 2"));
-    assert!(Accounts::read("{\"accounts\":1}").unwrap_err().to_string().contains("ledgers is missing"));
+    assert_eq!(decode_file(b""), Err(FileFault::MissingHeader));
+    assert!(Accounts::decode("{\"accounts\":2,\"ledgers\":[]}")
+        .unwrap_err()
+        .to_string()
+        .contains("version 2"));
+    assert!(Accounts::decode("{\"accounts\":1}").unwrap_err().to_string().contains("ledgers is missing"));
 }
 
 #[test]
 fn windows_are_bounded_and_the_total_counts_all() {
     let mut ledger = Ledger::default();
-    for at in 0..WINDOWS as u64 + 50 {
-        ledger.count(Duration::from_secs(at * 10), &key(0), 1, &amount(1));
+    for at in 0..MAX_WINDOWS as u64 + 50 {
+        ledger.count(Duration::from_secs(at * 10), &key(0), 1, &counters(1));
     }
-    assert_eq!(ledger.windows.len(), WINDOWS);
-    assert_eq!(ledger.whole[&key(0)].set_ups, WINDOWS as u64 + 50);
+    assert_eq!(ledger.windows.len(), MAX_WINDOWS);
+    assert_eq!(ledger.total[&key(0)].set_ups, MAX_WINDOWS as u64 + 50);
 }
 
 #[test]
 fn lost_traffic_is_estimated_from_the_last_rate() {
     let mut ledger = Ledger::default();
-    ledger.count(Duration::from_secs(5), &key(0), 1, &Amount { media_bytes: 10_000, ..Amount::default() });
+    ledger.count(
+        Duration::from_secs(5),
+        &key(0),
+        1,
+        &TrafficCounters { media_bytes: 10_000, ..TrafficCounters::default() },
+    );
     ledger.estimate_unseen(Duration::from_secs(30), Duration::from_secs(1));
-    let amount = ledger.whole[&key(0)];
+    let counters = ledger.total[&key(0)];
     assert_eq!(
-        (amount.unseen_bytes, amount.unseen_error),
+        (counters.unseen_bytes, counters.unseen_error),
         (500, 500),
         "half a second of 1,000 bytes a second"
     );
-    assert_eq!(amount.bytes(), 10_500);
+    assert_eq!(counters.bytes(), 10_500);
 }
 
 #[test]
 fn the_sketch_never_underestimates_and_its_error_bound_holds() {
     let mut gen = Gen::from_size_and_seed(100, 9);
-    let (mut sketches, mut exact) = ([Heaviest::default(), Heaviest::default()], BTreeMap::<u64, u64>::new());
+    let (mut sketches, mut exact) =
+        ([TopTitles::default(), TopTitles::default()], BTreeMap::<u64, u64>::new());
     for n in 0..60_000u64 {
         // Half of the traffic is on 20 titles, the rest on thousands.
         let sample = u64::from(u16::arbitrary(&mut gen));
@@ -135,7 +147,7 @@
         sketches[usize::from(n % 3 == 0)].add(title, weight);
         *exact.entry(title).or_default() += weight;
     }
-    let joined = sketches[0].joined(&sketches[1]);
+    let joined = sketches[0].merged(&sketches[1]);
     for (title, weight, error) in joined.titles() {
         let truth = exact[&title];
         assert!(
--- a/crates/bench/src/accounting.rs
+++ b/crates/bench/src/accounting.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use badgerledge_accounts::{Amount, Key};
+use badgerledge_accounts::{Key, TrafficCounters};
 use badgerledge_controller::accounting::{Accounting, STORE_INTERVAL};
 
 /// Periods measured: a minute of a controller's life, a few windows long.
@@ -27,7 +27,12 @@
 fn period(folder: Option<&Path>, playing: u64) -> Duration {
     let mut accounting = Accounting::new(0, folder, 1);
     let keys: Vec<Key> = (0..playing).map(key).collect();
-    let one = Amount { media_bytes: 35_000, control_bytes: 60, subscription_ms: 500, ..Amount::default() };
+    let one = TrafficCounters {
+        media_bytes: 35_000,
+        control_bytes: 60,
+        subscription_ms: 500,
+        ..TrafficCounters::default()
+    };
     let begun = Instant::now();
     for n in 0..PERIODS {
         for (at, key) in keys.iter().enumerate() {
--- a/crates/bench/src/capacity/roles/accounts.rs
+++ b/crates/bench/src/capacity/roles/accounts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_accounts::{Accounts, Amount, Key, Source, WINDOW, WINDOWS as WINDOWS_KEPT};
+use badgerledge_accounts::{Accounts, Key, Source, TrafficCounters, MAX_WINDOWS, WINDOW_LENGTH};
 use badgerledge_controller::accounting::{Accounting, STORE_INTERVAL};
 
 use super::{Role, CONNECTIONS_EACH, CONTROLLERS, CORE_SHARE, MEMORY_BYTES};
@@ -60,7 +60,7 @@
     }
 }
 
-const ONE: Amount = Amount {
+const ONE: TrafficCounters = TrafficCounters {
     media_bytes: 35_000,
     control_bytes: 60,
     subscription_ms: 500,
@@ -107,11 +107,11 @@
 
 /// All windows that a controller keeps: they are written as a whole once in each window.
 fn in_full(keys: u64) -> Vec<Reading> {
-    let (accounts, live) = with_live_bytes(|| ledger_of(0, WINDOWS_KEPT as u64, keys));
+    let (accounts, live) = with_live_bytes(|| ledger_of(0, MAX_WINDOWS as u64, keys));
     let mut page = String::new();
-    let written_ms = processor_ms(|| page = accounts.write());
-    let read_ms = processor_ms(|| drop(std::hint::black_box(Accounts::read(&page))));
-    let share = written_ms / 1000.0 / WINDOW.as_secs_f64();
+    let written_ms = processor_ms(|| page = accounts.encode());
+    let read_ms = processor_ms(|| drop(std::hint::black_box(Accounts::decode(&page))));
+    let share = written_ms / 1000.0 / WINDOW_LENGTH.as_secs_f64();
     vec![
         Reading::new("memory", "bytes", live).limited(MEMORY_BYTES),
         Reading::new("bytes of the page", "bytes", page.len() as f64),
@@ -122,21 +122,22 @@
 }
 
 fn merging(controllers: u64) -> Result<Vec<Reading>> {
-    let pages: Vec<String> =
-        (0..controllers as u32).map(|controller| ledger_of(controller, WINDOWS, PAGE_KEYS).write()).collect();
+    let pages: Vec<String> = (0..controllers as u32)
+        .map(|controller| ledger_of(controller, WINDOWS, PAGE_KEYS).encode())
+        .collect();
     let page_bytes = pages.iter().map(String::len).sum::<usize>() as f64;
     let mut read_ms = 0.0;
     let (merged, live) = with_live_bytes(|| {
         let mut merged = Accounts::default();
         read_ms = processor_ms(|| {
-            pages.iter().filter_map(|page| Accounts::read(page).ok()).for_each(|one| merged.merge(&one));
+            pages.iter().filter_map(|page| Accounts::decode(page).ok()).for_each(|one| merged.merge(&one));
         });
         merged
     });
     let summed_ms = processor_ms(|| {
-        std::hint::black_box((merged.whole(), merged.windows().len()));
+        std::hint::black_box((merged.totals(), merged.windows().len()));
     });
-    let in_full = WINDOWS_KEPT as f64 / WINDOWS as f64;
+    let in_full = MAX_WINDOWS as f64 / WINDOWS as f64;
     Ok(vec![
         Reading::new("pages of 12 windows", "bytes", page_bytes),
         Reading::new("reading and merging", "ms of a core", read_ms),
--- a/crates/bench/src/capacity/roles/lending.rs
+++ b/crates/bench/src/capacity/roles/lending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerledge_crossing::{Lending, MESSAGE_BYTES};
+use badgerledge_crossing::{RateLeases, MESSAGE_BYTES};
 
 use super::{Role, BYTES_A_SECOND, CONTROLLERS, CORE_SHARE};
 use crate::capacity::measure::{processor_ms, Reading};
@@ -28,8 +28,8 @@
 fn readings(size: u64, seed: u64) -> Result<Vec<Reading>> {
     let controllers = size as u32;
     let mut now = Duration::from_secs(1000);
-    let make = |me| Lending::new(me, controllers, SHARE, now, seed ^ u64::from(me));
-    let mut all: Vec<Lending> = (0..controllers).map(make).collect();
+    let make = |me| RateLeases::new(me, controllers, SHARE, now, seed ^ u64::from(me));
+    let mut all: Vec<RateLeases> = (0..controllers).map(make).collect();
     let (mut words, mut spent_ms) = (0u64, 0.0);
     let periods = SECONDS * 5;
     for _ in 0..periods {
@@ -37,7 +37,7 @@
         spent_ms += processor_ms(|| words += turn(&mut all, now));
     }
     let asked = now;
-    let wanting: Vec<f64> = all.iter_mut().step_by(WANTING).map(|one| one.owned(asked)).collect();
+    let wanting: Vec<f64> = all.iter_mut().step_by(WANTING).map(|one| one.available_rate(asked)).collect();
     let owned = wanting.iter().sum::<f64>() / wanting.len() as f64 / SHARE;
     let controller_seconds = size as f64 * f64::from(SECONDS);
     Ok(vec![
@@ -54,16 +54,16 @@
 }
 
 /// One period of all; the words that went.
-fn turn(all: &mut [Lending], now: Duration) -> u64 {
+fn turn(all: &mut [RateLeases], now: Duration) -> u64 {
     let mut words = Vec::new();
     for (me, lending) in all.iter_mut().enumerate() {
         let demand = if me % WANTING == 0 { 3.0 * SHARE } else { 0.2 * SHARE };
-        lending.request(now, demand, |to, word| words.push((me as u32, to, word)));
+        lending.request_leases(now, demand, |to, word| words.push((me as u32, to, word)));
     }
     let mut count = 0;
     while let Some((from, to, word)) = words.pop() {
         count += 1;
-        if let Some(answer) = all[to as usize].handle(now, from, word) {
+        if let Some(answer) = all[to as usize].handle_message(now, from, word) {
             words.push((to, from, answer));
         }
     }
--- a/crates/bench/src/changes.rs
+++ b/crates/bench/src/changes.rs
@@ -56,7 +56,7 @@
                 ..SubscriptionRequest::default()
             };
             std::hint::black_box(outcome(
-                &Subscription { asked, stage: Stage::Plays { cell: Some(job % 40) } },
+                &Subscription { request: asked, stage: Stage::Playing { cell: Some(job % 40) } },
                 configuration,
             ));
         }
--- a/crates/bench/src/titles.rs
+++ b/crates/bench/src/titles.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use anyhow::Result;
-use badgerledge_accounts::Heaviest;
+use badgerledge_accounts::TopTitles;
 
 use crate::counted;
 
@@ -30,7 +30,7 @@
     show("plain map", begun, plain.len(), counted::bytes() - bytes);
     let bytes = counted::bytes();
     let begun = Instant::now();
-    let mut sketch = Heaviest::default();
+    let mut sketch = TopTitles::default();
     titles(among).for_each(|(title, weight)| sketch.add(title, weight));
     show("sketch", begun, sketch.titles().count(), counted::bytes() - bytes);
     let mut truth: Vec<(u64, u64)> = plain.iter().map(|(title, weight)| (*weight, *title)).collect();
--- a/crates/changes/src/move_schedule.rs
+++ b/crates/changes/src/move_schedule.rs
@@ -18,7 +18,7 @@
     /// Schedules moves in the given order, evenly over the interval after `now`, so that the holders of the titles receive
     /// SETUPs at a constant rate. The caller shuffles the order; otherwise the same subscriptions would move first at every
     /// change. A subscription that is already scheduled keeps its time if that is the earlier one.
-    pub fn spread(&mut self, now: Duration, interval: Duration, moves: &[(JobId, StreamerId)]) {
+    pub fn schedule_evenly(&mut self, now: Duration, interval: Duration, moves: &[(JobId, StreamerId)]) {
         let count = moves.len().max(1) as u32;
         for (index, (job, streamer)) in moves.iter().enumerate() {
             let due_at = now + interval * index as u32 / count;
--- a/crates/changes/src/numbers.rs
+++ b/crates/changes/src/stable_numbers.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// Where a zone, a streamer kind or a rung would change the number by which streamers and the list identify it.
-pub fn arrange(current: &Shared, mut new: Shared) -> Result<Shared, String> {
+pub fn preserve_numbers(current: &Shared, mut new: Shared) -> Result<Shared, String> {
     check_names("zone", &current.fleet.zones, &new.fleet.zones)?;
     check_names("kind", &current.fleet.kinds, &new.fleet.kinds)?;
     check_rungs(&current.ladder.rates_kb, &new.ladder.rates_kb)?;
--- a/crates/changes/src/tests.rs
+++ b/crates/changes/src/tests.rs
@@ -8,7 +8,7 @@
 use badgerledge_settings::Sheet;
 use quickcheck::{Gen, QuickCheck};
 
-use crate::{arrange, outcome, Action, Configuration, MoveSchedule, Stage, Subscription};
+use crate::{outcome, preserve_numbers, Action, Configuration, MoveSchedule, Stage, Subscription};
 
 const TEXT: &str = "\
 [fleet]
@@ -44,15 +44,15 @@
 }
 
 fn subscription(stage: Stage) -> Subscription {
-    let asked = SubscriptionRequest { title: 7, copies: 2, max_rung: 9, ..SubscriptionRequest::default() };
-    Subscription { asked, stage }
+    let request = SubscriptionRequest { title: 7, copies: 2, max_rung: 9, ..SubscriptionRequest::default() };
+    Subscription { request, stage }
 }
 
 const STAGES: [Stage; 4] = [
-    Stage::Waits,
-    Stage::Joins { cell: Some(1), sent: false },
-    Stage::Joins { cell: Some(1), sent: true },
-    Stage::Plays { cell: Some(1) },
+    Stage::Waiting,
+    Stage::Joining { cell: Some(1), setup_sent: false },
+    Stage::Joining { cell: Some(1), setup_sent: true },
+    Stage::Playing { cell: Some(1) },
 ];
 
 fn actions(settings: &Shared, text: &str) -> [Action; 4] {
@@ -64,11 +64,11 @@
 
 #[test]
 fn unaffected_subscriptions_continue() {
-    assert_eq!(actions(&shared(TEXT), TITLE), [Action::GoesOn; 4]);
+    assert_eq!(actions(&shared(TEXT), TITLE), [Action::Continue; 4]);
     let more = TEXT.replace("zones = north, south", "zones = north, west") + "[room_type new]\n";
     let more = more + "join_objective_ms = 1\nclient_timeout_ms = 2\nbenefit = 1\n";
-    let settings = arrange(&shared(TEXT), shared(&more)).unwrap();
-    assert_eq!(actions(&settings, TITLE), [Action::GoesOn; 4]);
+    let settings = preserve_numbers(&shared(TEXT), shared(&more)).unwrap();
+    assert_eq!(actions(&settings, TITLE), [Action::Continue; 4]);
 }
 
 /// A title is moved to other cells: waiting subscriptions are placed there, joins without a SETUP are withdrawn, and
@@ -76,32 +76,33 @@
 #[test]
 fn a_title_moved_to_other_cells() {
     let moved = TITLE.replace("first_cell = 0", "first_cell = 3");
-    let expected = [Action::GoesOn, Action::Withdrawn, Action::MovesOn, Action::MovesOn];
+    let expected = [Action::Continue, Action::WithdrawJoin, Action::Move, Action::Move];
     assert_eq!(actions(&shared(TEXT), &moved), expected);
     let titles = titles(&moved);
     let settings = shared(TEXT);
     let placement =
-        outcome(&subscription(Stage::Waits), Configuration { shared: &settings, titles: &titles }).placement;
+        outcome(&subscription(Stage::Waiting), Configuration { shared: &settings, titles: &titles })
+            .placement;
     assert_eq!(placement, (3, 2));
     // Shifted by one cell, the title is still in the cell that plays it.
     let shifted = TITLE.replace("first_cell = 0", "first_cell = 1");
-    assert_eq!(actions(&settings, &shifted), [Action::GoesOn; 4]);
+    assert_eq!(actions(&settings, &shifted), [Action::Continue; 4]);
     // A streamer that is missing from the list has no known cell: its subscription is not moved.
-    let unknown = subscription(Stage::Plays { cell: None });
+    let unknown = subscription(Stage::Playing { cell: None });
     assert_eq!(
         outcome(&unknown, Configuration { shared: &settings, titles: &titles }).action,
-        Action::GoesOn
+        Action::Continue
     );
 }
 
 /// A title or room type is removed: waiting subscriptions get a final answer, playing ones continue and are not moved.
 #[test]
 fn subscriptions_of_a_removed_title_or_room_type_play_to_their_end() {
-    let expected = [Action::TurnedAway, Action::TurnedAway, Action::GoesOn, Action::GoesOn];
+    let expected = [Action::Reject, Action::Reject, Action::Continue, Action::Continue];
     assert_eq!(actions(&shared(TEXT), ""), expected);
     let show = &TEXT[TEXT.find("[room_type show]").unwrap()..];
     let without_clip = shared(&(TEXT[..TEXT.find("[room_type clip]").unwrap()].to_owned() + show));
-    let settings = arrange(&shared(TEXT), without_clip).unwrap();
+    let settings = preserve_numbers(&shared(TEXT), without_clip).unwrap();
     let names: Vec<&str> = settings.room_types.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(
         (names, settings.room_type("clip"), settings.room_type("show")),
@@ -112,8 +113,8 @@
     let playing = outcome(&subscription(STAGES[3]), Configuration { shared: &settings, titles: &titles });
     assert_eq!(playing.placement.1, 0);
     // A room type that is added again gets its old number.
-    let restored = arrange(&settings, shared(TEXT)).unwrap();
-    assert_eq!(actions(&restored, TITLE), [Action::GoesOn; 4]);
+    let restored = preserve_numbers(&settings, shared(TEXT)).unwrap();
+    assert_eq!(actions(&restored, TITLE), [Action::Continue; 4]);
     assert!(restored.retired.is_empty());
 }
 
@@ -122,12 +123,12 @@
 fn the_highest_rungs_can_be_removed() {
     let two_rungs = TEXT.replace("rates_kb = 10, 20, 40", "rates_kb = 10, 20").replace("0.6, 1", "0.6");
     let two_rungs = shared(&two_rungs.replace("top = 2", "top = 0"));
-    let settings = arrange(&shared(TEXT), two_rungs).unwrap();
+    let settings = preserve_numbers(&shared(TEXT), two_rungs).unwrap();
     let titles = titles(TITLE);
     let top = |room_type: usize| {
         let mut subscription = subscription(STAGES[3]);
-        subscription.asked.room_type = room_type;
-        outcome(&subscription, Configuration { shared: &settings, titles: &titles }).top
+        subscription.request.room_type = room_type;
+        outcome(&subscription, Configuration { shared: &settings, titles: &titles }).max_rung
     };
     assert_eq!((top(0), top(1)), (1, 0));
 }
@@ -135,7 +136,7 @@
 #[test]
 fn a_change_of_a_number_is_refused_with_the_reason() {
     let refused = |from: &str, to: &str| {
-        arrange(&shared(TEXT), shared(&TEXT.replace(from, to))).map(|_| ()).unwrap_err()
+        preserve_numbers(&shared(TEXT), shared(&TEXT.replace(from, to))).map(|_| ()).unwrap_err()
     };
     let zones = "zones = north, south";
     assert!(refused(zones, "zones = north").contains("zone south has number 1"));
@@ -144,7 +145,9 @@
     let ladder = "rates_kb = 10, 20, 40\nbenefit = 0.3, 0.6, 1\n[room_type clip]";
     let middle = "rates_kb = 10, 40\nbenefit = 0.3, 1\n[room_type clip]\ntop = 1";
     let text = TEXT.replace(ladder, middle).replace("top = 2", "top = 1");
-    assert!(arrange(&shared(TEXT), shared(&text)).unwrap_err().contains("the rung of 40 kB/s has number 2"));
+    assert!(preserve_numbers(&shared(TEXT), shared(&text))
+        .unwrap_err()
+        .contains("the rung of 40 kB/s has number 2"));
 }
 
 /// Each subscription moves once and within the interval, and no tenth of the interval has more than a tenth of the moves
@@ -156,11 +159,11 @@
         let (now, interval) = (Duration::from_secs(100), Duration::from_secs(30));
         let all: Vec<_> = (0..u32::from(count)).map(|job| (job, from)).collect();
         let mut schedule = MoveSchedule::default();
-        schedule.spread(now, interval, &all);
+        schedule.schedule_evenly(now, interval, &all);
         // A later change schedules some of them again, and cancels the first `cancelled` ones.
         let repeated: Vec<_> =
             all.iter().copied().filter(|(job, _)| job % 3 == u32::from(cancelled) % 3).collect();
-        schedule.spread(now + interval, interval, &repeated);
+        schedule.schedule_evenly(now + interval, interval, &repeated);
         (0..u32::from(cancelled)).for_each(|job| schedule.cancel(job));
         let mut tenths = [0; 10];
         let mut moved_jobs = Vec::new();
--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use badgerledge_accounts::{open, seal, Accounts, Amount, Key, Source, WINDOW};
+use badgerledge_accounts::{decode_file, encode_file, Accounts, Key, Source, TrafficCounters, WINDOW_LENGTH};
 
 use crate::files::{self, wall};
 
@@ -60,27 +60,27 @@
             accounts.ledger(source).estimate_unseen(wall(), STORE_INTERVAL);
         }
         accounts.ledger(source);
-        let stored = Stored { windows: accounts.write(), latest: String::new() };
+        let stored = Stored { windows: accounts.encode(), latest: String::new() };
         let folder = folder.map(Path::to_owned);
         Self { accounts, source, folder, latest_file: 0, stored_at: Duration::ZERO, window: 0, stored }
     }
 
     /// Adds traffic of a title to an account.
-    pub fn count(&mut self, key: &Key, title: u64, traffic: &Amount) {
+    pub fn count(&mut self, key: &Key, title: u64, traffic: &TrafficCounters) {
         self.accounts.ledger(self.source).count(wall(), key, title, traffic);
     }
 
     /// The sums of all windows, by account key.
-    pub fn totals(&self) -> std::collections::BTreeMap<Key, Amount> {
-        self.accounts.whole()
+    pub fn totals(&self) -> std::collections::BTreeMap<Key, TrafficCounters> {
+        self.accounts.totals()
     }
 
     /// The accounts as stored last, as text.
     pub fn stored_text(&self) -> String {
         let texts = [&self.stored.windows, &self.stored.latest];
         let mut stored = Accounts::default();
-        texts.into_iter().filter_map(|text| Accounts::read(text).ok()).for_each(|part| stored.merge(&part));
-        stored.write()
+        texts.into_iter().filter_map(|text| Accounts::decode(text).ok()).for_each(|part| stored.merge(&part));
+        stored.encode()
     }
 
     /// Whether storing is due.
@@ -98,14 +98,14 @@
 
     /// Stores the counts; all windows only when the window changes or the process stops.
     fn try_store(&mut self, is_last: bool) -> std::io::Result<()> {
-        let latest = self.accounts.write_last(LATEST_WINDOWS);
-        let current_window = wall().as_secs() / WINDOW.as_secs();
-        let whole = (current_window != self.window || is_last).then(|| self.accounts.write());
+        let latest = self.accounts.encode_recent(LATEST_WINDOWS);
+        let current_window = wall().as_secs() / WINDOW_LENGTH.as_secs();
+        let whole = (current_window != self.window || is_last).then(|| self.accounts.encode());
         if let Some(folder) = &self.folder {
             self.latest_file = 1 - self.latest_file;
-            std::fs::write(folder.join(LATEST_FILES[self.latest_file]), seal(&latest))?;
+            std::fs::write(folder.join(LATEST_FILES[self.latest_file]), encode_file(&latest))?;
             if let Some(whole) = &whole {
-                files::replace(&folder.join(WINDOWS_FILE), &seal(whole))?;
+                files::replace(&folder.join(WINDOWS_FILE), &encode_file(whole))?;
             }
             if is_last {
                 std::fs::write(folder.join(ENDED_FILE), "")?;
@@ -122,8 +122,8 @@
 /// Reads a stored file; `None` if there is none or it is torn.
 fn read(path: &Path) -> Option<Accounts> {
     let bytes = std::fs::read(path).ok()?;
-    let text = open(&bytes).map_err(|error| error.to_string());
-    let accounts = text.and_then(|text| Accounts::read(text).map_err(|error| error.to_string()));
+    let text = decode_file(&bytes).map_err(|error| error.to_string());
+    let accounts = text.and_then(|text| Accounts::decode(text).map_err(|error| error.to_string()));
     accounts
         .map_err(|error| {
             tracing::warn!(
--- a/crates/controller/src/changing.rs
+++ b/crates/controller/src/changing.rs
@@ -76,11 +76,11 @@
         let mut to_move: Vec<(JobId, StreamerId)> = Vec::new();
         for (job, record) in book.all() {
             let subscription_outcome = outcome(
-                &Subscription { asked: record.request, stage: stage(record, connections) },
+                &Subscription { request: record.request, stage: stage(record, connections) },
                 configuration,
             );
             match (subscription_outcome.action, &record.join) {
-                (Action::MovesOn, Some(join)) => to_move.push((job, join.streamer)),
+                (Action::Move, Some(join)) => to_move.push((job, join.streamer)),
                 _ => self.moves.cancel(job),
             }
             outcomes.push((job, subscription_outcome));
@@ -89,9 +89,9 @@
         for last in (1..to_move.len()).rev() {
             to_move.swap(last, (self.rng.unit_interval() * (last + 1) as f64) as usize);
         }
-        self.moves.spread(connections.now, self.move_within, &to_move);
+        self.moves.schedule_evenly(connections.now, self.move_within, &to_move);
         let count = |action: Action| outcomes.iter().filter(|(_, outcome)| outcome.action == action).count();
-        let (turned_away, withdrawn) = (count(Action::TurnedAway), count(Action::Withdrawn));
+        let (turned_away, withdrawn) = (count(Action::Reject), count(Action::WithdrawJoin));
         tracing::info!(
             held = outcomes.len(),
             moves = to_move.len(),
@@ -108,21 +108,21 @@
         now: Duration,
     ) {
         if let Some(RoundChanges { module_settings, outcomes }) = changes {
-            outcomes.iter().for_each(|(job, outcome)| floor.limit_rung(*job, outcome.top));
+            outcomes.iter().for_each(|(job, outcome)| floor.limit_rung(*job, outcome.max_rung));
             floor.change_settings(module_settings);
             for (job, Outcome { placement, action, .. }) in outcomes {
                 floor.relocate(job, placement.0, placement.1);
                 match action {
-                    Action::Withdrawn => floor.withdraw_unsent_join(job),
-                    Action::TurnedAway => floor.reject(job),
-                    Action::GoesOn | Action::MovesOn => {}
+                    Action::WithdrawJoin => floor.withdraw_unsent_join(job),
+                    Action::Reject => floor.reject(job),
+                    Action::Continue | Action::Move => {}
                 }
             }
         }
         while let Some((job, from)) = self.moves.pop_due(now) {
             if floor.redirect_from(job, from) {
                 // A join in progress ends or plays within its viewer's time-out, so it is checked again.
-                self.moves.spread(now + RECHECK_DELAY, Duration::ZERO, &[(job, from)]);
+                self.moves.schedule_evenly(now + RECHECK_DELAY, Duration::ZERO, &[(job, from)]);
             } else {
                 counter!(telemetry::SUBSCRIPTIONS_RELOCATED).increment(1);
             }
@@ -133,10 +133,10 @@
 
 /// The stage of a subscription.
 fn stage(record: &SubscriptionRecord, connections: &Connections) -> Stage {
-    let Some(join) = &record.join else { return Stage::Waits };
+    let Some(join) = &record.join else { return Stage::Waiting };
     let cell = connections.streamer_cells.get(&join.streamer).copied();
     match record.playing_connection {
-        Some(_) => Stage::Plays { cell },
-        None => Stage::Joins { cell, sent: join.set_up_rung.is_some() },
+        Some(_) => Stage::Playing { cell },
+        None => Stage::Joining { cell, setup_sent: join.set_up_rung.is_some() },
     }
 }
--- a/crates/controller/src/configuration_check.rs
+++ b/crates/controller/src/configuration_check.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use badgerledge_catalogue::Catalogue;
-use badgerledge_changes::arrange;
+use badgerledge_changes::preserve_numbers;
 use badgerledge_deployment::{ActedOn, Deployment, Shared, Text};
 
 /// What a new configuration must be compatible with on this controller.
@@ -69,7 +69,7 @@
             ));
         }
         match &self.current {
-            Some(current) => arrange(current, shared.clone()).map(drop),
+            Some(current) => preserve_numbers(current, shared.clone()).map(drop),
             None => Ok(()),
         }
     }
@@ -82,7 +82,7 @@
     pub fn apply(&mut self, active: &Text, prepared: Option<&Text>) -> Result<ActedOn, String> {
         let mut applied = active.acted_on(prepared);
         if let Some(current) = &self.current {
-            applied.shared = arrange(current, applied.shared)?;
+            applied.shared = preserve_numbers(current, applied.shared)?;
         }
         self.current = Some(applied.shared.clone());
         Ok(applied)
--- a/crates/controller/src/connections/accounts.rs
+++ b/crates/controller/src/connections/accounts.rs
@@ -1,6 +1,6 @@
 //! Counts the traffic of joins into the accounts of what crosses between zones.
 
-use badgerledge_accounts::Amount;
+use badgerledge_accounts::TrafficCounters;
 
 use super::Connections;
 use crate::join_connection::JoinConnection;
@@ -11,7 +11,9 @@
     pub fn account_traffic(&mut self, is_last: bool) {
         for join in self.joins.values_mut() {
             let traffic = join.take_uncounted_traffic(self.now);
-            if let Some(account_key) = join.account_key.as_ref().filter(|_| traffic != Amount::default()) {
+            if let Some(account_key) =
+                join.account_key.as_ref().filter(|_| traffic != TrafficCounters::default())
+            {
                 self.accounting.count(account_key, join.title, &traffic);
             }
         }
--- a/crates/controller/src/connections/joins.rs
+++ b/crates/controller/src/connections/joins.rs
@@ -56,7 +56,7 @@
         join.account_key =
             from.map(|from| Key { from: from.clone(), to: to.clone(), room_type: room_type.clone() });
         join.uncounted_traffic.set_ups += 1;
-        join.crosses_from_zone = zone.filter(|_| join.account_key.as_ref().is_some_and(Key::crosses));
+        join.crosses_from_zone = zone.filter(|_| join.account_key.as_ref().is_some_and(Key::crosses_zones));
         let headers: [(HeaderName, String); 5] = [
             (headers::TRANSPORT, "RTP/AVP/TCP;unicast;interleaved=0-1".to_owned()),
             (words::name(words::VIEWER), format!("{:x}", subscription.path_key)),
--- a/crates/controller/src/join_connection.rs
+++ b/crates/controller/src/join_connection.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use badgerledge_accounts::{Amount, Key};
+use badgerledge_accounts::{Key, TrafficCounters};
 use badgerledge_core::interface::StreamerId;
 use badgerledge_reactor::SocketId;
 use badgerledge_rtsp::{Bounds, Client, Framer};
@@ -29,7 +29,7 @@
     pub title: u64,
     /// The account that its traffic is counted in, and the traffic not yet counted there.
     pub account_key: Option<Key>,
-    pub uncounted_traffic: Amount,
+    pub uncounted_traffic: TrafficCounters,
     /// The zone that its media comes from, if that is another zone.
     pub crosses_from_zone: Option<u16>,
     /// Until when its playing time is counted.
@@ -50,14 +50,14 @@
             buffered_bytes: 0,
             title: 0,
             account_key: None,
-            uncounted_traffic: Amount::default(),
+            uncounted_traffic: TrafficCounters::default(),
             crosses_from_zone: None,
             counted_until: None,
         }
     }
 
     /// Returns the traffic since the last call, with the time played.
-    pub fn take_uncounted_traffic(&mut self, now: Duration) -> Amount {
+    pub fn take_uncounted_traffic(&mut self, now: Duration) -> TrafficCounters {
         if let Some(since) = self.counted_until.replace(now).filter(|_| self.media_reported) {
             self.uncounted_traffic.subscription_ms += (now - since).as_millis() as u64;
         }
--- a/crates/controller/src/serve.rs
+++ b/crates/controller/src/serve.rs
@@ -432,8 +432,8 @@
             }
             if let Some((caps, plans)) = caps_and_plans {
                 for (from, plan) in &plans {
-                    floor.set_crossing_budget(*from, plan.room);
-                    plan.home.iter().for_each(|job| floor.redirect_home(*job));
+                    floor.set_crossing_budget(*from, plan.free_rate_kb_s);
+                    plan.excluded.iter().for_each(|job| floor.redirect_home(*job));
                 }
                 caps.into_iter().for_each(|(job, cap)| floor.cap_rung(job, cap));
             }
--- a/crates/controller/tests/it/bad_input.rs
+++ b/crates/controller/tests/it/bad_input.rs
@@ -35,7 +35,7 @@
     let labels = "badgerledge_crossed_set_ups_total{from=\"a\",to=\"a\",room_type=\"clip\"}";
     controller.wait_metric(labels, |count| count == 1.0);
     controller.wait_accounts(|accounts| {
-        let whole = accounts.whole();
+        let whole = accounts.totals();
         let first = whole.values().next();
         whole.len() == 1
             && first.is_some_and(|amount| {
--- a/crates/controller/tests/it/harness.rs
+++ b/crates/controller/tests/it/harness.rs
@@ -185,7 +185,7 @@
         loop {
             let response = self.fetch_page("/accounts").unwrap_or_default();
             let body = response.split_once("\r\n\r\n").map_or("", |parts| parts.1);
-            if Accounts::read(body).is_ok_and(|accounts| condition(&accounts)) {
+            if Accounts::decode(body).is_ok_and(|accounts| condition(&accounts)) {
                 return;
             }
             assert!(started.elapsed() < TIMEOUT, "{response}");
--- a/crates/crossing/src/lending.rs
+++ b/crates/crossing/src/rate_leases.rs
@@ -11,7 +11,7 @@
 use badgerledge_core::random::Rng;
 
 /// How long the borrower may use a lease: long compared with a message's delay, short compared with changes of demand.
-pub const GRANT_LASTS: Duration = Duration::from_secs(10);
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 /// How long the lender does without the leased rate. It exceeds the borrower's time because each clock may drift by 1 %.
 const LENDER_LEASE_DURATION: Duration = Duration::from_millis(10_300);
 /// The largest fraction of its share that a controller leases out. A restarted controller does not know its earlier
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Message {
     /// Requests a lease of up to `wanted` kB/s. The sender numbers its requests.
-    Ask { number: u64, wanted: f32 },
+    Request { number: u64, wanted: f32 },
     /// Answers the request of that number with a lease of `rate` kB/s.
     Grant { number: u64, rate: f32 },
 }
@@ -44,9 +44,9 @@
 impl Message {
     /// Encodes the message. `budget_id` names the limit that it is about: that of traffic
     /// from one zone to another, or that of all traffic.
-    pub fn write(self, budget_id: u16) -> [u8; MESSAGE_BYTES] {
+    pub fn encode(self, budget_id: u16) -> [u8; MESSAGE_BYTES] {
         let (kind, number, rate) = match self {
-            Message::Ask { number, wanted } => (1, number, wanted),
+            Message::Request { number, wanted } => (1, number, wanted),
             Message::Grant { number, rate } => (2, number, rate),
         };
         let mut bytes = [0; MESSAGE_BYTES];
@@ -64,7 +64,7 @@
     }
 
     /// Decodes a message and its `budget_id`. Returns `None` for malformed or corrupted bytes.
-    pub fn read(bytes: &[u8]) -> Option<(u16, Self)> {
+    pub fn decode(bytes: &[u8]) -> Option<(u16, Self)> {
         let bytes: &[u8; MESSAGE_BYTES] = bytes.try_into().ok()?;
         let number = u64::from_be_bytes(bytes[5..13].try_into().ok()?);
         let rate = f32::from_be_bytes(bytes[13..17].try_into().ok()?);
@@ -72,17 +72,17 @@
             return None;
         }
         let message = match bytes[4] {
-            1 => Message::Ask { number, wanted: rate },
+            1 => Message::Request { number, wanted: rate },
             2 => Message::Grant { number, rate },
             _ => return None,
         };
         let budget_id = u16::from_be_bytes([bytes[17], bytes[18]]);
-        (message.write(budget_id) == *bytes).then_some((budget_id, message))
+        (message.encode(budget_id) == *bytes).then_some((budget_id, message))
     }
 }
 
 /// The leases that one controller has granted and received, and its open requests.
-pub struct Lending {
+pub struct RateLeases {
     own_id: u32,
     controller_count: u32,
     /// This controller's own share of the limit in kB/s.
@@ -103,7 +103,7 @@
     demand: f64,
 }
 
-impl Lending {
+impl RateLeases {
     /// A controller that starts now, with an own share of `share` kB/s.
     pub fn new(own_id: u32, controller_count: u32, share: f64, now: Duration, seed: u64) -> Self {
         Self {
@@ -124,7 +124,7 @@
     }
 
     /// The rate that this controller may use at `now`, in kB/s: its remaining share and its received leases.
-    pub fn owned(&mut self, now: Duration) -> f64 {
+    pub fn available_rate(&mut self, now: Duration) -> f64 {
         self.remove_expired(now);
         let borrowed: f64 = self.borrowed.iter().map(|(_, rate)| rate).sum();
         self.remaining_share(now) + borrowed
@@ -142,14 +142,14 @@
         self.borrowed.retain(|(expires_at, _)| *expires_at > now);
         self.lent.retain(|(expires_at, _)| *expires_at > now);
         self.granted.retain(|_, expires_at| *expires_at > now);
-        self.open_requests.retain(|_, (requested_at, _)| *requested_at + GRANT_LASTS > now);
+        self.open_requests.retain(|_, (requested_at, _)| *requested_at + LEASE_DURATION > now);
     }
 
     /// Records the current demand in kB/s, and requests leases where it exceeds the available rate. `send` sends a message
     /// to a controller.
-    pub fn request(&mut self, now: Duration, demand: f64, mut send: impl FnMut(u32, Message)) {
+    pub fn request_leases(&mut self, now: Duration, demand: f64, mut send: impl FnMut(u32, Message)) {
         self.demand = demand;
-        let available = self.owned(now);
+        let available = self.available_rate(now);
         if demand <= available || now < self.next_request_at || self.controller_count < 2 {
             return;
         }
@@ -160,15 +160,15 @@
             let other = if other >= self.own_id { other + 1 } else { other };
             self.last_number = self.last_number.wrapping_add(1);
             self.open_requests.insert(self.last_number, (now, other));
-            send(other, Message::Ask { number: self.last_number, wanted: (demand - available) as f32 });
+            send(other, Message::Request { number: self.last_number, wanted: (demand - available) as f32 });
         }
     }
 
     /// Handles a message from another controller, and returns the answer if there is one.
-    pub fn handle(&mut self, now: Duration, from: u32, message: Message) -> Option<Message> {
+    pub fn handle_message(&mut self, now: Duration, from: u32, message: Message) -> Option<Message> {
         self.remove_expired(now);
         match message {
-            Message::Ask { number, wanted } => self.grant(now, from, number, f64::from(wanted)),
+            Message::Request { number, wanted } => self.grant(now, from, number, f64::from(wanted)),
             Message::Grant { number, rate } => {
                 // Counted from the request, which precedes the grant whatever the messages' delay.
                 let (requested_at, _) =
@@ -176,7 +176,7 @@
                 self.open_requests.remove(&number);
                 // All shares are equal, so no correct controller grants more. The margin allows for rounding.
                 if f64::from(rate) <= MAX_LENT_FRACTION * self.share * 1.001 {
-                    self.borrowed.push((requested_at + GRANT_LASTS, f64::from(rate)));
+                    self.borrowed.push((requested_at + LEASE_DURATION, f64::from(rate)));
                 }
                 None
             }
--- a/crates/crossing/src/tests.rs
+++ b/crates/crossing/src/tests.rs
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{plan, Crosser, Lending, Message, SharedBucket, Step};
+use crate::{plan_rungs, CrossZoneSubscription, LadderRung, Message, RateLeases, TokenBucket};
 
 const RATE_KB_S: f64 = 3000.0;
 const BURST_KB: f64 = 1500.0;
@@ -19,8 +19,8 @@
 
 /// One simulated controller. Its clock drifts by a rate of its own.
 struct Controller {
-    bucket: SharedBucket,
-    lending: Lending,
+    bucket: TokenBucket,
+    leases: RateLeases,
     /// Seconds of its clock per second of simulated time.
     clock_rate: f64,
     down_until: f64,
@@ -66,16 +66,16 @@
             let spent = controller.planned * (0.85 + 0.3 * sample) * TICK_S;
             total += spent;
             let now = clock(controller.clock_rate, self.now);
-            let available_rate = controller.lending.owned(now);
+            let available_rate = controller.leases.available_rate(now);
             if self.now < controller.stalled_until {
                 continue;
             }
-            controller.bucket.spend(now, available_rate, spent, controller.planned * TICK_S);
-            controller.planned = controller.bucket.may_plan(available_rate).min(controller.demand);
+            controller.bucket.record_usage(now, available_rate, spent, controller.planned * TICK_S);
+            controller.planned = controller.bucket.plannable_rate(available_rate).min(controller.demand);
             let (messages, at, partitioned) =
                 (&mut self.messages, self.now, self.now < controller.partitioned_until);
             let (demand, mut sent_count) = (controller.demand, 0);
-            controller.lending.request(now, demand, |to, message| {
+            controller.leases.request_leases(now, demand, |to, message| {
                 sent_count += 1;
                 if !partitioned {
                     messages.push((at + 0.05 * f64::from(sent_count), n as u32, to, message));
@@ -120,7 +120,7 @@
                 continue;
             }
             let now = clock(controller.clock_rate, self.now);
-            let answer = controller.lending.handle(now, from, message);
+            let answer = controller.leases.handle_message(now, from, message);
             // Some answers are lost, some delayed by seconds, some duplicated.
             let sample = unit_interval(&mut self.rng);
             if let Some(answer) = answer.filter(|_| sample > 0.1) {
@@ -142,12 +142,12 @@
 fn start_controller(n: u32, count: u32, at: f64, rng: &mut Pcg64Mcg) -> Controller {
     let clock_rate = 0.99 + 0.02 * unit_interval(rng);
     let now = clock(clock_rate, at);
-    let bucket = SharedBucket::new(RATE_KB_S, BURST_KB, count, now);
-    let lending = Lending::new(n, count, bucket.share(), now, rng.next_u64());
+    let bucket = TokenBucket::new(RATE_KB_S, BURST_KB, count, now);
+    let leases = RateLeases::new(n, count, bucket.rate_share(), now, rng.next_u64());
     let demand = RATE_KB_S / f64::from(count) * (0.3 + 2.0 * unit_interval(rng));
     Controller {
         bucket,
-        lending,
+        leases,
         clock_rate,
         down_until: 0.0,
         stalled_until: 0.0,
@@ -206,17 +206,17 @@
             for n in 0..4u32 {
                 let controller = &mut simulation.controllers[n as usize];
                 let now = clock(controller.clock_rate, simulation.now);
-                let available_rate = controller.lending.owned(now);
-                controller.bucket.spend(
+                let available_rate = controller.leases.available_rate(now);
+                controller.bucket.record_usage(
                     now,
                     available_rate,
                     controller.planned * TICK_S,
                     controller.planned * TICK_S,
                 );
-                controller.planned = controller.bucket.may_plan(available_rate).min(controller.demand);
+                controller.planned = controller.bucket.plannable_rate(available_rate).min(controller.demand);
                 let (messages, at, partitioned) =
                     (&mut simulation.messages, simulation.now, simulation.now < controller.partitioned_until);
-                controller.lending.request(now, controller.demand, |to, message| {
+                controller.leases.request_leases(now, controller.demand, |to, message| {
                     if !partitioned {
                         messages.push((at, n, to, message));
                     }
@@ -235,70 +235,75 @@
 #[test]
 fn a_restarted_controller_has_no_burst_and_uses_only_what_it_cannot_have_leased_out() {
     let now = Duration::from_secs(50);
-    let bucket = SharedBucket::new(RATE_KB_S, BURST_KB, 3, now);
+    let bucket = TokenBucket::new(RATE_KB_S, BURST_KB, 3, now);
     assert_eq!(bucket.level(), 0.0);
-    let mut lending = Lending::new(0, 3, bucket.share(), now, 1);
-    assert_eq!(lending.owned(now), 500.0);
-    let message = Message::Ask { number: 1, wanted: 400.0 };
-    assert_eq!(lending.handle(now, 1, message), None, "leases from before the restart are not known");
+    let mut leases = RateLeases::new(0, 3, bucket.rate_share(), now, 1);
+    assert_eq!(leases.available_rate(now), 500.0);
+    let message = Message::Request { number: 1, wanted: 400.0 };
+    assert_eq!(leases.handle_message(now, 1, message), None, "leases from before the restart are not known");
     let later = now + Duration::from_secs(11);
-    assert_eq!(lending.owned(later), 1000.0);
-    assert!(matches!(lending.handle(later, 1, message), Some(Message::Grant { .. })));
-    assert_eq!(lending.handle(later, 1, message), None, "a duplicated request is granted once");
+    assert_eq!(leases.available_rate(later), 1000.0);
+    assert!(matches!(leases.handle_message(later, 1, message), Some(Message::Grant { .. })));
+    assert_eq!(leases.handle_message(later, 1, message), None, "a duplicated request is granted once");
 }
 
 #[test]
 fn an_unrequested_or_too_large_grant_is_ignored() {
     let now = Duration::from_secs(50);
-    let mut lending = Lending::new(0, 2, 1000.0, now, 1);
-    let owned = lending.owned(now);
+    let mut leases = RateLeases::new(0, 2, 1000.0, now, 1);
+    let available_rate = leases.available_rate(now);
     let mut sent = None;
-    lending.request(now, 5000.0, |to, message| sent = Some((to, message)));
-    let Some((1, Message::Ask { number, .. })) = sent else { panic!("{sent:?}") };
-    lending.handle(now, 1, Message::Grant { number: number + 9, rate: 100.0 });
-    lending.handle(now, 5, Message::Grant { number, rate: 100.0 });
-    lending.handle(now, 1, Message::Grant { number, rate: 900.0 });
-    assert_eq!(lending.owned(now), owned);
-    lending.handle(now, 1, Message::Grant { number, rate: 100.0 });
-    assert_eq!(lending.owned(now), owned, "the invalid grant has closed the request");
+    leases.request_leases(now, 5000.0, |to, message| sent = Some((to, message)));
+    let Some((1, Message::Request { number, .. })) = sent else { panic!("{sent:?}") };
+    leases.handle_message(now, 1, Message::Grant { number: number + 9, rate: 100.0 });
+    leases.handle_message(now, 5, Message::Grant { number, rate: 100.0 });
+    leases.handle_message(now, 1, Message::Grant { number, rate: 900.0 });
+    assert_eq!(leases.available_rate(now), available_rate);
+    leases.handle_message(now, 1, Message::Grant { number, rate: 100.0 });
+    assert_eq!(leases.available_rate(now), available_rate, "the invalid grant has closed the request");
 }
 
 #[test]
 fn messages_round_trip_and_corrupted_ones_are_rejected() {
     let message = Message::Grant { number: 77, rate: 12.5 };
-    let bytes = message.write(513);
-    assert_eq!(Message::read(&bytes), Some((513, message)));
+    let bytes = message.encode(513);
+    assert_eq!(Message::decode(&bytes), Some((513, message)));
     for index in 0..bytes.len() {
         let mut corrupted = bytes;
         corrupted[index] ^= 1;
-        assert_eq!(Message::read(&corrupted), None, "byte {index}");
+        assert_eq!(Message::decode(&corrupted), None, "byte {index}");
     }
-    assert_eq!(Message::read(&bytes[..20]), None);
+    assert_eq!(Message::decode(&bytes[..20]), None);
 }
 
-fn crosser(job: u32, rung: u8, benefit: f64) -> Crosser {
-    let step = |rate: f64, earns: f64| Step { rate, earns: earns * benefit };
-    Crosser { job, floor: 0, steps: vec![step(10.0, 0.3), step(20.0, 0.55), step(40.0, 0.8)], rung }
+fn subscription(job: u32, current_rung: u8, benefit: f64) -> CrossZoneSubscription {
+    let rung_at = |rate_kb_s: f64, weight: f64| LadderRung { rate_kb_s, benefit_per_s: weight * benefit };
+    CrossZoneSubscription {
+        job,
+        floor: 0,
+        rungs: vec![rung_at(10.0, 0.3), rung_at(20.0, 0.55), rung_at(40.0, 0.8)],
+        current_rung,
+    }
 }
 
 #[test]
 fn the_lowest_benefit_per_byte_is_given_up_first() {
-    let all = [crosser(1, 2, 1.0), crosser(2, 2, 3.0), crosser(3, 2, 2.0)];
-    let tops = |rate: f64| plan(&all, rate).tops.into_iter().collect::<BTreeMap<_, _>>();
+    let all = [subscription(1, 2, 1.0), subscription(2, 2, 3.0), subscription(3, 2, 2.0)];
+    let tops = |rate: f64| plan_rungs(&all, rate).max_rungs.into_iter().collect::<BTreeMap<_, _>>();
     assert_eq!(tops(120.0), BTreeMap::from([(1, 2), (2, 2), (3, 2)]));
     assert_eq!(tops(100.0), BTreeMap::from([(1, 1), (2, 2), (3, 2)]));
     assert_eq!(tops(30.0), BTreeMap::from([(1, 0), (2, 0), (3, 0)]));
-    let tight = plan(&all, 15.0);
-    assert_eq!((tight.home, tight.tops), (vec![1, 3], vec![(2, 0)]));
-    assert_eq!(plan(&all, 0.0).home, [1, 3, 2]);
+    let tight = plan_rungs(&all, 15.0);
+    assert_eq!((tight.excluded, tight.max_rungs), (vec![1, 3], vec![(2, 0)]));
+    assert_eq!(plan_rungs(&all, 0.0).excluded, [1, 3, 2]);
 }
 
 /// Guards against oscillation, as after the recovery of a zone: two subscriptions of the same benefit per byte must not
 /// swap rungs with every plan.
 #[test]
 fn a_current_rung_is_not_given_to_another_subscription_of_the_same_benefit() {
-    let all = [crosser(1, 0, 1.0), crosser(2, 1, 1.0)];
-    let tops: BTreeMap<_, _> = plan(&all, 30.0).tops.into_iter().collect();
+    let all = [subscription(1, 0, 1.0), subscription(2, 1, 1.0)];
+    let tops: BTreeMap<_, _> = plan_rungs(&all, 30.0).max_rungs.into_iter().collect();
     assert_eq!(tops, BTreeMap::from([(1, 0), (2, 1)]));
 }
 
@@ -307,19 +312,24 @@
     let mut rng = Pcg64Mcg::seed_from_u64(4);
     for _ in 0..300 {
         let count = (unit_interval(&mut rng) * 20.0) as u32;
-        let all: Vec<Crosser> = (0..count)
-            .map(|job| crosser(job, (unit_interval(&mut rng) * 3.0) as u8, 1.0 + unit_interval(&mut rng)))
+        let all: Vec<CrossZoneSubscription> = (0..count)
+            .map(|job| {
+                subscription(job, (unit_interval(&mut rng) * 3.0) as u8, 1.0 + unit_interval(&mut rng))
+            })
             .collect();
         let rate = unit_interval(&mut rng) * 500.0;
-        let result = plan(&all, rate);
-        let steps = [10.0, 20.0, 40.0];
-        let spent: f64 = result.tops.iter().map(|(_, top)| steps[usize::from(*top)]).sum();
-        assert!(spent <= rate + 1e-6 && (spent - result.planned).abs() < 1e-6);
-        assert_eq!(result.tops.len() + result.home.len(), all.len());
+        let result = plan_rungs(&all, rate);
+        let rates_kb_s = [10.0, 20.0, 40.0];
+        let spent: f64 = result.max_rungs.iter().map(|(_, top)| rates_kb_s[usize::from(*top)]).sum();
+        assert!(spent <= rate + 1e-6 && (spent - result.planned_rate_kb_s).abs() < 1e-6);
+        assert_eq!(result.max_rungs.len() + result.excluded.len(), all.len());
         let left = rate - spent;
-        assert!(result.home.is_empty() || result.room < 10.0, "an excluded subscription would have fitted");
+        assert!(
+            result.excluded.is_empty() || result.free_rate_kb_s < 10.0,
+            "an excluded subscription would have fitted"
+        );
         let could_rise =
-            result.tops.iter().any(|(_, top)| *top == 0 && left >= 10.0 || *top == 1 && left >= 20.0);
+            result.max_rungs.iter().any(|(_, top)| *top == 0 && left >= 10.0 || *top == 1 && left >= 20.0);
         assert!(!could_rise, "{left} kB/s are left");
     }
 }
--- a/crates/crossing/src/shared_bucket.rs
+++ b/crates/crossing/src/token_bucket.rs
@@ -5,7 +5,7 @@
 /// A token bucket for this controller's own share. It starts empty: a controller that is killed and restarted within one
 /// window must not get the burst twice.
 #[derive(Clone, Debug)]
-pub struct SharedBucket {
+pub struct TokenBucket {
     /// This controller's share of the rate, in kB/s.
     share: f64,
     /// This controller's share of the burst, in kB.
@@ -23,7 +23,7 @@
 /// Time in which an overdrawn bucket is refilled by planning less. Shorter times lower rungs because of noise.
 const REPAYMENT_TIME: Duration = Duration::from_secs(2);
 
-impl SharedBucket {
+impl TokenBucket {
     /// `rate` (kB/s) and `burst` (kB) are those of the whole limit, shared equally by `controllers`.
     pub fn new(rate: f64, burst: f64, controllers: u32, now: Duration) -> Self {
         let share_count = f64::from(controllers.max(1));
@@ -37,7 +37,7 @@
     }
 
     /// This controller's share of the rate, in kB/s.
-    pub fn share(&self) -> f64 {
+    pub fn rate_share(&self) -> f64 {
         self.share
     }
 
@@ -48,7 +48,7 @@
 
     /// Refills the bucket at `available_rate` (kB/s) since the last call, and takes out the `spent_kb` that crossed in that
     /// time, of which `planned_kb` was expected.
-    pub fn spend(&mut self, now: Duration, available_rate: f64, spent_kb: f64, planned_kb: f64) {
+    pub fn record_usage(&mut self, now: Duration, available_rate: f64, spent_kb: f64, planned_kb: f64) {
         let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now;
         self.level = (self.level + available_rate * elapsed_s - spent_kb).min(self.burst);
@@ -60,7 +60,7 @@
     }
 
     /// The nominal rate in kB/s that may be planned now, out of `available_rate`.
-    pub fn may_plan(&self, available_rate: f64) -> f64 {
+    pub fn plannable_rate(&self, available_rate: f64) -> f64 {
         let repayment_rate = (-self.level).max(0.0) / REPAYMENT_TIME.as_secs_f64();
         ((PLANNED_FRACTION * available_rate - repayment_rate) / self.measured_to_planned.max(1.0)).max(0.0)
     }
--- a/crates/relay/src/push_check.rs
+++ b/crates/relay/src/push_check.rs
@@ -4,7 +4,7 @@
 //! [`PushCheck`] checks each change alone, against the highest certified state. Two concurrent changes that are each valid
 //! but conflict with each other are found by [`state_check`], with which the control machine checks whole batches.
 
-use badgerledge_changes::arrange;
+use badgerledge_changes::preserve_numbers;
 use badgerledge_deployment::{StateReader, Text};
 use badgerledge_distribution::change::{last_sequence, Change, Rejection};
 use badgerledge_distribution::control::StateCheck;
@@ -73,6 +73,6 @@
             Err("the change removes all titles, but titles are part of the shared settings in this fleet"
                 .to_owned())
         }
-        _ => arrange(before.shared(), after.shared().clone()).map(drop),
+        _ => preserve_numbers(before.shared(), after.shared().clone()).map(drop),
     }
 }
--- a/crates/relay/tests/it/proxy.rs
+++ b/crates/relay/tests/it/proxy.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use badgerledge_reactor::Reactor;
-use badgerledge_ways::{End, Way, Ways};
+use badgerledge_ways::{EndpointId, LinkFaults, TestNetwork};
 
 /// The thread checks for commands at this interval.
 const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 enum ProxyCommand {
     /// Block the links from some machines to others.
-    Block(Vec<End>, Vec<End>),
+    Block(Vec<EndpointId>, Vec<EndpointId>),
     /// Unblock all links.
     Heal,
     Stop,
@@ -37,7 +37,7 @@
     }
 
     /// Blocks the links from some machines to others; the reverse direction stays open.
-    pub fn cut(&self, from: &[End], to: &[End]) {
+    pub fn cut(&self, from: &[EndpointId], to: &[EndpointId]) {
         self.commands.send(ProxyCommand::Block(from.to_vec(), to.to_vec())).unwrap();
     }
 
@@ -59,25 +59,30 @@
 fn run(
     machine_addresses: &[SocketAddr], commands: &Receiver<ProxyCommand>, addresses: &Sender<Vec<SocketAddr>>,
 ) {
-    let link_defaults = Way { loss: 0.0, late: Duration::ZERO, spread: Duration::ZERO, ..Way::default() };
+    let link_defaults = LinkFaults {
+        loss_probability: 0.0,
+        delay: Duration::ZERO,
+        max_jitter: Duration::ZERO,
+        ..LinkFaults::default()
+    };
     let mut reactor = Reactor::new(Duration::from_secs(1)).unwrap();
-    let mut links = Ways::new(&mut reactor, machine_addresses, link_defaults, 1).unwrap();
-    addresses.send((0..machine_addresses.len()).map(|end| links.reached(end)).collect()).unwrap();
+    let mut links = TestNetwork::new(&mut reactor, machine_addresses, link_defaults, 1).unwrap();
+    addresses.send((0..machine_addresses.len()).map(|end| links.proxy_address(end)).collect()).unwrap();
     let mut events = Vec::new();
     loop {
         let next_check = reactor.clock() + COMMAND_POLL_INTERVAL;
-        let wake_at = links.next_due().map_or(next_check, |due| due.min(next_check));
+        let wake_at = links.next_poll_at().map_or(next_check, |due| due.min(next_check));
         reactor.wait(Some(wake_at), &mut events).unwrap();
         let now = reactor.now();
         for event in events.drain(..) {
-            links.take(&mut reactor, now, &event);
+            links.handle_event(&mut reactor, now, &event);
         }
-        links.tend(&mut reactor, now);
+        links.poll(&mut reactor, now);
         reactor.flush();
         while let Ok(command) = commands.try_recv() {
             match command {
-                ProxyCommand::Block(from, to) => links.strike(&from, &to, |link| link.cut = true),
-                ProxyCommand::Heal => links.heal(),
+                ProxyCommand::Block(from, to) => links.change_links(&from, &to, |link| link.blocked = true),
+                ProxyCommand::Heal => links.reset_links(),
                 ProxyCommand::Stop => return,
             }
         }
--- a/crates/replay/src/messages.rs
+++ b/crates/replay/src/messages.rs
@@ -7,10 +7,10 @@
 use anyhow::Result;
 use badgerledge_reactor::{Reactor, ReactorEvent};
 use badgerledge_standins::free_port;
-use badgerledge_ways::{Delivery, Way, Ways};
+use badgerledge_ways::{Delivery, LinkFaults, TestNetwork};
 
 pub struct Messages {
-    pub ways: Ways,
+    pub ways: TestNetwork,
     own: Vec<SocketAddr>,
 }
 
@@ -25,33 +25,33 @@
         for number in 0..controllers {
             own.push(SocketAddr::new(own_ip(number), free_port()?.port()));
         }
-        Ok(Self { ways: Ways::new(reactor, &own, Way::default(), seed)?, own })
+        Ok(Self { ways: TestNetwork::new(reactor, &own, LinkFaults::default(), seed)?, own })
     }
 
     /// Where each controller takes its datagrams itself, and where the others reach it.
     pub fn places(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-        (self.own.clone(), (0..self.own.len()).map(|end| self.ways.reached(end)).collect())
+        (self.own.clone(), (0..self.own.len()).map(|end| self.ways.proxy_address(end)).collect())
     }
 
     /// Cuts all ways, or heals them.
     pub fn cut(&mut self, cut: bool) {
         let all: Vec<usize> = (0..self.own.len()).collect();
-        self.ways.strike(&all, &all, |way| way.cut = cut);
+        self.ways.change_links(&all, &all, |way| way.blocked = cut);
     }
 
     /// Datagrams handed on, and lost.
     pub fn counts(&self) -> (u64, u64) {
         let of = |delivery: Delivery| {
-            self.ways.record.iter().filter(|e| !e.stream && e.delivery == delivery).count() as u64
+            self.ways.traffic.iter().filter(|e| !e.stream && e.delivery == delivery).count() as u64
         };
-        (of(Delivery::Passed), of(Delivery::Lost))
+        (of(Delivery::Forwarded), of(Delivery::Lost))
     }
 
     /// The most payload bytes that a controller sent in datagrams in any second, and the mean of all over the time
     /// that each sent.
     pub fn worst_second(&self) -> (usize, f64) {
         let mut tenths: BTreeMap<(usize, u128), usize> = BTreeMap::new();
-        for entry in self.ways.record.iter().filter(|entry| !entry.stream) {
+        for entry in self.ways.traffic.iter().filter(|entry| !entry.stream) {
             *tenths.entry((entry.from, entry.at.as_millis() / 100)).or_default() += entry.bytes;
         }
         let second = |(from, tenth): &(usize, u128)| -> usize {
@@ -63,14 +63,14 @@
     }
 
     pub fn take(&mut self, reactor: &mut Reactor, now: Duration, happening: &ReactorEvent) -> bool {
-        self.ways.take(reactor, now, happening)
+        self.ways.handle_event(reactor, now, happening)
     }
 
     pub fn next_due(&self) -> Option<Duration> {
-        self.ways.next_due()
+        self.ways.next_poll_at()
     }
 
     pub fn tend(&mut self, reactor: &mut Reactor, now: Duration) {
-        self.ways.tend(reactor, now);
+        self.ways.poll(reactor, now);
     }
 }
--- a/crates/replay/src/plan.rs
+++ b/crates/replay/src/plan.rs
@@ -17,16 +17,16 @@
 }
 
 /// Numbers from a seed, for all that is drawn.
-pub struct Draw(badgerledge_ways::Draw);
+pub struct Draw(badgerledge_ways::SeededRng);
 
 impl Draw {
     pub fn new(seed: u64) -> Self {
-        Self(badgerledge_ways::Draw::new(seed))
+        Self(badgerledge_ways::SeededRng::new(seed))
     }
 
     /// From 0 up to, but not, 1.
     pub fn share(&mut self) -> f64 {
-        self.0.share()
+        self.0.unit_interval()
     }
 
     pub fn between(&mut self, least: f64, most: f64) -> f64 {
--- a/crates/replay/src/play.rs
+++ b/crates/replay/src/play.rs
@@ -267,11 +267,11 @@
             accounts.merge(&read_stored_accounts(&self.folder.join(format!("state-{number}"))));
         }
         let places = self.controllers.places();
-        let whole = accounts.whole();
+        let whole = accounts.totals();
         let mut all = Vec::new();
         for (number, (name, _)) in self.day.shared.room_types.iter().enumerate() {
             let mut crossed = Crossed { room_type: name.clone(), accounts: 0, error: 0, streamers: 0 };
-            for (_, amount) in whole.iter().filter(|(key, _)| key.crosses() && key.room_type == *name) {
+            for (_, amount) in whole.iter().filter(|(key, _)| key.crosses_zones() && key.room_type == *name) {
                 crossed.accounts += amount.media_bytes + amount.unseen_bytes;
                 crossed.error += amount.unseen_error;
             }
--- a/crates/replay/src/script.rs
+++ b/crates/replay/src/script.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerledge_settings::{one_of, within};
-use badgerledge_ways::Way;
+use badgerledge_ways::LinkFaults;
 use garde::Validate;
 use serde::Deserialize;
 
@@ -142,15 +142,15 @@
 }
 
 impl WayDay {
-    pub fn way(&self) -> Way {
-        Way {
-            cut: self.cut,
-            loss: self.loss,
-            doubled: self.doubled,
-            late: Duration::from_millis(self.late_ms),
-            spread: Duration::from_millis(self.spread_ms),
-            slow: Some(self.slow).filter(|slow| *slow > 0),
-            reset: self.reset,
+    pub fn way(&self) -> LinkFaults {
+        LinkFaults {
+            blocked: self.cut,
+            loss_probability: self.loss,
+            duplicate_probability: self.doubled,
+            delay: Duration::from_millis(self.late_ms),
+            max_jitter: Duration::from_millis(self.spread_ms),
+            max_bytes_per_s: Some(self.slow).filter(|slow| *slow > 0),
+            reset_streams: self.reset,
             half_open: self.half_open,
         }
     }
--- a/crates/replay/src/scripted.rs
+++ b/crates/replay/src/scripted.rs
@@ -7,7 +7,7 @@
 use badgerledge_core::interface::SubscriptionRequest;
 use badgerledge_deployment::kinds::revised;
 use badgerledge_settings::Sheet;
-use badgerledge_ways::Way;
+use badgerledge_ways::LinkFaults;
 
 use crate::gossip::KeyFolder;
 use crate::play::Stage;
@@ -65,11 +65,11 @@
             false => self.struck_ways.remove(&number),
         };
         let Some((from, to)) = struck else { return };
-        let way = if begins { told.way() } else { Way::default() };
+        let way = if begins { told.way() } else { LinkFaults::default() };
         let ways = &mut self.messages.ways;
-        ways.strike(&from, &to, |one| *one = way);
+        ways.change_links(&from, &to, |one| *one = way);
         if told.both {
-            ways.strike(&to, &from, |one| *one = way);
+            ways.change_links(&to, &from, |one| *one = way);
         }
     }
 
--- a/crates/replay/tests/distribution/apart.rs
+++ b/crates/replay/tests/distribution/apart.rs
@@ -27,15 +27,15 @@
 fn cut_off(fleet: &Fleet) {
     for outside in OUTSIDE {
         for inside in INSIDE {
-            fleet.network.change_between(false, outside, inside, |way| way.cut = true);
+            fleet.network.change_between(false, outside, inside, |way| way.blocked = true);
         }
         let end = fleet.end_of(0);
-        fleet.network.change_between(true, outside, end, |way| way.cut = true);
+        fleet.network.change_between(true, outside, end, |way| way.blocked = true);
     }
     for inside in INSIDE {
         for controller in [1, 2] {
             let end = fleet.end_of(controller);
-            fleet.network.change_between(true, inside, end, |way| way.cut = true);
+            fleet.network.change_between(true, inside, end, |way| way.blocked = true);
         }
     }
 }
--- a/crates/replay/tests/distribution/failures.rs
+++ b/crates/replay/tests/distribution/failures.rs
@@ -19,7 +19,7 @@
 /// Nothing passes between a controller and these relays.
 fn cut_from_relays(fleet: &Fleet, controller: usize, relays: &[usize]) {
     let end = fleet.end_of(controller);
-    relays.iter().for_each(|relay| fleet.network.change_between(true, *relay, end, |way| way.cut = true));
+    relays.iter().for_each(|relay| fleet.network.change_between(true, *relay, end, |way| way.blocked = true));
 }
 
 #[test]
@@ -41,7 +41,7 @@
         let (relay, other) = relay_of(fleet, 0);
         let others: Vec<usize> = (0..3).filter(|machine| *machine != relay).collect();
         for peer in others {
-            fleet.network.change_between(false, relay, peer, |way| way.cut = true);
+            fleet.network.change_between(false, relay, peer, |way| way.blocked = true);
         }
         let begun = push_change(fleet, other);
         fleet.wait_set_ups(left(begun, IN_FORCE), &[0, 1, 2], NEW, 200);
@@ -55,7 +55,7 @@
         let (relay, other) = relay_of(fleet, 0);
         let others: Vec<usize> = (0..3).filter(|machine| *machine != relay).collect();
         for peer in &others {
-            fleet.network.change_between(false, relay, *peer, |way| way.cut = true);
+            fleet.network.change_between(false, relay, *peer, |way| way.blocked = true);
         }
         cut_from_relays(fleet, 0, &others);
         let mut plays = RtspPeer::to(fleet.controllers[0].at);
@@ -81,7 +81,7 @@
         // Grants come too late for most of a lease, and the change too.
         let ends: Vec<usize> = (0..3).map(|controller| fleet.end_of(controller)).collect();
         fleet.network.with(move |links| {
-            links.watchers.strike(&[relay], &ends, |way| way.late = Duration::from_secs(5));
+            links.watchers.change_links(&[relay], &ends, |way| way.delay = Duration::from_secs(5));
         });
         let begun = push_change(fleet, other);
         fleet.wait_set_ups(left(begun, IN_FORCE), &[0, 1, 2], NEW, 200);
@@ -134,8 +134,8 @@
         let begun = push_change(fleet, other);
         let end = fleet.end_of(0);
         fleet.network.change_between(true, relay, end, |way| {
-            way.cut = false;
-            way.reset = true;
+            way.blocked = false;
+            way.reset_streams = true;
         });
         fleet.wait_set_ups(left(begun, IN_FORCE), &[0, 1, 2], NEW, 200);
         assert_ne!(fleet.wait_served(0), relay);
@@ -178,7 +178,7 @@
 fn two_authors_push_on_both_sides_of_a_split() {
     play(shape(), |fleet| {
         for peer in [1, 2] {
-            fleet.network.change_between(false, 0, peer, |way| way.cut = true);
+            fleet.network.change_between(false, 0, peer, |way| way.blocked = true);
         }
         let title = |id: &str, copies: u32| {
             format!("[title {id}]\nroom_type = clip\nfirst_cell = 0\ncopies = {copies}\n")
--- a/crates/replay/tests/distribution/lying_relay.rs
+++ b/crates/replay/tests/distribution/lying_relay.rs
@@ -198,7 +198,7 @@
         fleet.wait(PATIENCE, "the stand-in serves", |fleet| fleet.serves(0) == Some(usize::from(STAND_IN)));
         let end = fleet.end_of(0);
         for relay in 0..3 {
-            fleet.network.change_between(true, relay, end, |way| way.cut = true);
+            fleet.network.change_between(true, relay, end, |way| way.blocked = true);
         }
         assert_eq!(fleet.set_up(0, OLD), 200);
         stand_in.conduct.replays.store(true, Ordering::Relaxed);
--- a/crates/replay/tests/distribution/network.rs
+++ b/crates/replay/tests/distribution/network.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use badgerledge_reactor::Reactor;
-use badgerledge_ways::{End, Way, Ways};
+use badgerledge_ways::{EndpointId, LinkFaults, TestNetwork};
 
 const ORIGIN: Duration = Duration::from_secs(100);
 const LOOK_EVERY: Duration = Duration::from_millis(5);
@@ -18,8 +18,8 @@
 
 /// The proxies. Ends are numbered: relays first, in `watchers` the controllers behind them.
 pub struct Links {
-    pub watchers: Ways,
-    pub peers: Ways,
+    pub watchers: TestNetwork,
+    pub peers: TestNetwork,
 }
 
 /// Runs the proxies in a thread of their own.
@@ -33,8 +33,13 @@
 }
 
 /// Streams without delay or loss.
-fn usual() -> Way {
-    Way { loss: 0.0, late: Duration::ZERO, spread: Duration::ZERO, ..Way::default() }
+fn usual() -> LinkFaults {
+    LinkFaults {
+        loss_probability: 0.0,
+        delay: Duration::ZERO,
+        max_jitter: Duration::ZERO,
+        ..LinkFaults::default()
+    }
 }
 
 impl Network {
@@ -49,9 +54,11 @@
         let ends: Vec<SocketAddr> = relays.iter().copied().chain(callers).collect();
         let thread = std::thread::spawn(move || {
             let mut reactor = Reactor::new(ORIGIN).unwrap();
-            let watchers = Ways::new(&mut reactor, &ends, usual(), 1).unwrap();
-            let peers = Ways::new(&mut reactor, &peers, usual(), 2).unwrap();
-            let all = |ways: &Ways, count: usize| (0..count).map(|end| ways.reached(end)).collect::<Vec<_>>();
+            let watchers = TestNetwork::new(&mut reactor, &ends, usual(), 1).unwrap();
+            let peers = TestNetwork::new(&mut reactor, &peers, usual(), 2).unwrap();
+            let all = |ways: &TestNetwork, count: usize| {
+                (0..count).map(|end| ways.proxy_address(end)).collect::<Vec<_>>()
+            };
             ready.send((all(&watchers, relays.len()), all(&peers, relays.len()))).unwrap();
             let mut links = Links { watchers, peers };
             let (mut told, mut looked) = (Vec::new(), reactor.clock());
@@ -65,11 +72,11 @@
                     command(&mut links);
                 }
                 for happening in told.drain(..) {
-                    let _ = links.watchers.take(&mut reactor, now, &happening)
-                        || links.peers.take(&mut reactor, now, &happening);
+                    let _ = links.watchers.handle_event(&mut reactor, now, &happening)
+                        || links.peers.handle_event(&mut reactor, now, &happening);
                 }
-                links.watchers.tend(&mut reactor, now);
-                links.peers.tend(&mut reactor, now);
+                links.watchers.poll(&mut reactor, now);
+                links.peers.poll(&mut reactor, now);
                 reactor.flush();
             }
         });
@@ -86,26 +93,28 @@
     }
 
     /// Changes both ways between two ends.
-    pub fn change_between(&self, watchers: bool, one: End, other: End, change: fn(&mut Way)) {
+    pub fn change_between(
+        &self, watchers: bool, one: EndpointId, other: EndpointId, change: fn(&mut LinkFaults),
+    ) {
         self.with(move |links| {
             let ways = if watchers { &mut links.watchers } else { &mut links.peers };
-            change(ways.way(one, other));
-            change(ways.way(other, one));
+            change(ways.link(one, other));
+            change(ways.link(other, one));
         });
     }
 
     /// All ways are as usual again.
     pub fn heal(&self) {
         self.with(|links| {
-            links.watchers.heal();
-            links.peers.heal();
+            links.watchers.reset_links();
+            links.peers.reset_links();
         });
     }
 
     /// Bytes that went from one end to another between controllers and relays.
-    pub fn bytes(&self, from: End, to: End) -> usize {
+    pub fn bytes(&self, from: EndpointId, to: EndpointId) -> usize {
         self.with(move |links| {
-            let passed = links.watchers.record.iter().filter(|entry| (entry.from, entry.to) == (from, to));
+            let passed = links.watchers.traffic.iter().filter(|entry| (entry.from, entry.to) == (from, to));
             passed.map(|entry| entry.bytes).sum()
         })
     }
--- a/crates/report/src/chart.rs
+++ b/crates/report/src/chart.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use anyhow::{anyhow, Result};
-use badgerledge_accounts::{Accounts, WINDOW};
+use badgerledge_accounts::{Accounts, WINDOW_LENGTH};
 use plotters::prelude::*;
 
 /// Draws kB a second by room type, a point for each window, into an SVG file.
@@ -13,7 +13,7 @@
     let Some(first) = windows.keys().next().copied() else {
         return Err(anyhow!("there is nothing to draw: no window was counted"));
     };
-    let span = WINDOW.as_secs_f64();
+    let span = WINDOW_LENGTH.as_secs_f64();
     let mut lines: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
     let last = windows.keys().next_back().copied().unwrap_or(first);
     for (_, room_type) in windows.values().flat_map(|sums| sums.keys()).map(|key| ((), key.room_type.clone()))
@@ -23,7 +23,7 @@
     for (room_type, points) in &mut lines {
         for window in first..=last {
             let sums = windows.get(&window).into_iter().flatten();
-            let crossed = sums.filter(|(key, _)| key.crosses() && key.room_type == *room_type);
+            let crossed = sums.filter(|(key, _)| key.crosses_zones() && key.room_type == *room_type);
             let bytes: u64 = crossed.map(|(_, amount)| amount.bytes()).sum();
             points.push(((window - first) as f64 * span, bytes as f64 / 1000.0 / span));
         }
--- a/crates/report/src/gather.rs
+++ b/crates/report/src/gather.rs
@@ -62,5 +62,5 @@
     if !head.starts_with("HTTP/1.1 200") {
         bail!("{}", head.lines().next().unwrap_or("no answer"));
     }
-    Ok(Accounts::read(body)?)
+    Ok(Accounts::decode(body)?)
 }
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use badgerledge_accounts::{Accounts, Amount, Key, WINDOW};
+use badgerledge_accounts::{Accounts, Key, TrafficCounters, WINDOW_LENGTH};
 use serde_json::{json, Map, Value};
 
 /// A table: names of columns, and rows of texts and numbers.
@@ -14,7 +14,7 @@
 const AMOUNTS: [&str; 6] =
     ["media_bytes", "control_bytes", "unseen_bytes", "unseen_error", "subscription_s", "set_ups"];
 
-fn amounts(a: &Amount) -> [Value; 6] {
+fn amounts(a: &TrafficCounters) -> [Value; 6] {
     let seconds = a.subscription_ms as f64 / 1000.0;
     [
         json!(a.media_bytes),
@@ -26,7 +26,7 @@
     ]
 }
 
-fn keyed(key: &Key, amount: &Amount) -> Vec<Value> {
+fn keyed(key: &Key, amount: &TrafficCounters) -> Vec<Value> {
     let texts = [json!(key.from), json!(key.to), json!(key.room_type)];
     texts.into_iter().chain(amounts(amount)).collect()
 }
@@ -34,11 +34,11 @@
 /// Sums over the whole, and a last row for each room type over all pairs.
 pub fn by_room_type(accounts: &Accounts, all: bool) -> Rows {
     let names = ["from", "to", "room_type"].into_iter().chain(AMOUNTS).collect();
-    let whole = accounts.whole();
-    let wanted = whole.iter().filter(|(key, _)| all || key.crosses());
+    let whole = accounts.totals();
+    let wanted = whole.iter().filter(|(key, _)| all || key.crosses_zones());
     let mut rows: Vec<Vec<Value>> = wanted.map(|(key, amount)| keyed(key, amount)).collect();
-    let mut by_type: std::collections::BTreeMap<&str, Amount> = std::collections::BTreeMap::new();
-    for (key, amount) in whole.iter().filter(|(key, _)| key.crosses()) {
+    let mut by_type: std::collections::BTreeMap<&str, TrafficCounters> = std::collections::BTreeMap::new();
+    for (key, amount) in whole.iter().filter(|(key, _)| key.crosses_zones()) {
         by_type.entry(&key.room_type).or_default().add(amount);
     }
     for (room_type, amount) in by_type {
@@ -53,8 +53,8 @@
     let names = ["window_start", "from", "to", "room_type"].into_iter().chain(AMOUNTS).collect();
     let mut rows = Vec::new();
     for (window, sums) in accounts.windows() {
-        for (key, amount) in sums.iter().filter(|(key, _)| all || key.crosses()) {
-            let start = json!(window * WINDOW.as_secs());
+        for (key, amount) in sums.iter().filter(|(key, _)| all || key.crosses_zones()) {
+            let start = json!(window * WINDOW_LENGTH.as_secs());
             rows.push([start].into_iter().chain(keyed(key, amount)).collect());
         }
     }
@@ -63,7 +63,7 @@
 
 /// The heaviest titles: bytes, and by how many of them it may be too much.
 pub fn by_title(accounts: &Accounts) -> Rows {
-    let heaviest = accounts.heaviest();
+    let heaviest = accounts.top_titles();
     let row = |(title, bytes, error)| vec![json!(format!("{title:x}")), json!(bytes), json!(error)];
     Rows { names: vec!["title", "bytes", "over_by_at_most"], rows: heaviest.titles().map(row).collect() }
 }
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use badgerledge_accounts::{seal, Accounts, Amount, Key, Source};
+use badgerledge_accounts::{encode_file, Accounts, Key, Source, TrafficCounters};
 
 fn key(from: &str, to: &str, room_type: &str) -> Key {
     Key { from: from.to_owned(), to: to.to_owned(), room_type: room_type.to_owned() }
@@ -12,7 +12,7 @@
 
 fn store(folder: &Path, file: &str, accounts: &Accounts) {
     std::fs::create_dir_all(folder).unwrap();
-    std::fs::write(folder.join(file), seal(&accounts.write())).unwrap();
+    std::fs::write(folder.join(file), encode_file(&accounts.encode())).unwrap();
 }
 
 fn report(arguments: &[&str]) -> Output {
@@ -26,7 +26,12 @@
 /// Two controllers, of which the second is stored twice, the later torn.
 fn stored() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    let media = |bytes| Amount { media_bytes: bytes, set_ups: 1, subscription_ms: 1500, ..Amount::default() };
+    let media = |bytes| TrafficCounters {
+        media_bytes: bytes,
+        set_ups: 1,
+        subscription_ms: 1500,
+        ..TrafficCounters::default()
+    };
     let mut one = Accounts::default();
     let ledger = one.ledger(Source { controller: 0, account: 1 });
     ledger.count(Duration::from_secs(100), &key("north", "south", "clip"), 7, &media(1000));
@@ -37,7 +42,7 @@
     ledger.count(Duration::from_secs(101), &key("north", "south", "clip"), 7, &media(250));
     ledger.count(Duration::from_secs(125), &key("south", "north", "show, paid"), 9, &media(40));
     store(&folder.path().join("two"), "accounts-a", &two);
-    std::fs::write(folder.path().join("two/accounts-b"), &seal(&two.write())[..60]).unwrap();
+    std::fs::write(folder.path().join("two/accounts-b"), &encode_file(&two.encode())[..60]).unwrap();
     folder
 }
 
--- a/crates/ways/src/lib.rs
+++ b/crates/ways/src/lib.rs
@@ -16,25 +16,25 @@
 
 use badgerledge_reactor::{Reactor, ReactorEvent, SocketId};
 
-pub use crate::link_faults::{Draw, Way};
+pub use crate::link_faults::{LinkFaults, SeededRng};
 use crate::streams::StreamProxy;
 
 /// Index of an endpoint.
-pub type End = usize;
+pub type EndpointId = usize;
 
 /// Whether a datagram, or some bytes of a stream, were forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    Passed,
+    Forwarded,
     Lost,
 }
 
 /// A datagram or some bytes of a stream that arrived at the test network.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct TrafficRecord {
     pub at: Duration,
-    pub from: End,
-    pub to: End,
+    pub from: EndpointId,
+    pub to: EndpointId,
     pub bytes: usize,
     pub delivery: Delivery,
     pub stream: bool,
@@ -45,7 +45,7 @@
 
 struct EndpointProxy {
     /// The datagram socket at `proxy_address`.
-    connection: Line,
+    connection: SocketId,
     /// Where the other endpoints reach this endpoint.
     proxy_address: SocketAddr,
     /// Where this endpoint itself listens.
@@ -53,29 +53,29 @@
 }
 
 /// The test network, with the state of each directed link between its endpoints.
-pub struct Ways {
+pub struct TestNetwork {
     proxies: Vec<EndpointProxy>,
     /// Links that differ from `default_link`, by sender and receiver.
-    links: BTreeMap<(End, End), Way>,
-    default_link: Way,
+    links: BTreeMap<(EndpointId, EndpointId), LinkFaults>,
+    default_link: LinkFaults,
     /// Datagrams to be forwarded: due time, sequence number, sender, receiver, contents.
-    in_flight: BTreeSet<(Duration, u64, End, End, Vec<u8>)>,
+    in_flight: BTreeSet<(Duration, u64, EndpointId, EndpointId, Vec<u8>)>,
     sequence: u64,
     streams: StreamProxy,
-    rng: Draw,
+    rng: SeededRng,
     /// All traffic so far.
-    pub record: Vec<Entry>,
+    pub traffic: Vec<TrafficRecord>,
     /// Receiver and contents of datagrams from unknown senders.
-    from_unknown_senders: Vec<(End, Vec<u8>)>,
+    from_unknown_senders: Vec<(EndpointId, Vec<u8>)>,
 }
 
-impl Ways {
+impl TestNetwork {
     /// Creates proxies for the endpoints that listen at these addresses. Links are as `default_link` until changed.
     ///
     /// # Errors
     /// Where no proxy address can be bound.
     pub fn new(
-        reactor: &mut Reactor, endpoint_addresses: &[SocketAddr], default_link: Way, seed: u64,
+        reactor: &mut Reactor, endpoint_addresses: &[SocketAddr], default_link: LinkFaults, seed: u64,
     ) -> std::io::Result<Self> {
         let (mut proxies, mut streams) = (Vec::new(), StreamProxy::default());
         for (endpoint, endpoint_address) in endpoint_addresses.iter().enumerate() {
@@ -83,15 +83,15 @@
             // and UDP ports independently.
             let (connection, proxy_address) = loop {
                 let (listener, address) = streams.listen(reactor, endpoint)?;
-                match reactor.datagrams(address) {
+                match reactor.bind_datagrams(address) {
                     Ok(bound) => break bound,
                     Err(_) => reactor.close(listener),
                 }
             };
             proxies.push(EndpointProxy { connection, proxy_address, endpoint_address: *endpoint_address });
         }
-        let (links, in_flight, record) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
-        let rng = Draw::new(seed);
+        let (links, in_flight, traffic) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
+        let rng = SeededRng::new(seed);
         Ok(Self {
             proxies,
             links,
@@ -100,44 +100,44 @@
             sequence: 0,
             streams,
             rng,
-            record,
+            traffic,
             from_unknown_senders: Vec::new(),
         })
     }
 
     /// The address at which the other endpoints reach an endpoint.
-    pub fn reached(&self, endpoint: End) -> SocketAddr {
+    pub fn proxy_address(&self, endpoint: EndpointId) -> SocketAddr {
         self.proxies[endpoint].proxy_address
     }
 
     /// The number of endpoints.
-    pub fn ends(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.proxies.len()
     }
 
     /// The link from one endpoint to another, to be changed.
-    pub fn way(&mut self, from: End, to: End) -> &mut Way {
+    pub fn link(&mut self, from: EndpointId, to: EndpointId) -> &mut LinkFaults {
         let default_link = self.default_link;
         self.links.entry((from, to)).or_insert(default_link)
     }
 
     /// Changes all links from some endpoints to others.
-    pub fn strike(&mut self, from: &[End], to: &[End], change: impl Fn(&mut Way)) {
+    pub fn change_links(&mut self, from: &[EndpointId], to: &[EndpointId], change: impl Fn(&mut LinkFaults)) {
         for (a, b) in from.iter().flat_map(|a| to.iter().map(|b| (*a, *b))).filter(|(a, b)| a != b) {
-            change(self.way(a, b));
+            change(self.link(a, b));
         }
     }
 
     /// Resets all links to the default.
-    pub fn heal(&mut self) {
+    pub fn reset_links(&mut self) {
         self.links.clear();
     }
 
-    fn link_between(&self, from: End, to: End) -> Way {
+    fn link_between(&self, from: EndpointId, to: EndpointId) -> LinkFaults {
         self.links.get(&(from, to)).copied().unwrap_or(self.default_link)
     }
 
-    fn endpoint_with_ip(&self, ip: IpAddr) -> Option<End> {
+    fn endpoint_with_ip(&self, ip: IpAddr) -> Option<EndpointId> {
         let mut matches =
             self.proxies.iter().enumerate().filter(|(_, proxy)| proxy.endpoint_address.ip() == ip);
         let first = matches.next().map(|(endpoint, _)| endpoint);
@@ -146,8 +146,8 @@
     }
 
     /// Handles an event of the reactor. Returns whether it concerned this network.
-    pub fn take(&mut self, reactor: &mut Reactor, now: Duration, event: &Happening) -> bool {
-        if let Happening::Datagram { line: connection, from, bytes } = event {
+    pub fn handle_event(&mut self, reactor: &mut Reactor, now: Duration, event: &ReactorEvent) -> bool {
+        if let ReactorEvent::Datagram { socket: connection, from, bytes } = event {
             let Some(to) = self.proxies.iter().position(|proxy| proxy.connection == *connection) else {
                 return false;
             };
@@ -157,7 +157,7 @@
             }
             return true;
         }
-        if let Happening::Accepted { line: connection, listener, from } = event {
+        if let ReactorEvent::Accepted { connection, listener, from } = event {
             let Some(to) = self.streams.endpoint_of(*listener) else { return false };
             let from = self.endpoint_with_ip(from.ip());
             let link = from.map_or(self.default_link, |from| self.link_between(from, to));
@@ -170,37 +170,47 @@
             );
             return true;
         }
-        let Self { links, default_link, streams, record, .. } = self;
-        streams.handle_event(reactor, now, event, &link_lookup(links, *default_link), record)
+        let Self { links, default_link, streams, traffic, .. } = self;
+        streams.handle_event(reactor, now, event, &link_lookup(links, *default_link), traffic)
     }
 
     /// Records a datagram and, unless it is lost, queues one or two copies of it.
-    fn queue_datagram(&mut self, now: Duration, from: End, to: End, bytes: &[u8]) {
+    fn queue_datagram(&mut self, now: Duration, from: EndpointId, to: EndpointId, bytes: &[u8]) {
         let link = self.link_between(from, to);
         let mut add_record = |delivery| {
-            self.record.push(Entry { at: now, from, to, bytes: bytes.len(), delivery, stream: false });
+            self.traffic.push(TrafficRecord {
+                at: now,
+                from,
+                to,
+                bytes: bytes.len(),
+                delivery,
+                stream: false,
+            });
         };
-        if link.cut || self.in_flight.len() >= MAX_DATAGRAMS_IN_FLIGHT || self.rng.share() < link.loss {
+        if link.blocked
+            || self.in_flight.len() >= MAX_DATAGRAMS_IN_FLIGHT
+            || self.rng.unit_interval() < link.loss_probability
+        {
             return add_record(Delivery::Lost);
         }
-        add_record(Delivery::Passed);
-        let copies = if self.rng.share() < link.doubled { 2 } else { 1 };
+        add_record(Delivery::Forwarded);
+        let copies = if self.rng.unit_interval() < link.duplicate_probability { 2 } else { 1 };
         for _ in 0..copies {
             // Each copy has a delay of its own, so that a later datagram may arrive earlier.
-            let due_at = now + link.late(&mut self.rng);
+            let due_at = now + link.random_delay(&mut self.rng);
             self.sequence += 1;
             self.in_flight.insert((due_at, self.sequence, from, to, bytes.to_vec()));
         }
     }
 
-    /// The time at which [`Ways::tend`] has to be called next.
-    pub fn next_due(&self) -> Option<Duration> {
+    /// The time at which [`TestNetwork::poll`] has to be called next.
+    pub fn next_poll_at(&self) -> Option<Duration> {
         let in_flight = self.in_flight.first().map(|datagram| datagram.0);
-        in_flight.into_iter().chain(self.streams.next_due()).min()
+        in_flight.into_iter().chain(self.streams.next_poll_at()).min()
     }
 
     /// Forwards datagrams and stream bytes that are due.
-    pub fn tend(&mut self, reactor: &mut Reactor, now: Duration) {
+    pub fn poll(&mut self, reactor: &mut Reactor, now: Duration) {
         for (to, bytes) in std::mem::take(&mut self.from_unknown_senders) {
             reactor.send_to(self.proxies[to].connection, self.proxies[to].endpoint_address, &bytes);
         }
@@ -217,8 +227,8 @@
 /// Returns a function that looks up the link between two endpoints. Links from or to an unknown endpoint are as the
 /// default.
 fn link_lookup(
-    links: &BTreeMap<(End, End), Way>, default_link: Way,
-) -> impl Fn(Option<End>, Option<End>) -> Way + '_ {
+    links: &BTreeMap<(EndpointId, EndpointId), LinkFaults>, default_link: LinkFaults,
+) -> impl Fn(Option<EndpointId>, Option<EndpointId>) -> LinkFaults + '_ {
     move |from, to| from.zip(to).and_then(|pair| links.get(&pair).copied()).unwrap_or(default_link)
 }
 
--- a/crates/ways/src/link_faults.rs
+++ b/crates/ways/src/link_faults.rs
@@ -6,60 +6,60 @@
 use rand_pcg::Pcg64Mcg;
 
 /// A seeded random number generator.
-pub struct Draw(Pcg64Mcg);
+pub struct SeededRng(Pcg64Mcg);
 
-impl Draw {
+impl SeededRng {
     /// A generator whose sequence depends only on `seed`.
     pub fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// A uniformly distributed number in [0, 1).
-    pub fn share(&mut self) -> f64 {
+    pub fn unit_interval(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
 /// How a link treats the datagrams and streams that are sent over it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// Blocks the link: datagrams are lost, existing streams stall, and new streams never reach the receiver.
-    pub cut: bool,
+    pub blocked: bool,
     /// Probability that a datagram is lost. Streams lose nothing.
-    pub loss: f64,
+    pub loss_probability: f64,
     /// Probability that a datagram is duplicated.
-    pub doubled: f64,
+    pub duplicate_probability: f64,
     /// The smallest delay.
-    pub late: Duration,
-    /// The largest random delay in addition to `late`; for datagrams only.
-    pub spread: Duration,
+    pub delay: Duration,
+    /// The largest random delay in addition to `delay`; for datagrams only.
+    pub max_jitter: Duration,
     /// Rate limit of a stream in bytes per second; `None` for no limit.
-    pub slow: Option<u64>,
+    pub max_bytes_per_s: Option<u64>,
     /// Closes existing streams as soon as something is sent over the link, and new streams when they are accepted.
-    pub reset: bool,
+    pub reset_streams: bool,
     /// New streams are accepted but never reach the receiver, and all bytes on streams are dropped.
     pub half_open: bool,
 }
 
-impl Default for Way {
+impl Default for LinkFaults {
     /// A link within one zone without faults: 1 to 20 ms of delay, 2 % loss.
     fn default() -> Self {
         Self {
-            cut: false,
-            loss: 0.02,
-            doubled: 0.0,
-            late: Duration::from_millis(1),
-            spread: Duration::from_millis(19),
-            slow: None,
-            reset: false,
+            blocked: false,
+            loss_probability: 0.02,
+            duplicate_probability: 0.0,
+            delay: Duration::from_millis(1),
+            max_jitter: Duration::from_millis(19),
+            max_bytes_per_s: None,
+            reset_streams: false,
             half_open: false,
         }
     }
 }
 
-impl Way {
+impl LinkFaults {
     /// A random delay for one datagram.
-    pub fn late(&self, rng: &mut Draw) -> Duration {
-        self.late + self.spread.mul_f64(rng.share())
+    pub fn random_delay(&self, rng: &mut SeededRng) -> Duration {
+        self.delay + self.max_jitter.mul_f64(rng.unit_interval())
     }
 }
--- a/crates/ways/src/tests.rs
+++ b/crates/ways/src/tests.rs
@@ -16,7 +16,7 @@
 /// Two endpoints with a UDP socket and a TCP listener each, and the network between them.
 struct Harness {
     reactor: Reactor,
-    network: Ways,
+    network: TestNetwork,
     sockets: [UdpSocket; 2],
     listeners: [TcpListener; 2],
 }
@@ -25,7 +25,7 @@
 type Received = Option<(SocketAddr, Vec<u8>)>;
 
 impl Harness {
-    fn new(link: Way) -> Self {
+    fn new(link: LinkFaults) -> Self {
         let ips = ["127.2.0.1", "127.2.0.2"];
         let listeners = ips.map(|ip| TcpListener::bind((ip, 0)).unwrap());
         let sockets = [0, 1].map(|n| UdpSocket::bind(listeners[n].local_addr().unwrap()).unwrap());
@@ -33,7 +33,7 @@
         listeners.iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
         let addresses = [0, 1].map(|n: usize| listeners[n].local_addr().unwrap());
         let mut reactor = Reactor::new(Duration::from_secs(100)).unwrap();
-        let network = Ways::new(&mut reactor, &addresses, link, 7).unwrap();
+        let network = TestNetwork::new(&mut reactor, &addresses, link, 7).unwrap();
         Self { reactor, network, sockets, listeners }
     }
 
@@ -44,9 +44,9 @@
         self.reactor.wait(Some(deadline), &mut events).unwrap();
         let now = self.reactor.now();
         for event in events {
-            self.network.take(&mut self.reactor, now, &event);
+            self.network.handle_event(&mut self.reactor, now, &event);
         }
-        self.network.tend(&mut self.reactor, now);
+        self.network.poll(&mut self.reactor, now);
         self.reactor.flush();
     }
 
@@ -66,7 +66,7 @@
 
     fn send_datagram(&mut self, from: usize, bytes: &[u8], timeout: Duration) -> Received {
         let to = 1 - from;
-        self.sockets[from].send_to(bytes, self.network.reached(to)).unwrap();
+        self.sockets[from].send_to(bytes, self.network.proxy_address(to)).unwrap();
         self.run_until(timeout, |harness| {
             let mut buffer = [0; 64];
             let (count, sender) = harness.sockets[to].recv_from(&mut buffer).ok()?;
@@ -77,7 +77,7 @@
     fn connect(&mut self, from: usize) -> TcpStream {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::new(self.sockets[from].local_addr().unwrap().ip(), 0).into()).unwrap();
-        socket.connect(&self.network.reached(1 - from).into()).unwrap();
+        socket.connect(&self.network.proxy_address(1 - from).into()).unwrap();
         let stream = TcpStream::from(socket);
         stream.set_nonblocking(true).unwrap();
         stream
@@ -109,37 +109,40 @@
 }
 
 /// A link without loss.
-fn lossless() -> Way {
-    Way { loss: 0.0, ..Way::default() }
+fn lossless() -> LinkFaults {
+    LinkFaults { loss_probability: 0.0, ..LinkFaults::default() }
 }
 
 #[test]
 fn blocking_one_direction_leaves_the_other_unaffected() {
     let mut harness = Harness::new(lossless());
-    let (a, b) = (harness.network.reached(0), harness.network.reached(1));
+    let (a, b) = (harness.network.proxy_address(0), harness.network.proxy_address(1));
     assert_eq!(harness.send_datagram(0, b"one", RECEIVE_TIMEOUT), Some((a, b"one".to_vec())));
     assert_eq!(harness.send_datagram(1, b"two", RECEIVE_TIMEOUT), Some((b, b"two".to_vec())));
-    harness.network.way(0, 1).cut = true;
+    harness.network.link(0, 1).blocked = true;
     assert_eq!(harness.send_datagram(0, b"three", QUIET_TIME), None);
     assert_eq!(harness.send_datagram(1, b"four", RECEIVE_TIMEOUT), Some((b, b"four".to_vec())));
-    harness.network.heal();
+    harness.network.reset_links();
     assert_eq!(harness.send_datagram(0, b"five", RECEIVE_TIMEOUT), Some((a, b"five".to_vec())));
-    let deliveries: Vec<(End, Delivery)> =
-        harness.network.record.iter().map(|entry| (entry.from, entry.delivery)).collect();
-    let passed = Delivery::Passed;
-    assert_eq!(deliveries, [(0, passed), (1, passed), (0, Delivery::Lost), (1, passed), (0, passed)]);
+    let deliveries: Vec<(EndpointId, Delivery)> =
+        harness.network.traffic.iter().map(|entry| (entry.from, entry.delivery)).collect();
+    let forwarded = Delivery::Forwarded;
+    assert_eq!(
+        deliveries,
+        [(0, forwarded), (1, forwarded), (0, Delivery::Lost), (1, forwarded), (0, forwarded)]
+    );
 }
 
 #[test]
 fn datagrams_are_duplicated_and_reordered() {
-    let mut harness = Harness::new(Way {
-        doubled: 1.0,
-        late: Duration::ZERO,
-        spread: Duration::from_millis(40),
+    let mut harness = Harness::new(LinkFaults {
+        duplicate_probability: 1.0,
+        delay: Duration::ZERO,
+        max_jitter: Duration::from_millis(40),
         ..lossless()
     });
     for n in 0..20 {
-        harness.sockets[0].send_to(&[n], harness.network.reached(1)).unwrap();
+        harness.sockets[0].send_to(&[n], harness.network.proxy_address(1)).unwrap();
     }
     let mut received = Vec::new();
     harness.run_until(RECEIVE_TIMEOUT, |harness| {
@@ -160,19 +163,19 @@
     let mut server = harness.accept(1, RECEIVE_TIMEOUT).unwrap();
     client.write_all(b"abc").unwrap();
     assert_eq!(harness.receive(&mut server, 3, RECEIVE_TIMEOUT), Some(3));
-    harness.network.way(0, 1).cut = true;
+    harness.network.link(0, 1).blocked = true;
     client.write_all(b"defg").unwrap();
     assert_eq!(harness.receive(&mut server, 4, QUIET_TIME), Some(0));
     server.write_all(b"back").unwrap();
     assert_eq!(harness.receive(&mut client, 4, RECEIVE_TIMEOUT), Some(4));
-    harness.network.heal();
+    harness.network.reset_links();
     assert_eq!(harness.receive(&mut server, 4, RECEIVE_TIMEOUT), Some(4));
 }
 
 #[test]
 fn half_open_reset_and_rate_limited_streams() {
     let mut harness = Harness::new(lossless());
-    harness.network.way(0, 1).half_open = true;
+    harness.network.link(0, 1).half_open = true;
     let mut client = harness.connect(0);
     client.write_all(b"abc").unwrap();
     assert!(harness.accept(1, QUIET_TIME).is_none());
@@ -182,8 +185,8 @@
         "the stream stays open, and nothing is received"
     );
 
-    harness.network.heal();
-    harness.network.way(0, 1).slow = Some(10_000);
+    harness.network.reset_links();
+    harness.network.link(0, 1).max_bytes_per_s = Some(10_000);
     let mut client = harness.connect(0);
     let mut server = harness.accept(1, RECEIVE_TIMEOUT).unwrap();
     client.write_all(&[1; 4000]).unwrap();
@@ -191,7 +194,7 @@
     assert_eq!(harness.receive(&mut server, 4000, RECEIVE_TIMEOUT), Some(4000));
     assert!(started_at.elapsed() > Duration::from_millis(250), "4,000 bytes at 10,000 bytes/s");
 
-    harness.network.way(0, 1).reset = true;
+    harness.network.link(0, 1).reset_streams = true;
     client.write_all(b"abc").unwrap();
     assert_eq!(harness.receive(&mut server, 1, RECEIVE_TIMEOUT), None);
 }
