--- a/crates/controller/src/configuration_check.rs
+++ b/crates/controller/src/configuration_check.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 use badgerledge_catalogue::Catalogue;
-use badgerledge_changes::arrange;
-use badgerledge_deployment::{AppliedConfiguration, Deployment, RevisionText, Shared};
+use badgerledge_changes::preserve_numbers;
+use badgerledge_deployment::{ActedOn, Deployment, Shared, Text};
 
 /// What a new configuration must be compatible with on this controller.
 pub struct ConfigurationCheck {
@@ -69,7 +69,7 @@
             ));
         }
         match &self.current {
-            Some(current) => arrange(current, shared.clone()).map(drop),
+            Some(current) => preserve_numbers(current, shared.clone()).map(drop),
             None => Ok(()),
         }
     }
@@ -84,7 +84,7 @@
     ) -> Result<AppliedConfiguration, String> {
         let mut applied = active.applied_configuration(prepared);
         if let Some(current) = &self.current {
-            applied.shared = arrange(current, applied.shared)?;
+            applied.shared = preserve_numbers(current, applied.shared)?;
         }
         self.current = Some(applied.shared.clone());
         Ok(applied)
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -131,7 +131,8 @@
             seed.rotate_left(17),
         );
         let max_partition = Duration::from_secs(place.apart_s);
-        let config = Config { connections, apart: max_partition, ..Config::new(place.number, incarnation) };
+        let config =
+            Config { max_connections: connections, max_partition, ..Config::new(place.number, incarnation) };
         config.check()?;
         let push_check = PushCheck::new(keys.clone());
         let mut control = ControlMachine::new(config, keys, stored, genesis, seed, now);
@@ -169,7 +170,7 @@
         let mut events = Vec::new();
         self.reactor.set_timer(CLOCK_START + PERIODIC_INTERVAL, PERIODIC_TOKEN);
         while !self.stopping {
-            let wake_at = self.control.next_due().min(self.peers.next_poll_at());
+            let wake_at = self.control.next_poll_at().min(self.peers.next_poll_at());
             self.reactor.wait(Some(wake_at), &mut events).context("event loop")?;
             for event in events.drain(..) {
                 self.handle_event(event);
@@ -198,8 +199,8 @@
         if now >= self.peers.next_poll_at() {
             self.peers.poll(&mut self.reactor, now, &mut self.peer_events);
         }
-        if now >= self.control.next_due() {
-            self.control.tend(now, &mut self.outputs);
+        if now >= self.control.next_poll_at() {
+            self.control.poll(now, &mut self.outputs);
         }
         self.process_pending();
     }
@@ -270,25 +271,25 @@
             }
             for event in std::mem::take(&mut self.peer_events) {
                 match event {
-                    PeerEvent::Up(peer) => self.control.peer_up(now, peer, &mut self.outputs),
-                    PeerEvent::Down(peer) => self.control.peer_down(now, peer),
+                    PeerEvent::Up(peer) => self.control.on_peer_connected(now, peer, &mut self.outputs),
+                    PeerEvent::Down(peer) => self.control.on_peer_closed(now, peer),
                     PeerEvent::Message(peer, message) => {
-                        self.control.peer_message(now, peer, message, &mut self.outputs);
+                        self.control.on_peer_message(now, peer, message, &mut self.outputs);
                     }
                 }
             }
             for event in std::mem::take(&mut self.watcher_events) {
                 match event {
                     WatcherEvent::Opened(connection) => {
-                        self.control.watcher_opened(now, connection, &mut self.outputs)
+                        self.control.on_watcher_connected(now, connection, &mut self.outputs)
                     }
                     WatcherEvent::Message(connection, message) if self.watchers.contains(connection) => {
                         if !self.reject_unusable(connection, &message) {
-                            self.control.watcher_message(now, connection, *message, &mut self.outputs);
+                            self.control.on_watcher_message(now, connection, *message, &mut self.outputs);
                         }
                     }
                     WatcherEvent::Message(..) => {}
-                    WatcherEvent::Closed(connection) => self.control.watcher_closed(now, connection),
+                    WatcherEvent::Closed(connection) => self.control.on_watcher_closed(now, connection),
                 }
             }
         }
@@ -367,7 +368,7 @@
         let status = self.control.status(now);
         self.log_revisions(&status);
         if self.settings.place.apart_s > 0 {
-            let partition = self.control.apart_status(now);
+            let partition = self.control.partition_status(now);
             self.log_partition(&partition);
             telemetry::update_partition(&partition);
         }
@@ -426,7 +427,7 @@
                 tracing::info!("the key ring was reloaded");
                 self.peers.replace_keys(keys.clone());
                 self.push_check.replace_keys(keys.clone());
-                self.control.take_hand(now, keys, &mut self.outputs);
+                self.control.replace_signer(now, keys, &mut self.outputs);
             }
             Err(error) => tracing::error!("{error:#}; the current keys stay in use"),
         }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result};
 use badgerledge_deployment::{entries, kinds};
-use badgerledge_distribution::control::{LEAST_APART, MOST_APART};
+use badgerledge_distribution::control::{MAX_PARTITION, MIN_PARTITION};
 use badgerledge_distribution::message::MAX_RELAY_BODY_BYTES;
 use badgerledge_distribution::state::State;
 use badgerledge_distribution::MachineId;
@@ -73,7 +73,7 @@
 
 /// Accepts 0 and the range that the protocol allows.
 fn check_apart_s(seconds: &u64, (): &()) -> garde::Result {
-    let (min, max) = (LEAST_APART.as_secs(), MOST_APART.as_secs());
+    let (min, max) = (MIN_PARTITION.as_secs(), MAX_PARTITION.as_secs());
     if *seconds == 0 || (min..=max).contains(seconds) {
         return Ok(());
     }
