--- a/crates/controller/src/accounting.rs
+++ b/crates/controller/src/accounting.rs
@@ -67,7 +67,7 @@
 
     /// Adds traffic of a title to an account.
     pub fn count(&mut self, key: &Key, title: u64, traffic: &TrafficCounters) {
-        self.accounts.ledger(self.source).count(wall(), key, title, traffic);
+        self.accounts.ledger(self.source).count(unix_time(), key, title, traffic);
     }
 
     /// The sums of all windows, by account key.
@@ -99,7 +99,7 @@
     /// Stores the counts; all windows only when the window changes or the process stops.
     fn try_store(&mut self, is_last: bool) -> std::io::Result<()> {
         let latest = self.accounts.encode_recent(LATEST_WINDOWS);
-        let current_window = wall().as_secs() / WINDOW_LENGTH.as_secs();
+        let current_window = unix_time().as_secs() / WINDOW_LENGTH.as_secs();
         let whole = (current_window != self.window || is_last).then(|| self.accounts.encode());
         if let Some(folder) = &self.folder {
             self.latest_file = 1 - self.latest_file;
--- a/crates/controller/src/configuration_check.rs
+++ b/crates/controller/src/configuration_check.rs
@@ -5,7 +5,7 @@
 
 use badgerledge_catalogue::Catalogue;
 use badgerledge_changes::preserve_numbers;
-use badgerledge_deployment::{ActedOn, Deployment, Shared, Text};
+use badgerledge_deployment::{AppliedConfiguration, Deployment, RevisionText, Shared};
 
 /// What a new configuration must be compatible with on this controller.
 pub struct ConfigurationCheck {
--- a/crates/relay/src/push_check.rs
+++ b/crates/relay/src/push_check.rs
@@ -5,7 +5,7 @@
 //! but conflict with each other are found by [`state_check`], with which the control machine checks whole batches.
 
 use badgerledge_changes::preserve_numbers;
-use badgerledge_deployment::{StateReader, Text};
+use badgerledge_deployment::{RevisionText, StateReader};
 use badgerledge_distribution::change::{last_sequence, Change, Rejection};
 use badgerledge_distribution::control::StateCheck;
 use badgerledge_distribution::state::State;
--- a/crates/replay/src/scripted.rs
+++ b/crates/replay/src/scripted.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{bail, Context, Result};
 use badgerledge_core::interface::SubscriptionRequest;
-use badgerledge_deployment::kinds::revised;
-use badgerledge_settings::Sheet;
+use badgerledge_deployment::kinds::read_revision;
+use badgerledge_settings::IniFile;
 use badgerledge_ways::LinkFaults;
 
 use crate::gossip::KeyFolder;
