--- a/crates/controller/tests/it/races.rs
+++ b/crates/controller/tests/it/races.rs
@@ -385,7 +385,7 @@
     viewer.establish(10);
     first_streamer.wait_for("offer", 10);
     controller.write_config(&whole);
-    controller.wait_log(&["read anew"]);
+    controller.wait_log(&["configuration reread"]);
     std::thread::sleep(millis(500));
     viewer.establish(11);
     second_streamer.wait_for("offer", 11);
